--- a/bench/choice_bench.c
+++ b/bench/choice_bench.c
@@ -65,7 +65,7 @@
     .seed = 1,
     .queue_requests = 100,
     .queue_bytes = 1000000,
-    .retries = { .percent = 20, .most = 3, .per_second = 0.3 },
+    .retries = { .percent = 20, .max_tokens = 3, .tokens_per_second = 0.3 },
     .attempts = 3,
   };
   struct rng rng;
--- a/bench/floor_bench.c
+++ b/bench/floor_bench.c
@@ -8,7 +8,7 @@
 #include "base/xmalloc.h"
 #include "node/ejection/ejection_messages.h"
 #include "policy/floor/floor_owner.h"
-#include "policy/floor/ticket_ledger.h"
+#include "policy/floor/ticket_table.h"
 
 enum
 {
@@ -36,39 +36,39 @@
 static void
 measure_ledger (void)
 {
-  const struct ticket_ledger_options options = { .host = "host",
-                                                 .incarnation = SEED,
-                                                 .capacity = TICKETS,
-                                                 .lifetime_ms = LIFETIME_MS,
-                                                 .check = check };
-  struct ticket_ledger *ledger = ticket_ledger_create (&options);
+  const struct ticket_table_options options = { .host = "host",
+                                                .incarnation = SEED,
+                                                .capacity = TICKETS,
+                                                .lifetime_ms = LIFETIME_MS,
+                                                .mac = check };
+  struct ticket_table *ledger = ticket_table_create (&options);
   const double start = now_ns ();
   for (int i = 0; i < CLAIMS; i++)
     {
       struct ticket ticket;
       const int64_t now_ms = i / 50;
-      if (ticket_ledger_issue (ledger, now_ms, &ticket) != STATUS_OK)
+      if (ticket_table_issue (ledger, now_ms, &ticket) != STATUS_OK)
         continue;
-      ticket_ledger_claim (ledger, now_ms, &ticket);
-      ticket_ledger_finish (ledger, now_ms, ticket.sequence,
-                            TICKET_END_ANSWERED, 200);
+      ticket_table_claim (ledger, now_ms, &ticket);
+      ticket_table_finish (ledger, now_ms, ticket.sequence,
+                           TICKET_END_ANSWERED, 200);
     }
   printf ("figure ticket_issue_claim_finish_ns %.0f ns\n",
           (now_ns () - start) / CLAIMS);
-  ticket_ledger_destroy (ledger);
+  ticket_table_destroy (ledger);
 }
 
 static void
 make_owner_work (struct floor_owner *owner)
 {
-  floor_owner_candidate (owner, 0, true, UINT64_MAX);
-  floor_owner_next (owner, 0);
+  floor_owner_set_candidate (owner, 0, true, UINT64_MAX);
+  floor_owner_next_request (owner, 0);
   const struct floor_reply none = { .status = FLOOR_REPLY_NOT_FOUND };
-  floor_owner_replied (owner, 0, &none);
-  floor_owner_next (owner, 0);
+  floor_owner_handle_reply (owner, 0, &none);
+  floor_owner_next_request (owner, 0);
   const struct floor_reply written
       = { .status = FLOOR_REPLY_OK, .version = 1 };
-  floor_owner_replied (owner, 0, &written);
+  floor_owner_handle_reply (owner, 0, &written);
 }
 
 static void
@@ -92,7 +92,7 @@
       spec.targets[i].capacity = 4;
       spec.targets[i].active = true;
     }
-  floor_owner_spec (owner, 0, &spec);
+  floor_owner_set_spec (owner, 0, &spec);
   make_owner_work (owner);
   for (size_t i = 0; i < targets / 10; i++)
     floor_owner_eject (owner, 1, spec.targets[i].name, (uint32_t)i, false);
--- a/bench/load_bench.c
+++ b/bench/load_bench.c
@@ -47,7 +47,7 @@
     .seed = 7,
     .queue_requests = 50,
     .queue_bytes = 1000000,
-    .retries = { .percent = 20, .most = 3, .per_second = 0.3 },
+    .retries = { .percent = 20, .max_tokens = 3, .tokens_per_second = 0.3 },
     .attempts = 3,
   };
   struct policy_target targets[TARGETS];
--- a/bench/placement_bench.c
+++ b/bench/placement_bench.c
@@ -32,7 +32,8 @@
   for (uint64_t i = 0; i < SERVICES; i++)
     {
       host_set_choose (hash_pair (3, i), hosts, count,
-                       &(struct host_set_need){ .per_dc = PER_DC }, &choice);
+                       &(struct host_set_requirement){ .per_dc = PER_DC },
+                       &choice);
       chosen += choice.count;
     }
   const int64_t took_us = clock_now_us () - start_us;
--- a/node/bus.c
+++ b/node/bus.c
@@ -52,21 +52,21 @@
       free (message->host_set.hosts);
       break;
     case BUS_POISON_ANNOUNCED:
-    case BUS_POISON_HEARD:
+    case BUS_POISON_RECEIVED:
       free (message->poison.rows);
       break;
     case BUS_LIMITS_ANNOUNCED:
-    case BUS_LIMITS_HEARD:
+    case BUS_LIMITS_RECEIVED:
       free (message->limits.rows);
       break;
     case BUS_SERVICE_REMOVED:
     case BUS_SLOT_SHARES:
     case BUS_OUTCOME_SEEN:
-    case BUS_OUTCOME_HEARD:
+    case BUS_OUTCOME_RECEIVED:
     case BUS_MEMBERS:
     case BUS_FRESHNESS:
-    case BUS_FRESHNESS_WANTED:
-    case BUS_QUOTA_WANTED:
+    case BUS_FRESHNESS_REQUESTED:
+    case BUS_QUOTA_REQUESTED:
     case BUS_QUOTA_GRANTED:
     case BUS_SHUTDOWN:
     case BUS_TOPIC_COUNT:
--- a/node/bus.h
+++ b/node/bus.h
@@ -20,7 +20,7 @@
 #include "policy/choice/slot_shares.h"
 #include "policy/limit/limit_row.h"
 #include "policy/poison/poison_row.h"
-#include "policy/quota/quota_stock.h"
+#include "policy/quota/quota_cache.h"
 #include "policy/service_policy.h"
 #include "wire/fleet_config.h"
 #include "wire/service_spec.h"
@@ -35,17 +35,17 @@
   BUS_PATH_FAULTS,      /**< targets that this host should avoid changed */
   BUS_HOST_SET,         /**< the hosts to hand out for a service changed */
   BUS_OUTCOME_SEEN,     /**< an attempt of this host ended */
-  BUS_OUTCOME_HEARD,    /**< an attempt of another host ended */
+  BUS_OUTCOME_RECEIVED, /**< an attempt of another host ended */
   BUS_MEMBERS,          /**< what is believed of the other hosts changed */
   BUS_FRESHNESS,        /**< a proof that the configuration is the newest */
-  BUS_FRESHNESS_WANTED, /**< requests wait for such a proof */
-  BUS_QUOTA_WANTED,     /**< requests want tokens of a workspace */
-  BUS_QUOTA_GRANTED,    /**< a keeper's answer */
-  BUS_POISON_ANNOUNCED, /**< a change of poison requests, for other hosts */
-  BUS_POISON_HEARD,     /**< such a change from another host */
-  BUS_LIMITS_ANNOUNCED, /**< a change of targets' limits, for other hosts */
-  BUS_LIMITS_HEARD,     /**< such a change from another host */
-  BUS_SHUTDOWN,         /**< this host is leaving */
+  BUS_FRESHNESS_REQUESTED, /**< requests wait for such a proof */
+  BUS_QUOTA_REQUESTED,     /**< requests want tokens of a workspace */
+  BUS_QUOTA_GRANTED,       /**< a keeper's answer */
+  BUS_POISON_ANNOUNCED,    /**< a change of poison requests, for other hosts */
+  BUS_POISON_RECEIVED,     /**< such a change from another host */
+  BUS_LIMITS_ANNOUNCED,    /**< a change of targets' limits, for other hosts */
+  BUS_LIMITS_RECEIVED,     /**< such a change from another host */
+  BUS_SHUTDOWN,            /**< this host is leaving */
   BUS_TOPIC_COUNT
 };
 
--- a/node/caller/address_answer.c
+++ b/node/caller/address_answer.c
@@ -7,8 +7,8 @@
 #include <json-c/json.h>
 
 #include "base/xmalloc.h"
-#include "node/caller/address_choice.h"
-#include "node/caller/own_answer.h"
+#include "node/caller/address_selection.h"
+#include "node/caller/local_response.h"
 
 enum
 {
@@ -18,7 +18,8 @@
 };
 
 bool
-address_answer_asked (const struct caller_context *context, const char *uri)
+address_answer_matches_uri (const struct caller_context *context,
+                            const char *uri)
 {
   const char *path = context->interface->addresses_path;
   const size_t size = strlen (path);
@@ -28,10 +29,10 @@
 
 static enum MHD_Result
 refuse (struct caller_context *context, struct MHD_Connection *connection,
-        uint32_t status, const struct own_answer *own)
+        uint32_t status, const struct local_response *own)
 {
   struct MHD_Response *response
-      = own_answer_response (own, context->interface, context->leaving);
+      = local_response_create (own, context->interface, context->leaving);
   const enum MHD_Result result
       = MHD_queue_response (connection, status, response);
   MHD_destroy_response (response);
@@ -66,15 +67,16 @@
   const struct host_settings *settings = context->settings;
   struct address_entry entries[ADDRESSES_MAX];
   const struct bus_set_host *chosen[ADDRESSES_MAX];
-  struct address_choice_options options
-      = { .caller_dc = caller_dc, .turn = context->address_answers++ };
+  struct address_selection_options options
+      = { .caller_dc = caller_dc,
+          .rotation = context->address_answer_count++ };
   struct bus_set_host *usable
       = usable_hosts (context, service, &options.count);
   options.hosts = usable;
   struct address_list list
       = { .service = service->name,
           .entries = entries,
-          .count = address_choice_make (&options, chosen, ADDRESSES_MAX),
+          .count = address_selection_fill (&options, chosen, ADDRESSES_MAX),
           .keep_ms = host_settings_keep_answer_ms (settings) };
   for (size_t i = 0; i < list.count; i++)
     entries[i]
@@ -93,11 +95,11 @@
              const struct caller_service *service)
 {
   struct json_object *tickets = json_object_new_array ();
-  if (!service->has_unrepeatable || context->leaving)
+  if (!service->has_unrepeatable_route || context->leaving)
     return tickets;
   char text[TICKET_TEXT_SIZE];
   for (int i = 0; i < TICKETS_A_QUESTION; i++)
-    if (ticket_desk_issue (context->tickets, text) == STATUS_OK)
+    if (ticket_issuer_issue (context->tickets, text) == STATUS_OK)
       json_object_array_add (tickets, json_object_new_string (text));
   return tickets;
 }
@@ -133,11 +135,11 @@
 {
   const struct caller_interface *interface = context->interface;
   struct json_object *body = format_hosts (
-      context, service, argument (connection, interface->asked_dc));
+      context, service, argument (connection, interface->dc_parameter));
   if (body == NULL)
     {
-      const struct own_answer own
-          = { .outcome = ANSWER_NOT_RUN,
+      const struct local_response own
+          = { .outcome = REQUEST_OUTCOME_NOT_RUN,
               .reason = "no-host",
               .message = "no host can be handed out now: ask another host",
               .retry_after_ms = NO_HOST_RETRY_AFTER_MS };
@@ -158,8 +160,8 @@
                struct MHD_Connection *connection)
 {
   const struct caller_interface *interface = context->interface;
-  return argument (connection, interface->asked_service) != NULL
-         || argument (connection, interface->asked_host) != NULL;
+  return argument (connection, interface->service_parameter) != NULL
+         || argument (connection, interface->host_parameter) != NULL;
 }
 
 /* Any service will do for a host name that no route bears (yet): every host
@@ -169,13 +171,13 @@
                struct MHD_Connection *connection)
 {
   const struct caller_interface *interface = context->interface;
-  const char *name = argument (connection, interface->asked_service);
+  const char *name = argument (connection, interface->service_parameter);
   if (name != NULL)
     return caller_context_service (context, name);
-  const char *host = argument (connection, interface->asked_host);
+  const char *host = argument (connection, interface->host_parameter);
   if (host == NULL)
     return NULL;
-  name = route_table_service_of_host (context->routes, host);
+  name = route_table_find_service_by_host (context->routes, host);
   if (name == NULL && context->config != NULL
       && context->config->service_count > 0)
     name = context->config->services[0].name;
@@ -186,7 +188,7 @@
 address_answer_queue (struct caller_context *context,
                       struct MHD_Connection *connection, const char *method)
 {
-  struct own_answer own = { .outcome = ANSWER_NOT_RUN };
+  struct local_response own = { .outcome = REQUEST_OUTCOME_NOT_RUN };
   if (strcmp (method, "GET") != 0)
     {
       own.reason = "method";
@@ -199,8 +201,8 @@
       snprintf (own.message, sizeof own.message,
                 "name the service: ?%s=NAME, or the host of its requests: "
                 "?%s=NAME",
-                context->interface->asked_service,
-                context->interface->asked_host);
+                context->interface->service_parameter,
+                context->interface->host_parameter);
       return refuse (context, connection, MHD_HTTP_BAD_REQUEST, &own);
     }
   const struct caller_service *service = asked_service (context, connection);
@@ -208,8 +210,8 @@
     return answer (context, connection, service);
   if (context->settings->modes.has_registry && context->config == NULL)
     return refuse (context, connection, MHD_HTTP_SERVICE_UNAVAILABLE,
-                   &(struct own_answer){
-                       .outcome = ANSWER_NOT_RUN,
+                   &(struct local_response){
+                       .outcome = REQUEST_OUTCOME_NOT_RUN,
                        .reason = "no-settings",
                        .message = "this host doesn't know its settings yet: "
                                   "ask another host",
@@ -218,6 +220,7 @@
   snprintf (own.message, sizeof own.message,
             "no service in force at this host was named by ?%s=NAME or "
             "?%s=NAME: check the name or declare the service",
-            context->interface->asked_service, context->interface->asked_host);
+            context->interface->service_parameter,
+            context->interface->host_parameter);
   return refuse (context, connection, MHD_HTTP_NOT_FOUND, &own);
 }
--- a/node/caller/address_answer.h
+++ b/node/caller/address_answer.h
@@ -11,8 +11,8 @@
 #include "node/caller/caller_context.h"
 
 /** Is URI the question for addresses? */
-bool address_answer_asked (const struct caller_context *context,
-                           const char *uri);
+bool address_answer_matches_uri (const struct caller_context *context,
+                                 const char *uri);
 
 /** Answer the question on CONNECTION. */
 enum MHD_Result address_answer_queue (struct caller_context *context,
--- a/node/caller/address_choice.c
+++ b/node/caller/address_selection.c
@@ -1,4 +1,4 @@
-#include "node/caller/address_choice.h"
+#include "node/caller/address_selection.h"
 
 #include <stdbool.h>
 #include <string.h>
@@ -13,14 +13,14 @@
 };
 
 static bool
-is_near (const struct address_choice_options *options, size_t i)
+is_near (const struct address_selection_options *options, size_t i)
 {
   return options->caller_dc != NULL
          && strcmp (options->hosts[i].dc, options->caller_dc) == 0;
 }
 
 static size_t
-count_near (const struct address_choice_options *options)
+count_near (const struct address_selection_options *options)
 {
   size_t count = 0;
   for (size_t i = 0; i < options->count; i++)
@@ -30,13 +30,13 @@
 
 /* Add at most MOST hosts that are near, or that aren't. */
 static size_t
-add (const struct address_choice_options *options, bool near, size_t most,
+add (const struct address_selection_options *options, bool near, size_t most,
      const struct bus_set_host **chosen, size_t used, size_t max)
 {
   const size_t until = used + most < max ? used + most : max;
   for (size_t i = 0; i < options->count && used < until; i++)
     {
-      const size_t at = (options->turn + i) % options->count;
+      const size_t at = (options->rotation + i) % options->count;
       if (is_near (options, at) == near)
         chosen[used++] = &options->hosts[at];
     }
@@ -44,10 +44,10 @@
 }
 
 size_t
-address_choice_make (const struct address_choice_options *options,
-                     const struct bus_set_host **chosen, size_t max)
+address_selection_fill (const struct address_selection_options *options,
+                        const struct bus_set_host **chosen, size_t max)
 {
-  struct address_choice_options all = *options;
+  struct address_selection_options all = *options;
   if (count_near (options) < NEAR_LEAST)
     {
       all.caller_dc = NULL;
--- a/node/caller/address_choice.h
+++ b/node/caller/address_selection.h
@@ -7,26 +7,27 @@
  * to go while these are lost, until they ask again.  So a caller is told of
  * the near ones, and of one host of another data centre.
  */
-#ifndef NODE_CALLER_ADDRESS_CHOICE_H
-#define NODE_CALLER_ADDRESS_CHOICE_H
+#ifndef NODE_CALLER_ADDRESS_SELECTION_H
+#define NODE_CALLER_ADDRESS_SELECTION_H
 
 #include <stddef.h>
 
 #include "node/bus.h"
 
 /** The hosts to choose from, and for whom. */
-struct address_choice_options
+struct address_selection_options
 {
   const struct bus_set_host *hosts; /**< the set, without those that leave */
   size_t count;
   const char *caller_dc; /**< NULL: not told */
-  size_t turn; /**< counts answers, so that each begins with another host */
+  size_t
+      rotation; /**< counts answers, so that each begins with another host */
 };
 
 /** Fill CHOSEN, which has room for MAX, with hosts in the order to be told.
  * All hosts go out where the caller's data centre has too few.
  * @return how many */
-size_t address_choice_make (const struct address_choice_options *options,
-                            const struct bus_set_host **chosen, size_t max);
+size_t address_selection_fill (const struct address_selection_options *options,
+                               const struct bus_set_host **chosen, size_t max);
 
 #endif
--- a/node/caller/caller_context.h
+++ b/node/caller/caller_context.h
@@ -15,9 +15,9 @@
 #include "node/caller/decision_ring.h"
 #include "node/caller/hangup_watch.h"
 #include "node/caller/host_directory.h"
-#include "node/caller/quota_desk.h"
+#include "node/caller/quota_client.h"
 #include "node/caller/route_table.h"
-#include "node/caller/ticket_desk.h"
+#include "node/caller/ticket_issuer.h"
 #include "node/caller/workspace_table.h"
 #include "node/host_settings.h"
 #include "node/mhd_loop.h"
@@ -26,7 +26,7 @@
 
 struct crash_checks;
 struct exchange;
-struct poison_desk;
+struct poison_filter;
 
 struct caller_context
 {
@@ -41,27 +41,28 @@
   struct caller_service *services; /**< by name */
   /** Of the configuration in force, for keys. */
   struct freshness freshness;
-  int64_t proof_wanted_us; /**< since when a proof is waited for; 0: isn't */
-  struct quota_desk *quotas;
-  uint32_t awaiting; /**< requests that wait to be judged */
-  struct host_directory *directory;
-  struct ticket_desk *tickets;
+  int64_t
+      proof_wait_since_us; /**< since when a proof is waited for; 0: isn't */
+  struct quota_client *quotas;
+  uint32_t awaiting_count; /**< requests that wait to be judged */
+  struct host_directory *host_directory;
+  struct ticket_issuer *tickets;
   struct fleet_config *config; /**< in force; NULL: none, or none yet */
-  int64_t config_ms;           /**< when the first one came into force */
+  int64_t first_config_ms;     /**< when the first one came into force */
   struct workspace_table
       *workspaces; /**< of it; NULL: keys aren't asked for */
   struct caller_counters counters;
   struct decision_ring decisions;
   struct exchange *exchanges;          /**< all that are alive */
   char own_address[HOST_ADDRESS_SIZE]; /**< where callers reach this host */
-  size_t address_answers;              /**< given so far */
+  size_t address_answer_count;         /**< given so far */
   uint64_t last_request_id;
   int64_t started_us;
   uint32_t in_flight;
   struct crash_checks *crash_checks;
-  struct poison_desk *poison;
+  struct poison_filter *poison;
   struct caller_server *server; /**< callers are connected to it */
-  ev_timer limit_refresh;
+  ev_timer limit_refresh_timer;
   bool leaving;
   int64_t leaving_since_ms;
 };
--- a/node/caller/caller_interface.h
+++ b/node/caller/caller_interface.h
@@ -40,7 +40,7 @@
   bool targets_echo_request_id;
   /** Milliseconds for which the answer is waited for. */
   const char *deadline_ms;
-  /** In answers to callers: enum answer_outcome. */
+  /** In answers to callers: enum request_outcome. */
   const char *outcome;
   /** In a target's answer: it has not run the request. */
   const char *not_run;
@@ -48,7 +48,7 @@
   /** Borne by each success of a target; one without it isn't a target's. */
   const char *signature;
   /** To a target: the identity that the request is meant for. */
-  const char *meant_target;
+  const char *intended_target;
   /** To a target: the workspace that the request is of. */
   const char *workspace;
   /** In answers beside Retry-After: the same in milliseconds. */
@@ -56,7 +56,7 @@
   /** Retry-After may have decimals; else it is rounded up to seconds. */
   bool retry_after_has_decimals;
   /** Callers ask for bodies without coding, so a coded one is not whole. */
-  bool refuses_coding;
+  bool rejects_content_coding;
   /** In a target's answer: its limit on the requests a second from all hosts
    * together. */
   const char *target_limit;
@@ -65,9 +65,9 @@
 
   /** Path of the question for addresses, and names in its query. */
   const char *addresses_path;
-  const char *asked_service;
-  const char *asked_host; /**< the name that requests will bear */
-  const char *asked_dc;   /**< the caller's own data centre */
+  const char *service_parameter;
+  const char *host_parameter; /**< the name that requests will bear */
+  const char *dc_parameter;   /**< the caller's own data centre */
   /** Members of an address answer.
    * @return a new object */
   struct json_object *(*format_addresses) (const struct address_list *list);
--- a/node/caller/caller_rows.c
+++ b/node/caller/caller_rows.c
@@ -1,6 +1,6 @@
 #include "node/caller/caller_rows.h"
 
-#include "node/caller/poison_desk.h"
+#include "node/caller/poison_filter.h"
 #include "node/json_row.h"
 
 static const char *
@@ -19,8 +19,8 @@
 {
   const struct target_spec *target = &service->spec->targets[i];
   const struct caller_target *state = &service->targets[i];
-  const struct policy_belief belief
-      = service_policy_belief (service->policy, (uint32_t)i);
+  const struct policy_target_status belief
+      = service_policy_target_status (service->policy, (uint32_t)i);
   struct json_object *row = json_object_new_object ();
   json_row_text (row, "service", service->name);
   json_row_text (row, "target", target->name);
@@ -71,7 +71,7 @@
   json_row_number (row, "hosts", (int64_t)service->host_count);
   json_row_number (row, "slot_share_permille", service->share.permille);
   json_row_number (row, "queued", service_policy_queued (service->policy));
-  json_row_number (row, "in_use", service->users - 1);
+  json_row_number (row, "in_use", service->ref_count - 1);
   return row;
 }
 
@@ -105,7 +105,7 @@
 poison_rows (void *owner)
 {
   const struct caller_context *context = owner;
-  return poison_desk_rows (context->poison);
+  return poison_filter_rows (context->poison);
 }
 
 void
--- a/node/caller/caller_server.c
+++ b/node/caller/caller_server.c
@@ -45,16 +45,16 @@
 {
   /* With a directory address of its own every path is a request's. */
   if (x->context->settings->directory_address[0] == '\0'
-      && address_answer_asked (x->context, x->uri))
+      && address_answer_matches_uri (x->context, x->uri))
     {
-      x->state = EXCHANGE_OVER;
-      x->plain = true;
+      x->state = EXCHANGE_FINISHED;
+      x->is_unrouted = true;
       return address_answer_queue (x->context, connection, method);
     }
-  exchange_begin (x, method, version);
+  exchange_start (x, method, version);
   /* A caller that waits for leave to send its body is told at once. */
   size_t nothing = 0;
-  if (x->state == EXCHANGE_OWN && x->head.expects_continue)
+  if (x->state == EXCHANGE_LOCAL_RESPONSE && x->head.expects_continue)
     return exchange_on_request (x, NULL, &nothing);
   return MHD_YES;
 }
@@ -77,15 +77,16 @@
   struct exchange *x = *state;
   *state = NULL;
   if (x != NULL)
-    exchange_released (x, code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
+    exchange_request_completed (x,
+                                code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
 }
 
 static void
 on_gone (void *watched)
 {
   struct exchange *x = watched;
-  x->caller_gone = true;
-  exchange_kick (x);
+  x->caller_disconnected = true;
+  exchange_schedule_run (x);
 }
 
 static void
@@ -130,7 +131,7 @@
    and come again.  Others keep theirs without a request under way.  Closed
    with the answer, those become free in time. */
 bool
-caller_server_is_crowded (struct caller_server *server)
+caller_server_is_near_connection_limit (struct caller_server *server)
 {
   const union MHD_DaemonInfo *info = MHD_get_daemon_info (
       server->daemon, MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
@@ -204,15 +205,15 @@
   struct exchange *x;
   DL_FOREACH (context->exchanges, x)
   {
-    x->caller_gone = true;
-    exchange_wake_caller (x);
+    x->caller_disconnected = true;
+    exchange_resume_connection (x);
   }
   mhd_loop_destroy (context->mhd_loop);
   MHD_stop_daemon (server->daemon);
   struct exchange *next;
   DL_FOREACH_SAFE (context->exchanges, x, next)
   {
-    exchange_released (x, false);
+    exchange_request_completed (x, false);
   }
   hangup_watch_destroy (context->hangup);
   free (server);
--- a/node/caller/caller_server.h
+++ b/node/caller/caller_server.h
@@ -17,7 +17,7 @@
 struct caller_server *caller_server_create (struct caller_context *context);
 
 /** Are nearly all connections taken, so that answers should close theirs? */
-bool caller_server_is_crowded (struct caller_server *server);
+bool caller_server_is_near_connection_limit (struct caller_server *server);
 
 /** Close all connections; what is in flight is cut. */
 void caller_server_destroy (struct caller_server *server);
--- a/node/caller/caller_service.c
+++ b/node/caller/caller_service.c
@@ -34,7 +34,7 @@
         continue;
       HASH_DEL (service->waiters, waiter);
       waiter->waiting = false;
-      waiter->decided (waiter, &decision);
+      waiter->on_decision (waiter, &decision);
     }
   arm_wake (service);
 }
@@ -48,15 +48,15 @@
 static void
 arm_wake (struct caller_service *service)
 {
-  ev_timer_stop (service->loop, &service->wake);
+  ev_timer_stop (service->loop, &service->wake_timer);
   const int64_t wake_us = service_policy_wake_us (service->policy);
   if (wake_us == INT64_MAX)
     return;
   const int64_t left_us = wake_us - clock_now_us ();
   const double left = left_us > 0 ? (double)left_us / US_PER_SECOND : 0.;
   ev_now_update (service->loop);
-  ev_timer_set (&service->wake, left, 0.);
-  ev_timer_start (service->loop, &service->wake);
+  ev_timer_set (&service->wake_timer, left, 0.);
+  ev_timer_start (service->loop, &service->wake_timer);
 }
 
 /* Guards against a reserve that is spent more than once: hosts that are cut
@@ -86,35 +86,35 @@
   strncpy (service->own_dc, own_dc, sizeof service->own_dc - 1);
   service->own_key = hash_string (settings->name);
   service->seed = hash_pair (seed, hash_string (name));
-  service->users = 1;
+  service->ref_count = 1;
   service->retry = &settings->retry;
   service->prefers_own_dc = settings->modes.prefers_own_dc;
   service->used_percent = settings->retry.used_percent;
   note_fleet (service);
   service->recorder = detection_recorder_create ();
-  ev_timer_init (&service->wake, on_wake, 0., 0.);
-  service->wake.data = service;
+  ev_timer_init (&service->wake_timer, on_wake, 0., 0.);
+  service->wake_timer.data = service;
   return service;
 }
 
 void
-caller_service_use (struct caller_service *service)
+caller_service_ref (struct caller_service *service)
 {
-  service->users++;
+  service->ref_count++;
 }
 
 void
-caller_service_leave (struct caller_service *service)
+caller_service_unref (struct caller_service *service)
 {
-  if (--service->users > 0)
+  if (--service->ref_count > 0)
     return;
-  ev_timer_stop (service->loop, &service->wake);
+  ev_timer_stop (service->loop, &service->wake_timer);
   service_policy_destroy (service->policy);
   detection_recorder_destroy (service->recorder);
   service_spec_destroy (service->spec);
   free (service->targets);
   free (service->hosts);
-  free (service->placed_hosts);
+  free (service->rendezvous_hosts);
   free (service);
 }
 
@@ -122,7 +122,7 @@
 caller_service_remove (struct caller_service *service)
 {
   service->removed = true;
-  caller_service_leave (service);
+  caller_service_unref (service);
 }
 
 static struct service_policy_options
@@ -137,7 +137,7 @@
     .seed = service->seed,
     .queue_requests = limits->queue_requests,
     .queue_bytes = limits->queue_bytes,
-    .retries = retry_bound_of (&grant, &service->retry_fleet),
+    .retries = retry_limits_of_host (&grant, &service->retry_fleet),
     .used_percent = service->used_percent,
     .attempts = limits->attempts,
     .backup_cost_percent = service->prefers_own_dc ? BACKUP_COST_PERCENT : 0,
@@ -201,7 +201,7 @@
 }
 
 uint32_t
-caller_service_find (const struct caller_service *service, uint64_t key)
+caller_service_find_target (const struct caller_service *service, uint64_t key)
 {
   for (size_t i = 0; i < service->spec->target_count; i++)
     if (service->targets[i].key == key)
@@ -233,7 +233,7 @@
       const uint64_t key
           = hash_pair (service_hash, target_hash (&spec->targets[i]));
       const uint32_t before = service->spec != NULL
-                                  ? caller_service_find (service, key)
+                                  ? caller_service_find_target (service, key)
                                   : POLICY_NO_TARGET;
       if (before != POLICY_NO_TARGET)
         targets[i] = service->targets[before];
@@ -260,7 +260,7 @@
   free (service->targets);
   service->targets = targets;
   service->spec = service_spec_copy (spec);
-  service->has_unrepeatable = any_unrepeatable (spec);
+  service->has_unrepeatable_route = any_unrepeatable (spec);
   const struct service_policy_options options = policy_options (service);
   if (service->policy == NULL)
     service->policy = service_policy_create (&options);
@@ -278,7 +278,7 @@
   if (set->count > 0)
     memcpy (service->hosts, set->hosts, set->count * sizeof *service->hosts);
   service->host_count = set->count;
-  caller_share_place_hosts (service);
+  caller_share_update_hosts (service);
   service->in_set = set->self;
   service->fleet_count = set->fleet_count;
   note_fleet (service);
@@ -326,9 +326,9 @@
 static void
 note_demand (struct caller_service *service)
 {
-  demand_peak_note (&service->demand, clock_now_us (),
-                    service_policy_in_flight (service->policy)
-                        + service_policy_queued (service->policy));
+  demand_peak_add (&service->demand, clock_now_us (),
+                   service_policy_in_flight (service->policy)
+                       + service_policy_queued (service->policy));
 }
 
 static bool
@@ -387,7 +387,7 @@
 caller_service_set_leaving (struct caller_service *service, uint64_t key,
                             bool leaving)
 {
-  const uint32_t target = caller_service_find (service, key);
+  const uint32_t target = caller_service_find_target (service, key);
   if (target == POLICY_NO_TARGET
       || service->targets[target].leaving == leaving)
     return;
@@ -396,12 +396,12 @@
 }
 
 void
-caller_service_set_idle (struct caller_service *service, uint64_t key,
-                         uint32_t idle_ms)
+caller_service_set_idle_timeout (struct caller_service *service, uint64_t key,
+                                 uint32_t idle_ms)
 {
-  const uint32_t target = caller_service_find (service, key);
+  const uint32_t target = caller_service_find_target (service, key);
   if (target != POLICY_NO_TARGET)
-    service->targets[target].idle_ms = idle_ms;
+    service->targets[target].idle_timeout_ms = idle_ms;
 }
 
 struct policy_decision
@@ -423,20 +423,20 @@
 }
 
 void
-caller_service_forget (struct caller_service *service,
-                       struct caller_waiter *waiter)
+caller_service_cancel_wait (struct caller_service *service,
+                            struct caller_waiter *waiter)
 {
   if (!waiter->waiting)
     return;
   HASH_DEL (service->waiters, waiter);
   waiter->waiting = false;
-  service_policy_forget (service->policy, waiter->id);
+  service_policy_cancel_queued (service->policy, waiter->id);
 }
 
 void
-caller_service_outcome (struct caller_service *service, uint64_t key,
-                        enum attempt_end end, int64_t latency_us,
-                        bool repeatable)
+caller_service_record_outcome (struct caller_service *service, uint64_t key,
+                               enum attempt_end end, int64_t latency_us,
+                               bool repeatable)
 {
   detection_recorder_record (service->recorder, key, end, latency_us);
   const uint32_t target = service_policy_find (service->policy, key);
@@ -452,20 +452,21 @@
 }
 
 void
-caller_service_refused (struct caller_service *service)
+caller_service_record_refusal (struct caller_service *service)
 {
-  service_policy_refused (service->policy, clock_now_us ());
+  service_policy_note_refusal (service->policy, clock_now_us ());
 }
 
 void
-caller_service_hear (struct caller_service *service, uint64_t key,
-                     enum attempt_end end)
+caller_service_record_remote_outcome (struct caller_service *service,
+                                      uint64_t key, enum attempt_end end)
 {
   if (service->policy == NULL)
     return;
   const uint32_t target = service_policy_find (service->policy, key);
   if (target == POLICY_NO_TARGET)
     return;
-  service_policy_hear (service->policy, clock_now_us (), target, end);
+  service_policy_remote_outcome (service->policy, clock_now_us (), target,
+                                 end);
   run_queue (service);
 }
--- a/node/caller/caller_share.c
+++ b/node/caller/caller_share.c
@@ -17,13 +17,13 @@
 };
 
 void
-caller_share_place_hosts (struct caller_service *service)
+caller_share_update_hosts (struct caller_service *service)
 {
-  free (service->placed_hosts);
-  service->placed_hosts
-      = xcalloc (service->host_count + 1, sizeof *service->placed_hosts);
+  free (service->rendezvous_hosts);
+  service->rendezvous_hosts
+      = xcalloc (service->host_count + 1, sizeof *service->rendezvous_hosts);
   for (size_t i = 0; i < service->host_count; i++)
-    service->placed_hosts[i]
+    service->rendezvous_hosts[i]
         = (struct fleet_host){ .key = hash_string (service->hosts[i].name),
                                .dc = hash_string (service->hosts[i].dc),
                                .weight = 1 };
@@ -58,8 +58,8 @@
     return strcmp (target->dc, service->own_dc) != 0;
   const size_t owner
       = subset_owner (hash_string (target->name), hash_string (target->dc),
-                      service->placed_hosts, service->host_count);
-  return service->placed_hosts[owner].key != service->own_key;
+                      service->rendezvous_hosts, service->host_count);
+  return service->rendezvous_hosts[owner].key != service->own_key;
 }
 
 uint32_t
@@ -84,6 +84,6 @@
   if (state->limit.rate_millis == 0)
     return 0;
   return limit_share (state->limit.rate_millis, hash_string (target->name),
-                      service->own_key, service->placed_hosts,
+                      service->own_key, service->rendezvous_hosts,
                       service->host_count);
 }
--- a/node/caller/caller_share.h
+++ b/node/caller/caller_share.h
@@ -12,7 +12,7 @@
 
 /** Take note of the hosts of the set, among which the targets are divided: all
  * count alike, since callers come to all alike. */
-void caller_share_place_hosts (struct caller_service *service);
+void caller_share_update_hosts (struct caller_service *service);
 
 /** Is TARGET outside this host's subset?  A host that callers aren't sent to
  * has none, and goes by the data centre. */
--- a/node/caller/caller_task.c
+++ b/node/caller/caller_task.c
@@ -20,7 +20,7 @@
 #include "node/caller/exchange_access.h"
 #include "node/caller/exchange_quota.h"
 #include "node/caller/leaving_probe.h"
-#include "node/caller/poison_desk.h"
+#include "node/caller/poison_filter.h"
 #include "node/caller/target_limits.h"
 #include "node/plain_server.h"
 #include "node/tables.h"
@@ -43,7 +43,7 @@
   uint64_t seed;
   ev_timer leaving_check;
   int64_t leave_after_ms;
-  caller_task_done *done;
+  caller_task_left_callback *done;
   void *done_owner;
 };
 
@@ -80,7 +80,7 @@
 static void
 drop_entry (struct caller_context *context, struct caller_service *service)
 {
-  route_table_remove (context->routes, service->name);
+  route_table_remove_service (context->routes, service->name);
   HASH_DEL (context->services, service);
   caller_service_remove (service);
 }
@@ -94,7 +94,7 @@
   if (service->spec != NULL && spec->version < service->spec->version)
     return;
   caller_service_set_spec (service, spec);
-  route_table_set (task->context.routes, spec);
+  route_table_set_service (task->context.routes, spec);
 }
 
 static void
@@ -117,13 +117,14 @@
   const struct fleet_config *config = message->config_in_force.config;
   workspace_table_destroy (context->workspaces);
   if (context->config == NULL)
-    context->config_ms = clock_now_ms ();
+    context->first_config_ms = clock_now_ms ();
   fleet_config_destroy (context->config);
   context->config = fleet_config_copy (config);
   context->workspaces = workspace_table_create (context->config);
-  freshness_in_force (&context->freshness, context->config->version);
+  freshness_set_version_in_force (&context->freshness,
+                                  context->config->version);
   route_table_set_config (context->routes, config, task->seed);
-  exchange_resume_all (context, EXCHANGE_AWAITS_SETTINGS);
+  exchange_resume_all (context, EXCHANGE_WAIT_SETTINGS);
 }
 
 static void
@@ -131,8 +132,9 @@
 {
   struct caller_task *task = owner;
   const struct bus_quota *quota = &message->quota;
-  quota_desk_granted (task->context.quotas, quota->workspace, &quota->answer);
-  exchange_quota_granted (&task->context, quota->workspace);
+  quota_client_receive_grant (task->context.quotas, quota->workspace,
+                              &quota->answer);
+  exchange_quota_resume_all (&task->context, quota->workspace);
 }
 
 /* Requests that wait to be judged are looked at again. */
@@ -141,15 +143,15 @@
 {
   struct caller_task *task = owner;
   struct caller_context *context = &task->context;
-  freshness_prove (&context->freshness, &message->freshness);
-  exchange_access_proved (context);
+  freshness_add_proof (&context->freshness, &message->freshness);
+  exchange_access_resume_all (context);
 }
 
 static void
 on_poison_heard (void *owner, const struct bus_message *message)
 {
   struct caller_task *task = owner;
-  poison_desk_receive (task->context.poison, &message->poison);
+  poison_filter_receive (task->context.poison, &message->poison);
 }
 
 static void
@@ -164,7 +166,7 @@
 {
   struct caller_task *task = owner;
   const struct bus_host_set *set = &message->host_set;
-  host_directory_learn (task->context.directory, set);
+  host_directory_update (task->context.host_directory, set);
   caller_service_set_hosts (entry_of (task, set->service), set);
 }
 
@@ -195,7 +197,8 @@
   struct caller_service *service
       = find_entry (&task->context, outcome->service);
   if (service != NULL)
-    caller_service_hear (service, outcome->target_key, outcome->end);
+    caller_service_record_remote_outcome (service, outcome->target_key,
+                                          outcome->end);
 }
 
 static void
@@ -227,11 +230,11 @@
   bus_subscribe (task->bus, BUS_CONFIG_IN_FORCE, on_config, task);
   bus_subscribe (task->bus, BUS_FRESHNESS, on_freshness, task);
   bus_subscribe (task->bus, BUS_QUOTA_GRANTED, on_quota_granted, task);
-  bus_subscribe (task->bus, BUS_POISON_HEARD, on_poison_heard, task);
-  bus_subscribe (task->bus, BUS_LIMITS_HEARD, on_limits_heard, task);
+  bus_subscribe (task->bus, BUS_POISON_RECEIVED, on_poison_heard, task);
+  bus_subscribe (task->bus, BUS_LIMITS_RECEIVED, on_limits_heard, task);
   bus_subscribe (task->bus, BUS_HOST_SET, on_host_set, task);
   bus_subscribe (task->bus, BUS_EJECTIONS, on_ejections, task);
-  bus_subscribe (task->bus, BUS_OUTCOME_HEARD, on_outcome_heard, task);
+  bus_subscribe (task->bus, BUS_OUTCOME_RECEIVED, on_outcome_heard, task);
   bus_subscribe (task->bus, BUS_SLOT_SHARES, on_slot_shares, task);
   bus_subscribe (task->bus, BUS_PATH_FAULTS, on_path_faults, task);
 }
@@ -250,13 +253,13 @@
   context->curl = curl_loop_create (options->loop, &curl);
   context->routes = route_table_create ();
   freshness_init (&context->freshness);
-  context->quotas = quota_desk_create (options->bus);
-  context->directory = host_directory_create ();
+  context->quotas = quota_client_create (options->bus);
+  context->host_directory = host_directory_create ();
   context->tickets
-      = ticket_desk_create (options->settings->name, options->incarnation);
+      = ticket_issuer_create (options->settings->name, options->incarnation);
   caller_counters_init (&context->counters, options->counters);
   context->crash_checks = crash_checks_create (context);
-  context->poison = poison_desk_create (context);
+  context->poison = poison_filter_create (context);
   target_limits_start (context);
 }
 
@@ -265,7 +268,7 @@
                        const char *path, const char *method)
 {
   struct caller_task *task = owner;
-  if (address_answer_asked (&task->context, path))
+  if (address_answer_matches_uri (&task->context, path))
     return address_answer_queue (&task->context, connection, method);
   return plain_server_reply (connection, MHD_HTTP_NOT_FOUND, "text/plain",
                              "ask for addresses here\n");
@@ -331,7 +334,7 @@
   caller_server_destroy (task->context.server);
   curl_loop_destroy (context->curl);
   crash_checks_destroy (context->crash_checks);
-  poison_desk_destroy (context->poison);
+  poison_filter_destroy (context->poison);
   target_limits_stop (context);
   struct caller_service *service;
   struct caller_service *next;
@@ -339,10 +342,10 @@
   {
     drop_entry (context, service);
   }
-  ticket_desk_destroy (context->tickets);
-  host_directory_destroy (context->directory);
+  ticket_issuer_destroy (context->tickets);
+  host_directory_destroy (context->host_directory);
   route_table_destroy (context->routes);
-  quota_desk_destroy (context->quotas);
+  quota_client_destroy (context->quotas);
   workspace_table_destroy (context->workspaces);
   fleet_config_destroy (context->config);
   free (task);
@@ -355,8 +358,8 @@
 }
 
 void
-caller_task_begin_leaving (struct caller_task *task, caller_task_done *done,
-                           void *owner)
+caller_task_begin_leaving (struct caller_task *task,
+                           caller_task_left_callback *done, void *owner)
 {
   struct caller_context *context = &task->context;
   const struct host_settings *settings = context->settings;
@@ -376,7 +379,7 @@
 }
 
 void
-caller_task_give_up (struct caller_task *task)
+caller_task_answer_all_now (struct caller_task *task)
 {
   struct exchange *x;
   struct exchange *next;
@@ -384,7 +387,7 @@
   task->leave_after_ms = 0;
   DL_FOREACH_SAFE (task->context.exchanges, x, next)
   {
-    exchange_give_up (x);
+    exchange_abort_pending (x);
   }
 }
 
@@ -405,7 +408,8 @@
 {
   return context->config != NULL
          && (knows_targets (context)
-             || clock_now_ms () - context->config_ms >= TARGETS_AWAITED_MS);
+             || clock_now_ms () - context->first_config_ms
+                    >= TARGETS_AWAITED_MS);
 }
 
 bool
@@ -435,7 +439,7 @@
 caller_task_clear_poison (struct caller_task *task,
                           const struct fingerprint *fingerprint)
 {
-  return poison_desk_clear_manually (task->context.poison, fingerprint);
+  return poison_filter_clear_manually (task->context.poison, fingerprint);
 }
 
 uint32_t
--- a/node/caller/caller_task.h
+++ b/node/caller/caller_task.h
@@ -50,19 +50,19 @@
 /** IP:PORT where callers reach the task. */
 const char *caller_task_address (const struct caller_task *task);
 
-typedef void caller_task_done (void *owner);
+typedef void caller_task_left_callback (void *owner);
 
 /** Leave gracefully: address answers leave this host out, answers close their
  * connections, and requests are served until the longest kept address answer
  * is over and nothing is in flight.  Then DONE is called, once. */
 void caller_task_begin_leaving (struct caller_task *task,
-                                caller_task_done *done, void *owner);
+                                caller_task_left_callback *done, void *owner);
 
 /** The time to leave is over: answer all that waits for a target or for its
  * answer at once, with what is truly known, so that no caller is left with a
  * broken connection.  DONE of caller_task_begin_leaving() follows when those
  * answers, and the ones that were under way, are written. */
-void caller_task_give_up (struct caller_task *task);
+void caller_task_answer_all_now (struct caller_task *task);
 
 /** Does it take work: is what it routes by in force, and isn't it leaving? */
 bool caller_task_is_ready (const struct caller_task *task);
--- a/node/caller/crash_check.c
+++ b/node/caller/crash_check.c
@@ -11,7 +11,7 @@
 #include "base/log.h"
 #include "base/xmalloc.h"
 #include "node/caller/exchange_fingerprint.h"
-#include "node/caller/poison_desk.h"
+#include "node/caller/poison_filter.h"
 #include "node/ejection/target_probe.h"
 
 enum
@@ -96,8 +96,8 @@
                 LOG_STR ("fingerprint", fingerprint),
                 LOG_INT ("under_way_here", check->request_count),
                 LOG_INT ("checked_us", clock_now_us () - check->begun_us));
-      poison_desk_add_crash (check->checks->context->poison, check->service,
-                             &check->requests[i]);
+      poison_filter_add_crash (check->checks->context->poison, check->service,
+                               &check->requests[i]);
     }
 }
 
@@ -145,7 +145,8 @@
   DL_SEARCH_SCALAR (checks->list, check, key, x->attempt.key);
   if (check != NULL)
     return check;
-  const uint32_t number = caller_service_find (x->service, x->attempt.key);
+  const uint32_t number
+      = caller_service_find_target (x->service, x->attempt.key);
   if (number == POLICY_NO_TARGET || checks->count == CONCURRENT_CHECKS_MAX)
     return NULL;
   check = xcalloc (1, sizeof *check);
@@ -180,6 +181,6 @@
   check->requests[check->request_count++]
       = (struct poison_crash){ .fingerprint = fingerprint,
                                .target = check->key,
-                               .began_ms = x->attempt.started_us / US_PER_MS,
+                               .sent_ms = x->attempt.started_us / US_PER_MS,
                                .crashed_ms = clock_now_ms () };
 }
--- a/node/caller/decision_note.c
+++ b/node/caller/decision_log.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "caller"
 
-#include "node/caller/decision_note.h"
+#include "node/caller/decision_log.h"
 
 #include <stdio.h>
 
@@ -12,15 +12,15 @@
       const char *why)
 {
   struct decision *kept = decision_ring_add (&x->context->decisions);
-  const uint32_t attempt = x->attempts + 1;
-  kept->at_ms = clock_now_ms ();
+  const uint32_t attempt = x->attempt_count + 1;
+  kept->time_ms = clock_now_ms ();
   kept->request_id = x->id;
   kept->attempt = attempt;
   snprintf (kept->service, sizeof kept->service, "%s", x->service->name);
   snprintf (kept->route, sizeof kept->route, "%s", x->route);
   snprintf (kept->target, sizeof kept->target, "%s", target);
   snprintf (kept->verdict, sizeof kept->verdict, "%s", verdict);
-  snprintf (kept->why, sizeof kept->why, "%s", why);
+  snprintf (kept->reason, sizeof kept->reason, "%s", why);
   const char *service = x->service->name;
   const char *route = x->route;
   const char *id = x->head.id;
@@ -32,7 +32,7 @@
 }
 
 void
-decision_note (struct exchange *x, const struct policy_decision *decision)
+decision_log (struct exchange *x, const struct policy_decision *decision)
 {
   static const char *const verdicts[] = { [POLICY_SEND] = "send",
                                           [POLICY_QUEUE] = "queue",
@@ -45,14 +45,14 @@
 }
 
 void
-decision_note_relay (struct exchange *x, const char *host)
+decision_log_relay (struct exchange *x, const char *host)
 {
   note (x, "relay", host, "ticket-of-that-host");
 }
 
 void
-decision_note_failure_passed (const struct exchange *x,
-                              const struct policy_decision *decision)
+decision_log_failure_forwarded (const struct exchange *x,
+                                const struct policy_decision *decision)
 {
   const char *service = x->service->name;
   const char *route = x->route;
@@ -60,6 +60,6 @@
   const char *why = policy_reason_name (decision->reason);
   LOG_INFO ("failure-passed-on", LOG_STR ("id", id),
             LOG_STR ("service", service), LOG_STR ("route", route),
-            LOG_INT ("request", x->id), LOG_INT ("attempts", x->attempts),
+            LOG_INT ("request", x->id), LOG_INT ("attempts", x->attempt_count),
             LOG_STR ("why", why));
 }
--- a/node/caller/decision_ring.c
+++ b/node/caller/decision_ring.c
@@ -9,8 +9,8 @@
 decision_ring_add (struct decision_ring *ring)
 {
   struct decision *decision
-      = &ring->decisions[ring->count % DECISION_RING_SIZE];
-  ring->count++;
+      = &ring->decisions[ring->total_count % DECISION_RING_SIZE];
+  ring->total_count++;
   memset (decision, 0, sizeof *decision);
   return decision;
 }
@@ -19,14 +19,14 @@
 decision_row (const struct decision *decision, int64_t now_ms)
 {
   struct json_object *row = json_object_new_object ();
-  json_row_number (row, "age_ms", now_ms - decision->at_ms);
+  json_row_number (row, "age_ms", now_ms - decision->time_ms);
   json_row_text (row, "service", decision->service);
   json_row_text (row, "route", decision->route);
   json_row_number (row, "request", (int64_t)decision->request_id);
   json_row_number (row, "attempt", decision->attempt);
   json_row_text (row, "verdict", decision->verdict);
   json_row_text (row, "target", decision->target);
-  json_row_text (row, "why", decision->why);
+  json_row_text (row, "why", decision->reason);
   return row;
 }
 
@@ -35,11 +35,12 @@
 {
   struct json_object *rows = json_object_new_array ();
   const int64_t now_ms = clock_now_ms ();
-  const uint64_t kept
-      = ring->count < DECISION_RING_SIZE ? ring->count : DECISION_RING_SIZE;
+  const uint64_t kept = ring->total_count < DECISION_RING_SIZE
+                            ? ring->total_count
+                            : DECISION_RING_SIZE;
   for (uint64_t i = 1; i <= kept; i++)
     {
-      const uint64_t place = (ring->count - i) % DECISION_RING_SIZE;
+      const uint64_t place = (ring->total_count - i) % DECISION_RING_SIZE;
       json_object_array_add (rows,
                              decision_row (&ring->decisions[place], now_ms));
     }
--- a/node/caller/decision_ring.h
+++ b/node/caller/decision_ring.h
@@ -13,26 +13,26 @@
 enum
 {
   DECISION_RING_SIZE = 256,
-  DECISION_WHY_SIZE = 32
+  DECISION_REASON_SIZE = 32
 };
 
 /** One decision. */
 struct decision
 {
-  int64_t at_ms; /**< since boot */
+  int64_t time_ms; /**< since boot */
   uint64_t request_id;
   uint32_t attempt;
   char service[SERVICE_NAME_SIZE];
   char route[SERVICE_NAME_SIZE];  /**< its prefix, cut to fit */
   char target[SERVICE_NAME_SIZE]; /**< "" when none was chosen */
-  char verdict[DECISION_WHY_SIZE];
-  char why[DECISION_WHY_SIZE];
+  char verdict[DECISION_REASON_SIZE];
+  char reason[DECISION_REASON_SIZE];
 };
 
 struct decision_ring
 {
   struct decision decisions[DECISION_RING_SIZE];
-  uint64_t count; /**< ever noted */
+  uint64_t total_count; /**< ever noted */
 };
 
 /** A blank entry in place of the oldest. */
--- a/node/caller/exchange.c
+++ b/node/caller/exchange.c
@@ -57,13 +57,13 @@
   x->fd = connection_fd (connection);
   x->uri = xstrdup (uri);
   x->id = ++context->last_request_id;
-  x->waiter.decided = on_decided;
+  x->waiter.on_decision = on_decided;
   stream_buffer_init (&x->upload, capacity, true);
-  stream_buffer_init (&x->answer, capacity, false);
+  stream_buffer_init (&x->response_body, capacity, false);
   ev_timer_init (&x->timer, on_timer, 0., 0.);
   x->timer.data = x;
-  ev_prepare_init (&x->kick, on_kick);
-  x->kick.data = x;
+  ev_prepare_init (&x->run_watcher, on_kick);
+  x->run_watcher.data = x;
   DL_APPEND (context->exchanges, x);
   return x;
 }
@@ -72,9 +72,9 @@
 count_in_flight (struct exchange *x, bool counted)
 {
   struct caller_context *context = x->context;
-  if (x->counted == counted)
+  if (x->in_flight_counted == counted)
     return;
-  x->counted = counted;
+  x->in_flight_counted = counted;
   if (counted)
     context->in_flight++;
   else
@@ -83,9 +83,9 @@
 }
 
 void
-exchange_count (struct exchange *x)
+exchange_count_in_flight (struct exchange *x)
 {
-  x->begun_us = clock_now_us ();
+  x->started_us = clock_now_us ();
   count_in_flight (x, true);
 }
 
@@ -98,40 +98,40 @@
 static void
 count_end (const struct exchange *x)
 {
-  if (!x->counted || x->plain)
+  if (!x->in_flight_counted || x->is_unrouted)
     return;
   const char *outcome = "abandoned";
-  if (x->answer_cut)
+  if (x->response_truncated)
     outcome = "cut";
-  else if (x->state == EXCHANGE_ANSWERING)
-    outcome = answer_outcome_name (ANSWER_RAN);
-  else if (x->state == EXCHANGE_OWN)
-    outcome = answer_outcome_name (x->own.outcome);
+  else if (x->state == EXCHANGE_FORWARDING)
+    outcome = request_outcome_name (REQUEST_OUTCOME_RAN);
+  else if (x->state == EXCHANGE_LOCAL_RESPONSE)
+    outcome = request_outcome_name (x->local_response.outcome);
   const struct caller_counters *counters = &x->context->counters;
   caller_counters_add (counters->requests, service_name (x), outcome);
   caller_counters_observe (counters->request_times, service_name (x), outcome,
-                           clock_now_us () - x->begun_us);
+                           clock_now_us () - x->started_us);
 }
 
 void
-exchange_await (struct exchange *x, enum exchange_awaits what,
-                int64_t limit_us)
+exchange_wait_for (struct exchange *x, enum exchange_wait what,
+                   int64_t limit_us)
 {
   const int64_t left_us = x->deadline_us - clock_now_us ();
-  x->awaits = what;
-  x->context->awaiting++;
-  exchange_arm (x, limit_us < left_us ? limit_us : left_us);
+  x->waits_for = what;
+  x->context->awaiting_count++;
+  exchange_set_timer (x, limit_us < left_us ? limit_us : left_us);
 }
 
 static void
 await_no_more (struct exchange *x)
 {
-  if (x->awaits == EXCHANGE_AWAITS_NOTHING)
+  if (x->waits_for == EXCHANGE_WAIT_NONE)
     return;
-  if (x->awaits == EXCHANGE_AWAITS_TOKEN)
-    quota_desk_leave (x->context->quotas, x->workspace_key);
-  x->awaits = EXCHANGE_AWAITS_NOTHING;
-  x->context->awaiting--;
+  if (x->waits_for == EXCHANGE_WAIT_TOKEN)
+    quota_client_cancel_wait (x->context->quotas, x->workspace_key);
+  x->waits_for = EXCHANGE_WAIT_NONE;
+  x->context->awaiting_count--;
 }
 
 static void
@@ -140,13 +140,13 @@
   struct caller_context *context = x->context;
   await_no_more (x);
   ev_timer_stop (context->loop, &x->timer);
-  ev_clear_pending (context->loop, &x->kick);
+  ev_clear_pending (context->loop, &x->run_watcher);
   if (x->service != NULL)
-    caller_service_leave (x->service);
+    caller_service_unref (x->service);
   DL_DELETE (context->exchanges, x);
   count_in_flight (x, false);
   stream_buffer_release (&x->upload);
-  stream_buffer_release (&x->answer);
+  stream_buffer_release (&x->response_body);
   body_prefix_release (&x->body_prefix);
   header_list_release (&x->attempt.headers);
   request_head_release (&x->head);
@@ -155,16 +155,16 @@
 }
 
 void
-exchange_kick (struct exchange *x)
+exchange_schedule_run (struct exchange *x)
 {
-  if (x->kicked)
+  if (x->run_scheduled)
     return;
-  x->kicked = true;
-  ev_feed_event (x->context->loop, &x->kick, EV_CUSTOM);
+  x->run_scheduled = true;
+  ev_feed_event (x->context->loop, &x->run_watcher, EV_CUSTOM);
 }
 
 void
-exchange_arm (struct exchange *x, int64_t after_us)
+exchange_set_timer (struct exchange *x, int64_t after_us)
 {
   struct ev_loop *loop = x->context->loop;
   ev_timer_stop (loop, &x->timer);
@@ -178,31 +178,31 @@
 exchange_resume (struct exchange *x)
 {
   await_no_more (x);
-  exchange_arm (x, x->deadline_us - clock_now_us ());
-  exchange_begin_again (x);
+  exchange_set_timer (x, x->deadline_us - clock_now_us ());
+  exchange_check_and_admit (x);
 }
 
 void
-exchange_resume_all (struct caller_context *context, enum exchange_awaits what)
+exchange_resume_all (struct caller_context *context, enum exchange_wait what)
 {
   struct exchange *x;
   struct exchange *next;
-  if (context->awaiting == 0)
+  if (context->awaiting_count == 0)
     return;
   DL_FOREACH_SAFE (context->exchanges, x, next)
   {
-    if (x->awaits == what)
+    if (x->waits_for == what)
       exchange_resume (x);
   }
 }
 
 void
-exchange_abandon (struct exchange *x)
+exchange_cancel (struct exchange *x)
 {
   await_no_more (x);
   if (x->service != NULL)
-    caller_service_forget (x->service, &x->waiter);
-  exchange_drop_attempt (x, ATTEMPT_CANCELLED);
+    caller_service_cancel_wait (x->service, &x->waiter);
+  exchange_cancel_attempt (x, ATTEMPT_CANCELLED);
   exchange_ticket_finish (x);
 }
 
@@ -224,29 +224,31 @@
 note_refusal (const struct exchange *x)
 {
   const struct fleet_config *config = x->context->config;
-  LOG_WARN ("refused", LOG_STR ("id", x->head.id), LOG_INT ("request", x->id),
-            LOG_STR ("service", service_name (x)), LOG_STR ("route", x->route),
-            LOG_STR ("workspace", x->workspace),
-            LOG_INT ("config_version", config != NULL ? config->version : 0),
-            LOG_INT ("status", x->own.status),
-            LOG_STR ("outcome", answer_outcome_name (x->own.outcome)),
-            LOG_STR ("reason", x->own.reason),
-            LOG_INT ("retry_after_ms", x->own.retry_after_ms),
-            LOG_INT ("attempts", x->attempts));
+  LOG_WARN (
+      "refused", LOG_STR ("id", x->head.id), LOG_INT ("request", x->id),
+      LOG_STR ("service", service_name (x)), LOG_STR ("route", x->route),
+      LOG_STR ("workspace", x->workspace),
+      LOG_INT ("config_version", config != NULL ? config->version : 0),
+      LOG_INT ("status", x->local_response.status),
+      LOG_STR ("outcome", request_outcome_name (x->local_response.outcome)),
+      LOG_STR ("reason", x->local_response.reason),
+      LOG_INT ("retry_after_ms", x->local_response.retry_after_ms),
+      LOG_INT ("attempts", x->attempt_count));
 }
 
 void
-exchange_answer_own (struct exchange *x, const struct own_answer *own)
+exchange_respond_locally (struct exchange *x, const struct local_response *own)
 {
   if (x->service != NULL)
-    caller_service_forget (x->service, &x->waiter);
+    caller_service_cancel_wait (x->service, &x->waiter);
   await_no_more (x);
-  if (own->outcome == ANSWER_NOT_RUN)
-    exchange_quota_return (x);
-  x->own = *own;
-  if (x->own.outcome == ANSWER_UNKNOWN && is_promise (own->status))
-    x->own.status = MHD_HTTP_BAD_GATEWAY;
-  x->state = EXCHANGE_OWN;
+  if (own->outcome == REQUEST_OUTCOME_NOT_RUN)
+    exchange_quota_refund (x);
+  x->local_response = *own;
+  if (x->local_response.outcome == REQUEST_OUTCOME_UNKNOWN
+      && is_promise (own->status))
+    x->local_response.status = MHD_HTTP_BAD_GATEWAY;
+  x->state = EXCHANGE_LOCAL_RESPONSE;
   note_refusal (x);
   caller_counters_add (x->context->counters.refusals, service_name (x),
                        own->reason);
@@ -254,30 +256,30 @@
   /* Gives the library a moment to read the rest of the body, so that it can
      answer and keep the connection. */
   if (!x->upload_complete)
-    exchange_arm (x, RAW_ANSWER_AFTER_US);
+    exchange_set_timer (x, RAW_ANSWER_AFTER_US);
   else
     ev_timer_stop (x->context->loop, &x->timer);
-  exchange_kick (x);
+  exchange_schedule_run (x);
 }
 
 void
 exchange_refuse (struct exchange *x, uint32_t status, const char *reason,
                  uint32_t retry_after_ms, const char *message)
 {
-  struct own_answer own = { .status = status,
-                            .outcome = ANSWER_NOT_RUN,
-                            .reason = reason,
-                            .retry_after_ms = retry_after_ms };
+  struct local_response own = { .status = status,
+                                .outcome = REQUEST_OUTCOME_NOT_RUN,
+                                .reason = reason,
+                                .retry_after_ms = retry_after_ms };
   snprintf (own.message, sizeof own.message, "%s", message);
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 void
-exchange_answer_target (struct exchange *x)
+exchange_forward_response (struct exchange *x)
 {
-  x->state = EXCHANGE_ANSWERING;
-  x->progress_us = clock_now_us ();
-  exchange_kick (x);
+  x->state = EXCHANGE_FORWARDING;
+  x->last_progress_us = clock_now_us ();
+  exchange_schedule_run (x);
 }
 
 static void
@@ -286,13 +288,13 @@
 {
   /* The waiter is the first member. */
   struct exchange *x = (struct exchange *)waiter;
-  exchange_decided (x, decision);
+  exchange_apply_decision (x, decision);
 }
 
-enum answer_outcome
+enum request_outcome
 exchange_outcome (const struct exchange *x)
 {
-  return x->perhaps_ran ? ANSWER_UNKNOWN : ANSWER_NOT_RUN;
+  return x->may_have_run ? REQUEST_OUTCOME_UNKNOWN : REQUEST_OUTCOME_NOT_RUN;
 }
 
 /* The caller has gone before its answer: whoever looks for the request
@@ -300,35 +302,36 @@
 static void
 note_abandoned (const struct exchange *x)
 {
-  static const char *const stages[] = { [EXCHANGE_NEW] = "begun",
-                                        [EXCHANGE_WAITING] = "waiting",
-                                        [EXCHANGE_SENT] = "sent",
-                                        [EXCHANGE_ANSWERING] = "answering",
-                                        [EXCHANGE_OWN] = "answered-by-host",
-                                        [EXCHANGE_OVER] = NULL };
+  static const char *const stages[]
+      = { [EXCHANGE_NEW] = "begun",
+          [EXCHANGE_WAITING] = "waiting",
+          [EXCHANGE_SENT] = "sent",
+          [EXCHANGE_FORWARDING] = "answering",
+          [EXCHANGE_LOCAL_RESPONSE] = "answered-by-host",
+          [EXCHANGE_FINISHED] = NULL };
   const char *stage = stages[x->state];
   if (stage == NULL)
     return;
   LOG_WARN ("abandoned", LOG_STR ("id", x->head.id),
             LOG_INT ("request", x->id), LOG_STR ("service", service_name (x)),
             LOG_STR ("route", x->route), LOG_STR ("stage", stage),
-            LOG_INT ("attempts", x->attempts));
+            LOG_INT ("attempts", x->attempt_count));
 }
 
 void
-exchange_released (struct exchange *x, bool ok)
+exchange_request_completed (struct exchange *x, bool ok)
 {
-  if (x->watched)
+  if (x->hangup_watched)
     hangup_watch_remove (x->context->hangup, x->fd);
-  x->watched = false;
+  x->hangup_watched = false;
   x->connection = NULL;
   /* All of the answer is written, but libcurl hasn't told its end yet: to
      give the attempt up now would take a good one for a cancelled one. */
-  if (ok && x->state == EXCHANGE_ANSWERING && x->attempt.call != NULL)
+  if (ok && x->state == EXCHANGE_FORWARDING && x->attempt.call != NULL)
     return;
   if (!ok)
     note_abandoned (x);
-  exchange_abandon (x);
+  exchange_cancel (x);
   count_end (x);
   exchange_destroy (x);
 }
@@ -337,10 +340,10 @@
 caller_went_away (struct exchange *x)
 {
   note_abandoned (x);
-  exchange_abandon (x);
-  x->answer_cut = true;
-  if (x->state != EXCHANGE_ANSWERING)
-    x->state = EXCHANGE_OVER;
+  exchange_cancel (x);
+  x->response_truncated = true;
+  if (x->state != EXCHANGE_FORWARDING)
+    x->state = EXCHANGE_FINISHED;
 }
 
 /* Do what follows from the state; see the header's comment. */
@@ -355,22 +358,22 @@
       exchange_destroy (x);
       return;
     }
-  if (x->caller_gone && x->state != EXCHANGE_OVER)
+  if (x->caller_disconnected && x->state != EXCHANGE_FINISHED)
     caller_went_away (x);
   if (exchange_poison_is_ready (x))
     exchange_resume (x);
-  if (x->state == EXCHANGE_SENT && x->attempt.head_seen)
-    exchange_judge (x);
+  if (x->state == EXCHANGE_SENT && x->attempt.head_received)
+    exchange_evaluate_response (x);
   if (x->attempt.call != NULL)
-    exchange_go_on (x);
-  exchange_wake_caller (x);
+    exchange_unpause_attempt (x);
+  exchange_resume_connection (x);
 }
 
 static void
 on_kick (struct ev_loop *loop, ev_prepare *kick, int events)
 {
   struct exchange *x = kick->data;
-  x->kicked = false;
+  x->run_scheduled = false;
   exchange_pump (x);
 }
 
@@ -380,20 +383,20 @@
                 uint32_t retry_after_ms)
 {
   const bool sent
-      = x->attempt.call != NULL && target_call_perhaps_sent (x->attempt.call);
-  exchange_drop_attempt (x, sent ? ATTEMPT_TIMED_OUT : ATTEMPT_NOT_SENT);
-  struct own_answer own
+      = x->attempt.call != NULL && target_call_may_have_sent (x->attempt.call);
+  exchange_cancel_attempt (x, sent ? ATTEMPT_TIMED_OUT : ATTEMPT_NOT_SENT);
+  struct local_response own
       = { .status = status,
           .outcome = exchange_outcome (x),
           .reason = reason,
-          .retry_after_ms = x->perhaps_ran ? 0 : retry_after_ms };
+          .retry_after_ms = x->may_have_run ? 0 : retry_after_ms };
   snprintf (own.message, sizeof own.message, "%s",
-            x->perhaps_ran
+            x->may_have_run
                 ? "no target's answer came in time: find out whether the "
                   "request has run before sending it again"
                 : "no target took the request in time: send it again later "
                   "or with more time");
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 /* The caller may have time left after the route's timeout. */
@@ -401,8 +404,8 @@
 deadline_passed (struct exchange *x)
 {
   const bool sent
-      = x->attempt.call != NULL && target_call_perhaps_sent (x->attempt.call);
-  const bool may_come_back = x->bounded_by_route && !sent && !x->perhaps_ran;
+      = x->attempt.call != NULL && target_call_may_have_sent (x->attempt.call);
+  const bool may_come_back = x->has_route_timeout && !sent && !x->may_have_run;
   end_unanswered (x,
                   may_come_back ? MHD_HTTP_SERVICE_UNAVAILABLE
                                 : MHD_HTTP_GATEWAY_TIMEOUT,
@@ -410,7 +413,7 @@
 }
 
 void
-exchange_give_up (struct exchange *x)
+exchange_abort_pending (struct exchange *x)
 {
   if (x->state == EXCHANGE_WAITING || x->state == EXCHANGE_SENT)
     end_unanswered (x, MHD_HTTP_SERVICE_UNAVAILABLE, "host-stops",
@@ -424,32 +427,32 @@
 {
   const int64_t most_us
       = (int64_t)x->service->spec->limits.timeout_ms * US_PER_MS;
-  const bool stalled = stream_buffer_waiting (&x->answer) == 0
-                       && clock_now_us () - x->progress_us >= most_us;
+  const bool stalled = stream_buffer_pending_bytes (&x->response_body) == 0
+                       && clock_now_us () - x->last_progress_us >= most_us;
   if (!stalled)
     {
-      exchange_arm (x, most_us);
+      exchange_set_timer (x, most_us);
       return;
     }
-  exchange_drop_attempt (x, ATTEMPT_TIMED_OUT);
-  x->answer_cut = true;
-  exchange_kick (x);
+  exchange_cancel_attempt (x, ATTEMPT_TIMED_OUT);
+  x->response_truncated = true;
+  exchange_schedule_run (x);
 }
 
 static void
 raw_answer_due (struct exchange *x)
 {
-  if (x->answered_raw)
+  if (x->raw_response_sent)
     {
-      x->caller_gone = true;
+      x->caller_disconnected = true;
       shutdown (x->fd, SHUT_RDWR);
-      exchange_kick (x);
+      exchange_schedule_run (x);
       return;
     }
   if (x->upload_complete || x->connection == NULL)
     return;
-  exchange_answer_raw (x);
-  exchange_arm (x, RAW_CLOSE_AFTER_US);
+  exchange_send_raw_response (x);
+  exchange_set_timer (x, RAW_CLOSE_AFTER_US);
 }
 
 static void
@@ -460,27 +463,27 @@
   switch (x->state)
     {
     case EXCHANGE_WAITING:
-      if (x->awaits != EXCHANGE_AWAITS_NOTHING)
+      if (x->waits_for != EXCHANGE_WAIT_NONE)
         exchange_resume (x);
       else if (left_us > 0)
-        exchange_arm (x, left_us);
+        exchange_set_timer (x, left_us);
       else
         deadline_passed (x);
       break;
     case EXCHANGE_SENT:
       if (left_us > 0)
-        exchange_timeout_due (x);
+        exchange_timeout_check (x);
       else
         deadline_passed (x);
       break;
-    case EXCHANGE_ANSWERING:
+    case EXCHANGE_FORWARDING:
       check_progress (x);
       break;
-    case EXCHANGE_OWN:
+    case EXCHANGE_LOCAL_RESPONSE:
       raw_answer_due (x);
       break;
     case EXCHANGE_NEW:
-    case EXCHANGE_OVER:
+    case EXCHANGE_FINISHED:
       break;
     }
 }
--- a/node/caller/exchange.h
+++ b/node/caller/exchange.h
@@ -25,29 +25,29 @@
 #include "node/caller/body_prefix.h"
 #include "node/caller/caller_context.h"
 #include "node/caller/caller_service.h"
-#include "node/caller/own_answer.h"
+#include "node/caller/local_response.h"
 #include "node/caller/request_head.h"
 #include "node/caller/stream_buffer.h"
 #include "node/caller/target_call.h"
 
 enum exchange_state
 {
-  EXCHANGE_NEW,       /**< its head was not looked at yet */
-  EXCHANGE_WAITING,   /**< for the policy to name a target */
-  EXCHANGE_SENT,      /**< an attempt is under way, no answer chosen */
-  EXCHANGE_ANSWERING, /**< a target's answer is chosen */
-  EXCHANGE_OWN,       /**< an answer of the fleet's own is chosen */
-  EXCHANGE_OVER       /**< nothing more happens but its release */
+  EXCHANGE_NEW,            /**< its head was not looked at yet */
+  EXCHANGE_WAITING,        /**< for the policy to name a target */
+  EXCHANGE_SENT,           /**< an attempt is under way, no answer chosen */
+  EXCHANGE_FORWARDING,     /**< a target's answer is chosen */
+  EXCHANGE_LOCAL_RESPONSE, /**< an answer of the fleet's own is chosen */
+  EXCHANGE_FINISHED        /**< nothing more happens but its release */
 };
 
 /** What a request waits for before its service is asked for a target. */
-enum exchange_awaits
+enum exchange_wait
 {
-  EXCHANGE_AWAITS_NOTHING,
-  EXCHANGE_AWAITS_SETTINGS, /**< a host that starts has none yet */
-  EXCHANGE_AWAITS_PROOF,    /**< that its key may be judged */
-  EXCHANGE_AWAITS_TOKEN,    /**< of its workspace's quota */
-  EXCHANGE_AWAITS_BODY      /**< body prefix, needed for the fingerprint */
+  EXCHANGE_WAIT_NONE,
+  EXCHANGE_WAIT_SETTINGS,  /**< a host that starts has none yet */
+  EXCHANGE_WAIT_FRESHNESS, /**< that its key may be judged */
+  EXCHANGE_WAIT_TOKEN,     /**< of its workspace's quota */
+  EXCHANGE_WAIT_BODY       /**< body prefix, needed for the fingerprint */
 };
 
 /** The attempt under way, or the one that was answered. */
@@ -57,16 +57,16 @@
   uint64_t key;             /**< of the target */
   char target[SERVICE_NAME_SIZE];
   int64_t started_us;
-  int64_t head_us;
-  int64_t starved_us;      /**< it waited so long for the caller's body */
-  int64_t starved_from_us; /**< since when it waits; 0 when it doesn't */
-  int64_t timeout_us;      /**< without a head; ATTEMPT_NO_TIMEOUT: none */
-  uint32_t reuse_idle_ms;  /**< of the connection that it may take */
-  bool relay;              /**< to another host, which decides in our place */
-  bool head_seen;          /**< status, length_bytes and headers are good */
-  bool open;               /**< the policy waits for its end */
-  bool waits;              /**< hangs, and there was nowhere else to go */
-  bool held_back;          /**< the caller was slower than the target */
+  int64_t response_head_us;
+  int64_t upload_stall_us; /**< it waited so long for the caller's body */
+  int64_t upload_stall_start_us; /**< since when it waits; 0 when it doesn't */
+  int64_t head_timeout_us;    /**< without a head; ATTEMPT_NO_TIMEOUT: none */
+  uint32_t reuse_idle_max_ms; /**< of the connection that it may take */
+  bool is_relay;          /**< to another host, which decides in our place */
+  bool head_received;     /**< status, length_bytes and headers are good */
+  bool outcome_pending;   /**< the policy waits for its end */
+  bool retry_unavailable; /**< hangs, and there was nowhere else to go */
+  bool caller_was_slow;   /**< the caller was slower than the target */
   uint32_t status;
   int64_t length_bytes;
   struct header_list headers;
@@ -84,7 +84,7 @@
   char *uri;
   struct request_head head;
   struct stream_buffer upload;
-  struct stream_buffer answer;
+  struct stream_buffer response_body;
   uint64_t upload_bytes; /**< of the body, as read so far */
   struct body_prefix body_prefix;
 
@@ -93,49 +93,49 @@
   char route_host[SERVICE_NAME_SIZE]; /**< its host; "": any */
   char workspace[SERVICE_NAME_SIZE]; /**< whose key it bears; "" is nobody's */
   uint64_t workspace_key;            /**< hash of its name */
-  int64_t token_until_ms;  /**< end of the token that was taken; 0: none */
-  int64_t token_wanted_us; /**< since when one is waited for; 0: isn't */
+  int64_t token_expiry_ms;     /**< end of the token that was taken; 0: none */
+  int64_t token_wait_start_us; /**< since when one is waited for; 0: isn't */
   uint64_t ticket_sequence;
 
-  int64_t begun_us; /**< when its head was complete */
+  int64_t started_us; /**< when its head was complete */
   int64_t deadline_us;
-  int64_t goal_us;     /**< an answer is late after it; 0: there is no goal */
-  int64_t progress_us; /**< when bytes of the answer last came */
+  int64_t goal_us; /**< an answer is late after it; 0: there is no goal */
+  int64_t last_progress_us; /**< when bytes of the answer last came */
   ev_timer timer;
-  ev_prepare kick; /**< never started; only fed */
+  ev_prepare run_watcher; /**< never started; only fed */
 
   struct exchange_attempt attempt;
-  uint64_t tried[POLICY_TRIED_MAX];
-  struct own_answer own;
+  uint64_t tried_targets[POLICY_TRIED_MAX];
+  struct local_response local_response;
 
   enum exchange_state state;
-  enum exchange_awaits awaits;
+  enum exchange_wait waits_for;
   int fd;
   uint32_t timeout_ms;   /**< most time until the answer begins */
   uint32_t attempts_max; /**< targets that it may be sent to */
-  uint32_t attempts;
-  uint32_t unsent; /**< attempts of which no byte was sent */
+  uint32_t attempt_count;
+  uint32_t unsent_count; /**< attempts of which no byte was sent */
   uint32_t tried_count;
-  uint32_t shed_retry_after_ms; /**< as a target that shed it said */
-
-  bool counted; /**< as in flight */
-  bool plain;   /**< answered without a route, not counted by service */
-  bool watched; /**< for the caller's going away */
-  bool suspended;
-  bool upload_complete; /**< the library has all of the body */
-  bool queued;          /**< a response was handed to the library */
-  bool answered_raw;    /**< an own answer was written past the library */
-  bool caller_gone;
-  bool answer_cut; /**< what was buffered of it is all that comes */
+  uint32_t target_retry_after_ms; /**< as a target that shed it said */
+
+  bool in_flight_counted; /**< as in flight */
+  bool is_unrouted;    /**< answered without a route, not counted by service */
+  bool hangup_watched; /**< for the caller's going away */
+  bool is_suspended;
+  bool upload_complete;   /**< the library has all of the body */
+  bool response_queued;   /**< a response was handed to the library */
+  bool raw_response_sent; /**< an own answer was written past the library */
+  bool caller_disconnected;
+  bool response_truncated; /**< what was buffered of it is all that comes */
   bool repeatable;
   bool needs_key;
-  bool has_quota;        /**< its workspace has one */
-  bool bounded_by_route; /**< timeout_ms holds beside the caller's deadline */
+  bool has_quota;         /**< its workspace has one */
+  bool has_route_timeout; /**< timeout_ms holds beside the caller's deadline */
   bool ticket_claimed;
-  bool kicked;
-  bool after_unsent; /**< the last attempt that ended is among them */
-  bool is_trial;     /**< sent as the trial of a blocked request */
-  bool perhaps_ran;  /**< an attempt that was given up may have run */
+  bool run_scheduled;
+  bool last_attempt_unsent; /**< the last attempt that ended is among them */
+  bool is_trial;            /**< sent as the trial of a blocked request */
+  bool may_have_run;        /**< an attempt that was given up may have run */
 };
 
 /** A new exchange for the request that begins on CONNECTION. */
@@ -144,54 +144,55 @@
                                   const char *uri);
 
 /** Count X as in flight from now on. */
-void exchange_count (struct exchange *x);
+void exchange_count_in_flight (struct exchange *x);
 
 /** The head is complete: choose a route, check limits, ask the policy. */
-void exchange_begin (struct exchange *x, const char *method,
+void exchange_start (struct exchange *x, const char *method,
                      const char *version);
 
 /** Go on with a request that was held up before its service was asked. */
-void exchange_begin_again (struct exchange *x);
+void exchange_check_and_admit (struct exchange *x);
 
 /** What X waited for has come, or never will: look at it again. */
 void exchange_resume (struct exchange *x);
 
 /** Go on with all that wait for WHAT. */
 void exchange_resume_all (struct caller_context *context,
-                          enum exchange_awaits what);
+                          enum exchange_wait what);
 
 /** Have X wait for WHAT, for at most LIMIT_US; exchange_resume() follows. */
-void exchange_await (struct exchange *x, enum exchange_awaits what,
-                     int64_t limit_us);
+void exchange_wait_for (struct exchange *x, enum exchange_wait what,
+                        int64_t limit_us);
 
 /** The library has released the request.  OK says that all of a response was
  * written. */
-void exchange_released (struct exchange *x, bool ok);
+void exchange_request_completed (struct exchange *x, bool ok);
 
 /** Have exchange_pump() run from the loop. */
-void exchange_kick (struct exchange *x);
+void exchange_schedule_run (struct exchange *x);
 
 /** The caller can't be answered any more: give up all work. */
-void exchange_abandon (struct exchange *x);
+void exchange_cancel (struct exchange *x);
 
 /** Choose an answer of the fleet's own. */
-void exchange_answer_own (struct exchange *x, const struct own_answer *own);
+void exchange_respond_locally (struct exchange *x,
+                               const struct local_response *own);
 
 /** Refuse X, which no target has seen, with MESSAGE for people.
- * RETRY_AFTER_MS as in struct own_answer. */
+ * RETRY_AFTER_MS as in struct local_response. */
 void exchange_refuse (struct exchange *x, uint32_t status, const char *reason,
                       uint32_t retry_after_ms, const char *message);
 
 /** What may truly be said of the request when no answer is had. */
-enum answer_outcome exchange_outcome (const struct exchange *x);
+enum request_outcome exchange_outcome (const struct exchange *x);
 
 /** The host stops now: answer X, unless an answer is chosen already. */
-void exchange_give_up (struct exchange *x);
+void exchange_abort_pending (struct exchange *x);
 
 /** An answer of the target is chosen. */
-void exchange_answer_target (struct exchange *x);
+void exchange_forward_response (struct exchange *x);
 
 /** The deadline's timer, in AFTER_US. */
-void exchange_arm (struct exchange *x, int64_t after_us);
+void exchange_set_timer (struct exchange *x, int64_t after_us);
 
 #endif
--- a/node/caller/exchange_access.c
+++ b/node/caller/exchange_access.c
@@ -42,12 +42,12 @@
 refuse_key (struct exchange *x)
 {
   const enum request_key_state state = x->head.key.state;
-  struct own_answer own = { .status = MHD_HTTP_UNAUTHORIZED,
-                            .outcome = ANSWER_NOT_RUN,
-                            .reason = key_reason (state),
-                            .asks_for_key = true };
+  struct local_response own = { .status = MHD_HTTP_UNAUTHORIZED,
+                                .outcome = REQUEST_OUTCOME_NOT_RUN,
+                                .reason = key_reason (state),
+                                .has_challenge = true };
   snprintf (own.message, sizeof own.message, "%s", key_remedy (state));
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 /* Guards against a host that goes on with keys that were taken away, since it
@@ -59,8 +59,8 @@
 {
   const uint32_t bound_ms = x->context->settings->access.revoke_ms;
   return bound_ms == 0
-         || freshness_holds (&x->context->freshness, clock_now_ms (),
-                             bound_ms);
+         || freshness_is_within_bound (&x->context->freshness, clock_now_ms (),
+                                       bound_ms);
 }
 
 static void
@@ -77,24 +77,26 @@
 static void
 await_proof (struct exchange *x)
 {
-  static const struct bus_message wanted = { .topic = BUS_FRESHNESS_WANTED };
+  static const struct bus_message wanted
+      = { .topic = BUS_FRESHNESS_REQUESTED };
   struct caller_context *context = x->context;
   const int64_t now_us = clock_now_us ();
-  if (context->proof_wanted_us == 0)
-    context->proof_wanted_us = now_us;
-  const int64_t left_us = context->proof_wanted_us + PROOF_WAIT_US - now_us;
+  if (context->proof_wait_since_us == 0)
+    context->proof_wait_since_us = now_us;
+  const int64_t left_us
+      = context->proof_wait_since_us + PROOF_WAIT_US - now_us;
   bus_post (context->bus, &wanted);
   if (left_us > 0)
-    exchange_await (x, EXCHANGE_AWAITS_PROOF, left_us);
+    exchange_wait_for (x, EXCHANGE_WAIT_FRESHNESS, left_us);
   else
     refuse_stale (x);
 }
 
 void
-exchange_access_proved (struct caller_context *context)
+exchange_access_resume_all (struct caller_context *context)
 {
-  context->proof_wanted_us = 0;
-  exchange_resume_all (context, EXCHANGE_AWAITS_PROOF);
+  context->proof_wait_since_us = 0;
+  exchange_resume_all (context, EXCHANGE_WAIT_FRESHNESS);
 }
 
 bool
@@ -104,7 +106,7 @@
   if (workspaces == NULL)
     return true;
   /* Nobody behind this host gets a key, needed or not. */
-  header_list_remove_spellings (&x->head.headers, "Authorization");
+  header_list_remove_equivalent (&x->head.headers, "Authorization");
   if (!x->needs_key)
     return true;
   if (!is_fresh (x))
--- a/node/caller/exchange_access.h
+++ b/node/caller/exchange_access.h
@@ -26,6 +26,6 @@
 
 /** A proof that the configuration is fresh has come: judge those that wait
  * for it. */
-void exchange_access_proved (struct caller_context *context);
+void exchange_access_resume_all (struct caller_context *context);
 
 #endif
--- a/node/caller/exchange_attempt.c
+++ b/node/caller/exchange_attempt.c
@@ -9,10 +9,10 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "node/caller/answer_check.h"
+#include "node/caller/response_check.h"
 #include "node/caller/crash_check.h"
-#include "node/caller/caller_news.h"
-#include "node/caller/decision_note.h"
+#include "node/caller/outcome_report.h"
+#include "node/caller/decision_log.h"
 #include "node/caller/exchange_fingerprint.h"
 #include "node/caller/exchange_poison.h"
 #include "node/caller/exchange_send.h"
@@ -45,12 +45,12 @@
 int64_t
 exchange_attempt_latency_us (const struct exchange_attempt *attempt)
 {
-  const bool to_head = attempt->held_back && attempt->head_seen;
+  const bool to_head = attempt->caller_was_slow && attempt->head_received;
   const int64_t now_us = clock_now_us ();
-  const int64_t end_us = to_head ? attempt->head_us : now_us;
-  int64_t starved_us = attempt->starved_us;
-  if (attempt->starved_from_us > 0)
-    starved_us += now_us - attempt->starved_from_us;
+  const int64_t end_us = to_head ? attempt->response_head_us : now_us;
+  int64_t starved_us = attempt->upload_stall_us;
+  if (attempt->upload_stall_start_us > 0)
+    starved_us += now_us - attempt->upload_stall_start_us;
   const int64_t taken_us = end_us - attempt->started_us - starved_us;
   return taken_us > 0 ? taken_us : 0;
 }
@@ -70,21 +70,23 @@
 note_attempt (const struct exchange *x, enum attempt_end end)
 {
   const struct exchange_attempt *attempt = &x->attempt;
-  const uint32_t number = caller_service_find (x->service, attempt->key);
+  const uint32_t number
+      = caller_service_find_target (x->service, attempt->key);
   uint32_t failure_permille = 0;
   if (number != POLICY_NO_TARGET)
     failure_permille
-        = service_policy_belief (x->service->policy, number).failure_permille;
+        = service_policy_target_status (x->service->policy, number)
+              .failure_permille;
   const bool is_answered = end == ATTEMPT_ANSWERED;
-  LOG_AT (is_answered ? LOG_LEVEL_INFO : LOG_LEVEL_WARNING,
-          is_answered ? "attempt" : "attempt-failed",
-          LOG_STR ("id", x->head.id), LOG_INT ("request", x->id),
-          LOG_STR ("service", x->service->name),
-          LOG_STR ("target", attempt->target),
-          LOG_INT ("attempt", x->attempts), LOG_STR ("end", end_name (end)),
-          LOG_INT ("status", attempt->head_seen ? attempt->status : 0),
-          LOG_INT ("took_us", exchange_attempt_latency_us (attempt)),
-          LOG_INT ("believed_failing_permille", failure_permille));
+  LOG_AT (
+      is_answered ? LOG_LEVEL_INFO : LOG_LEVEL_WARNING,
+      is_answered ? "attempt" : "attempt-failed", LOG_STR ("id", x->head.id),
+      LOG_INT ("request", x->id), LOG_STR ("service", x->service->name),
+      LOG_STR ("target", attempt->target),
+      LOG_INT ("attempt", x->attempt_count), LOG_STR ("end", end_name (end)),
+      LOG_INT ("status", attempt->head_received ? attempt->status : 0),
+      LOG_INT ("took_us", exchange_attempt_latency_us (attempt)),
+      LOG_INT ("believed_failing_permille", failure_permille));
 }
 
 /* Tell the policy how the attempt ended, once. */
@@ -92,37 +94,37 @@
 settle (struct exchange *x, enum attempt_end end)
 {
   struct exchange_attempt *attempt = &x->attempt;
-  if (!attempt->open)
+  if (!attempt->outcome_pending)
     return;
-  attempt->open = false;
+  attempt->outcome_pending = false;
   if (end == ATTEMPT_CUT || end == ATTEMPT_TIMED_OUT || end == ATTEMPT_FAILED)
-    x->perhaps_ran = true;
-  if (attempt->relay)
+    x->may_have_run = true;
+  if (attempt->is_relay)
     return;
-  x->after_unsent = end == ATTEMPT_NOT_SENT;
-  x->unsent += (uint32_t)x->after_unsent;
+  x->last_attempt_unsent = end == ATTEMPT_NOT_SENT;
+  x->unsent_count += (uint32_t)x->last_attempt_unsent;
   caller_counters_add (x->context->counters.attempts, x->service->name,
                        end_name (end));
   caller_counters_observe (x->context->counters.attempt_times,
                            x->service->name, end_name (end),
                            exchange_attempt_latency_us (attempt));
-  if (caller_news_is_worth_telling (x->service, attempt->key, end))
+  if (outcome_report_is_due (x->service, attempt->key, end))
     tell_others (x, end);
   note_attempt (x, end);
-  caller_service_outcome (x->service, attempt->key, end,
-                          exchange_attempt_latency_us (attempt),
-                          x->repeatable);
+  caller_service_record_outcome (x->service, attempt->key, end,
+                                 exchange_attempt_latency_us (attempt),
+                                 x->repeatable);
 }
 
 void
-exchange_drop_attempt (struct exchange *x, enum attempt_end end)
+exchange_cancel_attempt (struct exchange *x, enum attempt_end end)
 {
   struct target_call *call = x->attempt.call;
   if (call != NULL)
     {
       const bool harmless = end == ATTEMPT_SHED || end == ATTEMPT_NOT_SENT;
-      if (!harmless && target_call_perhaps_sent (call))
-        x->perhaps_ran = true;
+      if (!harmless && target_call_may_have_sent (call))
+        x->may_have_run = true;
       x->attempt.call = NULL;
       target_call_cancel (call);
     }
@@ -132,15 +134,16 @@
 static uint32_t
 retry_after_ms (const struct exchange *x, uint32_t ours_ms)
 {
-  return ours_ms > x->shed_retry_after_ms ? ours_ms : x->shed_retry_after_ms;
+  return ours_ms > x->target_retry_after_ms ? ours_ms
+                                            : x->target_retry_after_ms;
 }
 
 /* No answer is had and none will be asked for. */
 static void
 give_up (struct exchange *x, enum attempt_end end, const char *message)
 {
-  struct own_answer own = { .outcome = exchange_outcome (x) };
-  const bool unknown = own.outcome == ANSWER_UNKNOWN;
+  struct local_response own = { .outcome = exchange_outcome (x) };
+  const bool unknown = own.outcome == REQUEST_OUTCOME_UNKNOWN;
   own.status = unknown ? MHD_HTTP_BAD_GATEWAY : MHD_HTTP_SERVICE_UNAVAILABLE;
   own.reason = end_name (end);
   own.retry_after_ms = unknown ? 0 : retry_after_ms (x, RETRY_AFTER_MS);
@@ -149,17 +152,17 @@
                       "run before sending it again"
                     : "no target took the request, send it again later",
             message);
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 /* After an attempt that ended as END without an answer to pass on. */
 static void
 try_again (struct exchange *x, enum attempt_end end, const char *message)
 {
-  const bool may = !x->attempt.relay
+  const bool may = !x->attempt.is_relay
                    && service_policy_may_retry (end, x->repeatable)
-                   && !x->upload.dropped;
-  x->attempt.head_seen = false;
+                   && !x->upload.start_discarded;
+  x->attempt.head_received = false;
   if (!may)
     {
       give_up (x, end, message);
@@ -185,13 +188,13 @@
 on_whole (struct exchange *x)
 {
   if (x->state == EXCHANGE_SENT)
-    exchange_judge (x);
-  if (x->state != EXCHANGE_ANSWERING || x->attempt.call != NULL)
+    exchange_evaluate_response (x);
+  if (x->state != EXCHANGE_FORWARDING || x->attempt.call != NULL)
     return;
-  x->answer.whole = true;
+  x->response_body.is_complete = true;
   exchange_ticket_finish (x);
-  if (!x->attempt.relay && !is_server_error (x))
-    exchange_poison_answered (x);
+  if (!x->attempt.is_relay && !is_server_error (x))
+    exchange_poison_clear (x);
   settle (x, is_server_error (x) ? ATTEMPT_FAILED : ATTEMPT_ANSWERED);
 }
 
@@ -208,12 +211,12 @@
             LOG_INT ("request", x->id), LOG_STR ("target", target),
             LOG_STR ("end", end_name (end)), LOG_STR ("why", message),
             LOG_STR ("fingerprint", fingerprint));
-  if (end == ATTEMPT_CUT && !x->attempt.relay)
+  if (end == ATTEMPT_CUT && !x->attempt.is_relay)
     crash_checks_add (x->context->crash_checks, x);
   settle (x, end);
-  if (x->queued)
+  if (x->response_queued)
     {
-      x->answer_cut = true;
+      x->response_truncated = true;
       exchange_ticket_finish (x);
       return;
     }
@@ -225,10 +228,10 @@
 exchange_attempt_ended (struct exchange *x, enum target_call_end end,
                         const char *message)
 {
-  if (end == TARGET_CALL_WHOLE)
+  if (end == TARGET_CALL_COMPLETE)
     on_whole (x);
   else
-    on_broken (x, end == TARGET_CALL_CUT ? ATTEMPT_CUT : ATTEMPT_NOT_SENT,
+    on_broken (x, end == TARGET_CALL_BROKEN ? ATTEMPT_CUT : ATTEMPT_NOT_SENT,
                message);
 }
 
@@ -256,15 +259,15 @@
     .goal_us = x->goal_us,
     .queued_bytes = held_bytes (x),
     .repeatable = x->repeatable,
-    .attempt = x->attempts + 1,
-    .unsent = x->unsent,
-    .after_unsent = x->after_unsent,
+    .attempt = x->attempt_count + 1,
+    .unsent = x->unsent_count,
+    .after_unsent = x->last_attempt_unsent,
     .attempts_max = x->attempts_max,
   };
   for (uint32_t i = 0; i < x->tried_count; i++)
     {
       const uint32_t target
-          = service_policy_find (x->service->policy, x->tried[i]);
+          = service_policy_find (x->service->policy, x->tried_targets[i]);
       if (target != POLICY_NO_TARGET)
         r.tried[r.tried_count++] = target;
     }
@@ -274,20 +277,20 @@
 static void
 refuse (struct exchange *x, const struct policy_decision *decision)
 {
-  struct own_answer own
+  struct local_response own
       = { .status = MHD_HTTP_SERVICE_UNAVAILABLE,
           .outcome = exchange_outcome (x),
           .reason = policy_reason_name (decision->reason),
           .retry_after_ms = retry_after_ms (x, decision->retry_after_ms) };
-  if (own.outcome == ANSWER_UNKNOWN)
+  if (own.outcome == REQUEST_OUTCOME_UNKNOWN)
     own.status = MHD_HTTP_BAD_GATEWAY;
   snprintf (own.message, sizeof own.message, "%s",
-            own.outcome == ANSWER_UNKNOWN
+            own.outcome == REQUEST_OUTCOME_UNKNOWN
                 ? "an attempt was lost and none further is allowed: find out "
                   "whether it has run before sending it again"
                 : "the service can't take the request now: come back after "
                   "the time given, or ask for other addresses");
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 /* Checks again, because the request may have been blocked while it was queued
@@ -301,15 +304,16 @@
       exchange_send (x, target);
       return;
     }
-  caller_service_outcome (x->service, x->service->targets[target].key,
-                          ATTEMPT_CANCELLED, 0, x->repeatable);
+  caller_service_record_outcome (x->service, x->service->targets[target].key,
+                                 ATTEMPT_CANCELLED, 0, x->repeatable);
   exchange_poison_refuse (x, left_ms);
 }
 
 void
-exchange_decided (struct exchange *x, const struct policy_decision *decision)
+exchange_apply_decision (struct exchange *x,
+                         const struct policy_decision *decision)
 {
-  decision_note (x, decision);
+  decision_log (x, decision);
   switch (decision->verdict)
     {
     case POLICY_SEND:
@@ -330,7 +334,7 @@
   const struct policy_request r = exchange_policy_request (x);
   const struct policy_decision decision
       = caller_service_admit (x->service, &r, &x->waiter);
-  exchange_decided (x, &decision);
+  exchange_apply_decision (x, &decision);
 }
 
 /* A target's failure may be passed on, so another target is tried only if one
@@ -339,22 +343,22 @@
 tried_elsewhere (struct exchange *x)
 {
   if (!service_policy_may_retry (ATTEMPT_FAILED, x->repeatable)
-      || x->upload.dropped)
+      || x->upload.start_discarded)
     return false;
   struct target_call *failed = x->attempt.call;
   settle (x, ATTEMPT_FAILED);
   const struct policy_request r = exchange_policy_request (x);
   const struct policy_decision decision
       = caller_service_admit (x->service, &r, &x->waiter);
-  caller_service_forget (x->service, &x->waiter);
+  caller_service_cancel_wait (x->service, &x->waiter);
   if (decision.verdict != POLICY_SEND)
     {
-      decision_note_failure_passed (x, &decision);
+      decision_log_failure_forwarded (x, &decision);
       return false;
     }
   if (failed != NULL)
     target_call_cancel (failed);
-  exchange_decided (x, &decision);
+  exchange_apply_decision (x, &decision);
   return true;
 }
 
@@ -365,7 +369,7 @@
 {
   const int64_t length = x->attempt.length_bytes;
   return x->attempt.call != NULL && length >= 0 && length <= SMALL_ANSWER_BYTES
-         && x->upload.whole;
+         && x->upload.is_complete;
 }
 
 /* A short answer is held until it is whole: if it breaks off, another target
@@ -375,44 +379,44 @@
 {
   const struct exchange_attempt *attempt = &x->attempt;
   const uint32_t most = x->context->settings->limits.hold_answer_bytes;
-  return attempt->call != NULL && !attempt->held_back
+  return attempt->call != NULL && !attempt->caller_was_slow
          && attempt->length_bytes <= (int64_t)most
-         && stream_buffer_waiting (&x->answer) < most;
+         && stream_buffer_pending_bytes (&x->response_body) < most;
 }
 
 static void
 give_up_attempt (struct exchange *x, const char *why)
 {
-  exchange_drop_attempt (x, ATTEMPT_CUT);
+  exchange_cancel_attempt (x, ATTEMPT_CUT);
   try_again (x, ATTEMPT_CUT, why);
 }
 
 void
-exchange_judge (struct exchange *x)
+exchange_evaluate_response (struct exchange *x)
 {
-  if (answer_check_is_too_large (x))
+  if (response_check_is_too_large (x))
     {
       give_up_attempt (x, "the target's header fields are too large");
       return;
     }
-  if (x->attempt.relay)
+  if (x->attempt.is_relay)
     {
-      exchange_answer_target (x);
+      exchange_forward_response (x);
       return;
     }
-  answer_check_note_target (x);
-  if (answer_check_is_shed (x))
+  response_check_update_target (x);
+  if (response_check_is_shed (x))
     {
       if (ends_soon (x))
         return;
-      target_limits_note_answer (x);
-      answer_check_note_retry_after (x);
-      exchange_drop_attempt (x, ATTEMPT_SHED);
+      target_limits_update_from_answer (x);
+      response_check_store_retry_after (x);
+      exchange_cancel_attempt (x, ATTEMPT_SHED);
       try_again (x, ATTEMPT_SHED, "the target sheds load");
       return;
     }
-  const char *fault = answer_check_fault (x);
-  if (fault != NULL || answer_check_would_promise (x))
+  const char *fault = response_check_error (x);
+  if (fault != NULL || response_check_is_unsigned_refusal (x))
     {
       give_up_attempt (x, fault != NULL ? fault
                                         : "the target gave no whole answer");
@@ -420,8 +424,8 @@
     }
   if (waits_for_whole (x))
     return;
-  target_limits_note_answer (x);
+  target_limits_update_from_answer (x);
   if (is_server_error (x) && tried_elsewhere (x))
     return;
-  exchange_answer_target (x);
+  exchange_forward_response (x);
 }
--- a/node/caller/exchange_attempt.h
+++ b/node/caller/exchange_attempt.h
@@ -18,17 +18,17 @@
 struct policy_request exchange_policy_request (const struct exchange *x);
 
 /** The head of an answer is there: use it, or try again. */
-void exchange_judge (struct exchange *x);
+void exchange_evaluate_response (struct exchange *x);
 
 /** Give up the attempt under way, if any; END is told to the policy. */
-void exchange_drop_attempt (struct exchange *x, enum attempt_end end);
+void exchange_cancel_attempt (struct exchange *x, enum attempt_end end);
 
 /** The call of the attempt ended: use its answer, or try again. */
 void exchange_attempt_ended (struct exchange *x, enum target_call_end end,
                              const char *message);
 
 /** What the policy decided on X. */
-void exchange_decided (struct exchange *x,
-                       const struct policy_decision *decision);
+void exchange_apply_decision (struct exchange *x,
+                              const struct policy_decision *decision);
 
 #endif
--- a/node/caller/exchange_caller.c
+++ b/node/caller/exchange_caller.c
@@ -17,46 +17,47 @@
 static void
 suspend (struct exchange *x)
 {
-  if (!x->watched)
+  if (!x->hangup_watched)
     hangup_watch_add (x->context->hangup, x->fd, x);
-  x->watched = true;
-  x->suspended = true;
+  x->hangup_watched = true;
+  x->is_suspended = true;
   MHD_suspend_connection (x->connection);
 }
 
 static bool
 answer_chosen (const struct exchange *x)
 {
-  return x->state == EXCHANGE_OWN || x->state == EXCHANGE_ANSWERING;
+  return x->state == EXCHANGE_LOCAL_RESPONSE
+         || x->state == EXCHANGE_FORWARDING;
 }
 
 /* Nobody needs the rest of the body. */
 static bool
 discards_upload (const struct exchange *x)
 {
-  return x->state == EXCHANGE_OWN
-         || (x->state == EXCHANGE_ANSWERING && x->attempt.call == NULL);
+  return x->state == EXCHANGE_LOCAL_RESPONSE
+         || (x->state == EXCHANGE_FORWARDING && x->attempt.call == NULL);
 }
 
 static bool
 can_go_on (const struct exchange *x)
 {
-  if (x->caller_gone || x->state == EXCHANGE_OVER)
+  if (x->caller_disconnected || x->state == EXCHANGE_FINISHED)
     return true;
-  if (x->queued)
-    return x->answer_cut || x->answer.whole
-           || stream_buffer_waiting (&x->answer) > 0;
+  if (x->response_queued)
+    return x->response_truncated || x->response_body.is_complete
+           || stream_buffer_pending_bytes (&x->response_body) > 0;
   if (x->upload_complete)
     return answer_chosen (x);
-  return discards_upload (x) || stream_buffer_room (&x->upload) > 0;
+  return discards_upload (x) || stream_buffer_free_bytes (&x->upload) > 0;
 }
 
 void
-exchange_wake_caller (struct exchange *x)
+exchange_resume_connection (struct exchange *x)
 {
-  if (x->connection == NULL || !x->suspended || !can_go_on (x))
+  if (x->connection == NULL || !x->is_suspended || !can_go_on (x))
     return;
-  x->suspended = false;
+  x->is_suspended = false;
   MHD_resume_connection (x->connection);
   mhd_loop_kick (x->context->mhd_loop);
 }
@@ -77,20 +78,20 @@
 read_answer (void *owner, uint64_t position, char *data, size_t size)
 {
   struct exchange *x = owner;
-  const size_t taken = stream_buffer_take (&x->answer, data, size);
+  const size_t taken = stream_buffer_read (&x->response_body, data, size);
   if (taken > 0)
     {
-      if (x->attempt.held_back)
-        exchange_kick (x);
+      if (x->attempt.caller_was_slow)
+        exchange_schedule_run (x);
       return (ssize_t)taken;
     }
-  if (x->answer_cut || x->caller_gone)
+  if (x->response_truncated || x->caller_disconnected)
     {
       if (x->head.http_1_0)
         reset_connection (x);
       return MHD_CONTENT_READER_END_WITH_ERROR;
     }
-  if (x->answer.whole)
+  if (x->response_body.is_complete)
     return MHD_CONTENT_READER_END_OF_STREAM;
   suspend (x);
   return 0;
@@ -101,8 +102,8 @@
 {
   if (x->attempt.length_bytes >= 0)
     return (uint64_t)x->attempt.length_bytes;
-  if (x->answer.whole && strcmp (x->head.method, "HEAD") != 0)
-    return stream_buffer_waiting (&x->answer);
+  if (x->response_body.is_complete && strcmp (x->head.method, "HEAD") != 0)
+    return stream_buffer_pending_bytes (&x->response_body);
   return MHD_SIZE_UNKNOWN;
 }
 
@@ -126,7 +127,8 @@
 static bool
 closes_connection (const struct exchange *x)
 {
-  return x->context->leaving || caller_server_is_crowded (x->context->server);
+  return x->context->leaving
+         || caller_server_is_near_connection_limit (x->context->server);
 }
 
 static void
@@ -134,15 +136,15 @@
 {
   struct header_list *headers = &x->attempt.headers;
   header_list_remove_hop_by_hop (headers);
-  if (!x->attempt.relay)
+  if (!x->attempt.is_relay)
     header_list_remove_prefix (headers, "Jaystair-");
   for (size_t i = 0; i < headers->count; i++)
     add_header (response, header_list_name (headers, i),
                 header_list_value (headers, i));
   const char *outcome = x->context->interface->outcome;
-  if (!x->attempt.relay && outcome != NULL)
+  if (!x->attempt.is_relay && outcome != NULL)
     MHD_add_response_header (response, outcome,
-                             answer_outcome_name (ANSWER_RAN));
+                             request_outcome_name (REQUEST_OUTCOME_RAN));
   if (closes_connection (x))
     MHD_add_response_header (response, "Connection", "close");
 }
@@ -165,8 +167,8 @@
 own_response (const struct exchange *x)
 {
   const struct caller_interface *interface = x->context->interface;
-  struct MHD_Response *response
-      = own_answer_response (&x->own, interface, closes_connection (x));
+  struct MHD_Response *response = local_response_create (
+      &x->local_response, interface, closes_connection (x));
   if (interface->targets_echo_request_id && x->head.id[0] != '\0')
     MHD_add_response_header (response, interface->request_id, x->head.id);
   return response;
@@ -175,10 +177,10 @@
 static enum MHD_Result
 queue (struct exchange *x)
 {
-  const bool own = x->state == EXCHANGE_OWN;
+  const bool own = x->state == EXCHANGE_LOCAL_RESPONSE;
   struct MHD_Response *response = own ? own_response (x) : target_response (x);
-  const uint32_t status = own ? x->own.status : x->attempt.status;
-  x->queued = true;
+  const uint32_t status = own ? x->local_response.status : x->attempt.status;
+  x->response_queued = true;
   const enum MHD_Result result
       = MHD_queue_response (x->connection, status, response);
   MHD_destroy_response (response);
@@ -188,12 +190,12 @@
 static void
 body_too_large (struct exchange *x)
 {
-  exchange_drop_attempt (x, ATTEMPT_CANCELLED);
-  struct own_answer own = { .status = MHD_HTTP_CONTENT_TOO_LARGE,
-                            .outcome = exchange_outcome (x),
-                            .reason = "body-too-large" };
+  exchange_cancel_attempt (x, ATTEMPT_CANCELLED);
+  struct local_response own = { .status = MHD_HTTP_CONTENT_TOO_LARGE,
+                                .outcome = exchange_outcome (x),
+                                .reason = "body-too-large" };
   strcpy (own.message, "the body is larger than the service takes: send less");
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 static enum MHD_Result
@@ -215,7 +217,7 @@
       return MHD_YES;
     }
   *size -= taken;
-  exchange_kick (x);
+  exchange_schedule_run (x);
   if (*size > 0)
     suspend (x);
   return MHD_YES;
@@ -225,17 +227,17 @@
 exchange_on_request (struct exchange *x, const char *upload_data,
                      size_t *upload_data_size)
 {
-  if (x->caller_gone || x->state == EXCHANGE_OVER)
+  if (x->caller_disconnected || x->state == EXCHANGE_FINISHED)
     return MHD_NO;
   if (*upload_data_size > 0)
     return take_upload (x, upload_data, upload_data_size);
   if (!x->upload_complete)
     {
       x->upload_complete = true;
-      x->upload.whole = true;
-      exchange_kick (x);
+      x->upload.is_complete = true;
+      exchange_schedule_run (x);
     }
-  if (x->answered_raw)
+  if (x->raw_response_sent)
     return MHD_NO;
   if (answer_chosen (x))
     return queue (x);
@@ -244,13 +246,14 @@
 }
 
 void
-exchange_answer_raw (struct exchange *x)
+exchange_send_raw_response (struct exchange *x)
 {
-  char text[OWN_ANSWER_TEXT_SIZE];
-  const size_t size = own_answer_bytes (&x->own, x->context->interface, text);
+  char text[LOCAL_RESPONSE_TEXT_SIZE];
+  const size_t size = local_response_format (&x->local_response,
+                                             x->context->interface, text);
   const ssize_t sent = send (x->fd, text, size, MSG_DONTWAIT | MSG_NOSIGNAL);
   (void)sent;
   shutdown (x->fd, SHUT_WR);
-  x->answered_raw = true;
-  exchange_wake_caller (x);
+  x->raw_response_sent = true;
+  exchange_resume_connection (x);
 }
--- a/node/caller/exchange_caller.h
+++ b/node/caller/exchange_caller.h
@@ -12,10 +12,10 @@
                                      size_t *upload_data_size);
 
 /** Let the library go on if what it was suspended for is there. */
-void exchange_wake_caller (struct exchange *x);
+void exchange_resume_connection (struct exchange *x);
 
 /** Write the own answer past the library, which can't take a response before
  * it has read all of the request's body. */
-void exchange_answer_raw (struct exchange *x);
+void exchange_send_raw_response (struct exchange *x);
 
 #endif
--- a/node/caller/exchange_fingerprint.c
+++ b/node/caller/exchange_fingerprint.c
@@ -39,7 +39,7 @@
 static bool
 body_prefix_is_complete (const struct exchange *x)
 {
-  return x->head.body == REQUEST_BODY_NONE || x->upload.whole
+  return x->head.body == REQUEST_BODY_NONE || x->upload.is_complete
          || body_prefix_is_full (&x->body_prefix)
          || (x->head.body == REQUEST_BODY_SIZED
              && (int64_t)x->body_prefix.used >= x->head.body_bytes);
--- a/node/caller/exchange_poison.c
+++ b/node/caller/exchange_poison.c
@@ -8,22 +8,22 @@
 #include "node/caller/exchange.h"
 #include "node/caller/exchange_attempt.h"
 #include "node/caller/exchange_fingerprint.h"
-#include "node/caller/poison_desk.h"
+#include "node/caller/poison_filter.h"
 
 /* Cheap check before the full fingerprint is computed. */
 static bool
 may_be_poison (const struct exchange *x)
 {
-  const struct poison_desk *desk = x->context->poison;
-  return !poison_desk_is_empty (desk)
-         && poison_desk_has_head (desk, exchange_head_hash (x));
+  const struct poison_filter *desk = x->context->poison;
+  return !poison_filter_is_empty (desk)
+         && poison_filter_has_head (desk, exchange_head_hash (x));
 }
 
 static bool
 is_blocked (struct exchange *x, const struct fingerprint *fingerprint,
             uint32_t *left_ms)
 {
-  const enum poison_verdict verdict = poison_desk_check (
+  const enum poison_verdict verdict = poison_filter_check (
       x->context->poison, x->service, fingerprint, left_ms);
   x->is_trial = verdict == POISON_TRIAL;
   return verdict == POISON_BLOCKED;
@@ -46,19 +46,20 @@
 void
 exchange_poison_refuse (struct exchange *x, uint32_t left_ms)
 {
-  const enum answer_outcome outcome = exchange_outcome (x);
-  const bool unknown = outcome == ANSWER_UNKNOWN;
-  struct own_answer own = { .status = unknown ? MHD_HTTP_BAD_GATEWAY
-                                              : MHD_HTTP_SERVICE_UNAVAILABLE,
-                            .outcome = outcome,
-                            .reason = "poison-request",
-                            .retry_after_ms = unknown ? 0 : left_ms };
+  const enum request_outcome outcome = exchange_outcome (x);
+  const bool unknown = outcome == REQUEST_OUTCOME_UNKNOWN;
+  struct local_response own
+      = { .status
+          = unknown ? MHD_HTTP_BAD_GATEWAY : MHD_HTTP_SERVICE_UNAVAILABLE,
+          .outcome = outcome,
+          .reason = "poison-request",
+          .retry_after_ms = unknown ? 0 : left_ms };
   snprintf (own.message, sizeof own.message, "%s",
             unknown ? "targets crashed while they ran this request: find out "
                       "whether it has run, and don't send it again unchanged"
                     : "targets crashed while they ran this request: change "
                       "it, or come back after the time given");
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 static void
@@ -79,7 +80,7 @@
     {
       const int64_t left_us = x->deadline_us - clock_now_us ();
       if (left_us > 0)
-        exchange_await (x, EXCHANGE_AWAITS_BODY, left_us);
+        exchange_wait_for (x, EXCHANGE_WAIT_BODY, left_us);
       else
         refuse_late_body (x);
       return false;
@@ -94,16 +95,16 @@
 exchange_poison_is_ready (const struct exchange *x)
 {
   struct fingerprint fingerprint;
-  return x->awaits == EXCHANGE_AWAITS_BODY
+  return x->waits_for == EXCHANGE_WAIT_BODY
          && exchange_fingerprint (x, &fingerprint);
 }
 
 void
-exchange_poison_answered (const struct exchange *x)
+exchange_poison_clear (const struct exchange *x)
 {
   struct fingerprint fingerprint;
   if (may_be_poison (x) && exchange_fingerprint (x, &fingerprint))
-    poison_desk_clear (x->context->poison, x->service->name, &fingerprint);
+    poison_filter_clear (x->context->poison, x->service->name, &fingerprint);
 }
 
 /* X was sent to a target that has not started to answer. */
@@ -111,13 +112,13 @@
 is_unanswered (const struct exchange *x)
 {
   return x->state == EXCHANGE_SENT && x->attempt.call != NULL
-         && !x->attempt.relay && !x->attempt.head_seen;
+         && !x->attempt.is_relay && !x->attempt.head_received;
 }
 
 void
-exchange_poison_blocked (struct caller_context *context,
-                         const struct fingerprint *fingerprint,
-                         uint32_t left_ms)
+exchange_poison_cancel_all (struct caller_context *context,
+                            const struct fingerprint *fingerprint,
+                            uint32_t left_ms)
 {
   struct exchange *x;
   struct exchange *next;
@@ -129,7 +130,7 @@
         || !exchange_fingerprint (x, &own)
         || !fingerprint_equal (&own, fingerprint))
       continue;
-    exchange_drop_attempt (x, ATTEMPT_CANCELLED);
+    exchange_cancel_attempt (x, ATTEMPT_CANCELLED);
     exchange_poison_refuse (x, left_ms);
   }
 }
--- a/node/caller/exchange_poison.h
+++ b/node/caller/exchange_poison.h
@@ -28,12 +28,12 @@
 bool exchange_poison_is_ready (const struct exchange *x);
 
 /** Clear the request of X after a complete answer without a server error. */
-void exchange_poison_answered (const struct exchange *x);
+void exchange_poison_clear (const struct exchange *x);
 
 /** Cancel the unanswered attempts of requests with FINGERPRINT, which became
  * blocked, so that their targets can stop before they crash. */
-void exchange_poison_blocked (struct caller_context *context,
-                              const struct fingerprint *fingerprint,
-                              uint32_t left_ms);
+void exchange_poison_cancel_all (struct caller_context *context,
+                                 const struct fingerprint *fingerprint,
+                                 uint32_t left_ms);
 
 #endif
--- a/node/caller/exchange_quota.c
+++ b/node/caller/exchange_quota.c
@@ -17,11 +17,12 @@
 static void
 refuse_over_quota (struct exchange *x)
 {
-  caller_service_refused (x->service);
-  exchange_refuse (x, MHD_HTTP_TOO_MANY_REQUESTS, "over-quota",
-                   quota_desk_due_ms (x->context->quotas, x->workspace_key),
-                   "the workspace sends more than its quota: come back after "
-                   "the time given, or ask for a higher one");
+  caller_service_record_refusal (x->service);
+  exchange_refuse (
+      x, MHD_HTTP_TOO_MANY_REQUESTS, "over-quota",
+      quota_client_next_token_ms (x->context->quotas, x->workspace_key),
+      "the workspace sends more than its quota: come back after "
+      "the time given, or ask for a higher one");
 }
 
 /* Guards against a quota that is passed while nobody can tell how much of it
@@ -43,67 +44,68 @@
 await_token (struct exchange *x)
 {
   const int64_t now_us = clock_now_us ();
-  if (x->token_wanted_us == 0)
-    x->token_wanted_us = now_us;
-  const int64_t time_us = x->deadline_us - x->token_wanted_us;
+  if (x->token_wait_start_us == 0)
+    x->token_wait_start_us = now_us;
+  const int64_t time_us = x->deadline_us - x->token_wait_start_us;
   const int64_t most_us = time_us / HOLD_PARTS < HOLD_MOST_US
                               ? time_us / HOLD_PARTS
                               : HOLD_MOST_US;
-  const int64_t left_us = x->token_wanted_us + most_us - now_us;
+  const int64_t left_us = x->token_wait_start_us + most_us - now_us;
   if (left_us <= 0
-      || quota_desk_hold_ms (x->context->quotas, x->workspace_key) == 0)
+      || quota_client_max_wait_ms (x->context->quotas, x->workspace_key) == 0)
     {
-      quota_desk_leave (x->context->quotas, x->workspace_key);
+      quota_client_cancel_wait (x->context->quotas, x->workspace_key);
       refuse_unknown (x);
       return;
     }
   /* Now and then the keeper has to be asked again. */
-  exchange_await (x, EXCHANGE_AWAITS_TOKEN,
-                  left_us < ASK_AGAIN_US ? left_us : ASK_AGAIN_US);
+  exchange_wait_for (x, EXCHANGE_WAIT_TOKEN,
+                     left_us < ASK_AGAIN_US ? left_us : ASK_AGAIN_US);
 }
 
 bool
 exchange_quota_check (struct exchange *x)
 {
-  if (!x->has_quota || x->token_until_ms != 0)
+  if (!x->has_quota || x->token_expiry_ms != 0)
     return true;
-  const bool again = x->token_wanted_us != 0;
-  switch (quota_desk_take (x->context->quotas, x->workspace_key, again,
-                           &x->token_until_ms))
+  const bool again = x->token_wait_start_us != 0;
+  switch (quota_client_take (x->context->quotas, x->workspace_key, again,
+                             &x->token_expiry_ms))
     {
     case QUOTA_TAKEN:
       return true;
     case QUOTA_WAIT:
-      x->token_until_ms = 0;
+      x->token_expiry_ms = 0;
       await_token (x);
       return false;
-    case QUOTA_EMPTY:
+    case QUOTA_EXHAUSTED:
       break;
     }
-  x->token_until_ms = 0;
+  x->token_expiry_ms = 0;
   refuse_over_quota (x);
   return false;
 }
 
 void
-exchange_quota_return (struct exchange *x)
+exchange_quota_refund (struct exchange *x)
 {
-  if (x->token_until_ms == 0)
+  if (x->token_expiry_ms == 0)
     return;
-  quota_desk_return (x->context->quotas, x->workspace_key, x->token_until_ms);
-  x->token_until_ms = 0;
+  quota_client_return (x->context->quotas, x->workspace_key,
+                       x->token_expiry_ms);
+  x->token_expiry_ms = 0;
 }
 
 void
-exchange_quota_granted (struct caller_context *context, uint64_t workspace)
+exchange_quota_resume_all (struct caller_context *context, uint64_t workspace)
 {
   struct exchange *x;
   struct exchange *next;
-  if (context->awaiting == 0)
+  if (context->awaiting_count == 0)
     return;
   DL_FOREACH_SAFE (context->exchanges, x, next)
   {
-    if (x->awaits == EXCHANGE_AWAITS_TOKEN && x->workspace_key == workspace)
+    if (x->waits_for == EXCHANGE_WAIT_TOKEN && x->workspace_key == workspace)
       exchange_resume (x);
   }
 }
--- a/node/caller/exchange_quota.h
+++ b/node/caller/exchange_quota.h
@@ -13,11 +13,11 @@
 bool exchange_quota_check (struct exchange *x);
 
 /** X surely hasn't run and won't: what was charged is given back. */
-void exchange_quota_return (struct exchange *x);
+void exchange_quota_refund (struct exchange *x);
 
 /** A keeper has answered for WORKSPACE, the hash of its name: go on with the
  * requests that wait for it. */
-void exchange_quota_granted (struct caller_context *context,
-                             uint64_t workspace);
+void exchange_quota_resume_all (struct caller_context *context,
+                                uint64_t workspace);
 
 #endif
--- a/node/caller/exchange_send.c
+++ b/node/caller/exchange_send.c
@@ -7,7 +7,7 @@
 
 #include "base/clock.h"
 #include "base/xmalloc.h"
-#include "node/caller/decision_note.h"
+#include "node/caller/decision_log.h"
 #include "node/caller/exchange_attempt.h"
 #include "node/caller/exchange_timeout.h"
 
@@ -27,21 +27,21 @@
 note_starved (struct exchange_attempt *attempt, bool starved)
 {
   const int64_t now_us = clock_now_us ();
-  if (attempt->starved_from_us > 0)
-    attempt->starved_us += now_us - attempt->starved_from_us;
-  attempt->starved_from_us = starved ? now_us : 0;
+  if (attempt->upload_stall_start_us > 0)
+    attempt->upload_stall_us += now_us - attempt->upload_stall_start_us;
+  attempt->upload_stall_start_us = starved ? now_us : 0;
 }
 
 static size_t
 on_read (void *owner, char *data, size_t size)
 {
   struct exchange *x = owner;
-  const size_t taken = stream_buffer_take (&x->upload, data, size);
-  const bool starved = taken == 0 && !x->upload.whole;
+  const size_t taken = stream_buffer_read (&x->upload, data, size);
+  const bool starved = taken == 0 && !x->upload.is_complete;
   note_starved (&x->attempt, starved);
   if (taken > 0)
-    exchange_kick (x);
-  return starved ? TARGET_CALL_WAIT : taken;
+    exchange_schedule_run (x);
+  return starved ? TARGET_CALL_PAUSE : taken;
 }
 
 static void
@@ -49,8 +49,8 @@
 {
   struct exchange *x = owner;
   struct exchange_attempt *attempt = &x->attempt;
-  attempt->head_seen = true;
-  attempt->head_us = clock_now_us ();
+  attempt->head_received = true;
+  attempt->response_head_us = clock_now_us ();
   attempt->status = head->status;
   attempt->length_bytes = head->length_bytes;
   header_list_clear (&attempt->headers);
@@ -61,21 +61,21 @@
       header_list_add (&attempt->headers, name, strlen (name), value,
                        strlen (value));
     }
-  exchange_kick (x);
+  exchange_schedule_run (x);
 }
 
 static bool
 on_body (void *owner, const char *data, size_t size)
 {
   struct exchange *x = owner;
-  x->progress_us = clock_now_us ();
-  if (stream_buffer_room (&x->answer) < size)
+  x->last_progress_us = clock_now_us ();
+  if (stream_buffer_free_bytes (&x->response_body) < size)
     {
-      x->attempt.held_back = true;
+      x->attempt.caller_was_slow = true;
       return false;
     }
-  stream_buffer_append (&x->answer, data, size);
-  exchange_kick (x);
+  stream_buffer_append (&x->response_body, data, size);
+  exchange_schedule_run (x);
   return true;
 }
 
@@ -84,9 +84,9 @@
 {
   struct exchange *x = owner;
   x->attempt.call = NULL;
-  x->progress_us = clock_now_us ();
+  x->last_progress_us = clock_now_us ();
   exchange_attempt_ended (x, end, message);
-  exchange_kick (x);
+  exchange_schedule_run (x);
 }
 
 static const struct target_call_events events
@@ -98,18 +98,18 @@
 {
   struct exchange_attempt *attempt = &x->attempt;
   const struct service_limits *limits = &x->service->spec->limits;
-  attempt->head_seen = false;
-  attempt->held_back = false;
-  attempt->starved_us = 0;
-  attempt->starved_from_us = 0;
-  attempt->timeout_us = ATTEMPT_NO_TIMEOUT;
-  attempt->open = true;
+  attempt->head_received = false;
+  attempt->caller_was_slow = false;
+  attempt->upload_stall_us = 0;
+  attempt->upload_stall_start_us = 0;
+  attempt->head_timeout_us = ATTEMPT_NO_TIMEOUT;
+  attempt->outcome_pending = true;
   attempt->started_us = clock_now_us ();
   const bool rewound = stream_buffer_rewind (&x->upload);
   assert (rewound);
   (void)rewound;
-  x->answer.taken = 0;
-  x->answer.used = 0;
+  x->response_body.consumed_bytes = 0;
+  x->response_body.used_bytes = 0;
   x->state = EXCHANGE_SENT;
   const struct target_call_options options = {
     .curl = x->context->curl,
@@ -119,11 +119,11 @@
     .method = x->head.method,
     .uri = x->uri,
     .headers = &x->head.headers,
-    .extra = extra,
+    .extra_fields = extra,
     .has_body = x->head.body != REQUEST_BODY_NONE,
     .body_bytes = x->head.body == REQUEST_BODY_SIZED ? x->head.body_bytes : -1,
-    .fresh = attempt->reuse_idle_ms < CURL_AGE_UNIT_MS,
-    .reuse_idle_ms = attempt->reuse_idle_ms,
+    .force_new_connection = attempt->reuse_idle_max_ms < CURL_AGE_UNIT_MS,
+    .reuse_idle_max_ms = attempt->reuse_idle_max_ms,
     .connect_timeout_ms = limits->connect_timeout_ms,
   };
   attempt->call = target_call_start (&options);
@@ -138,8 +138,9 @@
   const struct caller_limits *limits = &x->context->settings->limits;
   const uint32_t most_ms
       = x->repeatable ? limits->reuse_idle_ms : limits->reuse_idle_once_ms;
-  const uint32_t told_ms = target->idle_ms / IDLE_PARTS * IDLE_PARTS_USED;
-  return target->idle_ms > 0 && told_ms < most_ms ? told_ms : most_ms;
+  const uint32_t told_ms
+      = target->idle_timeout_ms / IDLE_PARTS * IDLE_PARTS_USED;
+  return target->idle_timeout_ms > 0 && told_ms < most_ms ? told_ms : most_ms;
 }
 
 static void
@@ -163,9 +164,9 @@
   size_t extra_count = 1;
   const struct caller_interface *interface = x->context->interface;
   format_deadline (x, deadline);
-  if (interface->meant_target != NULL)
+  if (interface->intended_target != NULL)
     {
-      snprintf (meant, sizeof meant, "%s: %s", interface->meant_target,
+      snprintf (meant, sizeof meant, "%s: %s", interface->intended_target,
                 target->name);
       extra[extra_count++] = meant;
     }
@@ -176,16 +177,16 @@
       extra[extra_count++] = workspace;
     }
   attempt->key = x->service->targets[number].key;
-  attempt->reuse_idle_ms = reuse_idle_ms (x, &x->service->targets[number]);
-  attempt->relay = false;
+  attempt->reuse_idle_max_ms = reuse_idle_ms (x, &x->service->targets[number]);
+  attempt->is_relay = false;
   snprintf (attempt->target, sizeof attempt->target, "%s", target->name);
   if (x->tried_count < POLICY_TRIED_MAX)
-    x->tried[x->tried_count++] = attempt->key;
-  x->attempts++;
-  if (x->attempts > 1)
+    x->tried_targets[x->tried_count++] = attempt->key;
+  x->attempt_count++;
+  if (x->attempt_count > 1)
     caller_counters_add (x->context->counters.retries, x->service->name, NULL);
   send_to (x, target->address, extra);
-  exchange_timeout_begin (x);
+  exchange_timeout_start (x);
 }
 
 void
@@ -201,19 +202,21 @@
   const char *const extra[]
       = { deadline, ticket, "Jaystair-Relayed: 1", credentials, NULL };
   /* The ticket may have run at its own host before. */
-  x->perhaps_ran = true;
-  x->attempt.relay = true;
-  x->attempt.reuse_idle_ms = 0;
+  x->may_have_run = true;
+  x->attempt.is_relay = true;
+  x->attempt.reuse_idle_max_ms = 0;
   snprintf (x->attempt.target, sizeof x->attempt.target, "%s", host);
-  decision_note_relay (x, host);
+  decision_log_relay (x, host);
   send_to (x, address, extra);
   free (credentials);
 }
 
 void
-exchange_go_on (struct exchange *x)
+exchange_unpause_attempt (struct exchange *x)
 {
-  const bool send = x->upload.whole || stream_buffer_waiting (&x->upload) > 0;
-  const bool receive = stream_buffer_room (&x->answer) >= CURL_MAX_WRITE_SIZE;
-  target_call_go_on (x->attempt.call, send, receive);
+  const bool send
+      = x->upload.is_complete || stream_buffer_pending_bytes (&x->upload) > 0;
+  const bool receive
+      = stream_buffer_free_bytes (&x->response_body) >= CURL_MAX_WRITE_SIZE;
+  target_call_unpause (x->attempt.call, send, receive);
 }
--- a/node/caller/exchange_send.h
+++ b/node/caller/exchange_send.h
@@ -15,6 +15,6 @@
                      const char *address);
 
 /** Let a call that paused go on, as far as there is something to do. */
-void exchange_go_on (struct exchange *x);
+void exchange_unpause_attempt (struct exchange *x);
 
 #endif
--- a/node/caller/exchange_begin.c
+++ b/node/caller/exchange_start.c
@@ -24,7 +24,7 @@
 static void
 refuse_unrouted (struct exchange *x)
 {
-  char message[OWN_ANSWER_MESSAGE_SIZE];
+  char message[LOCAL_RESPONSE_MESSAGE_SIZE];
   snprintf (message, sizeof message,
             "no route takes %.16s %.100s: check host, path and method",
             x->head.method, x->head.path);
@@ -47,15 +47,15 @@
 take_route (struct exchange *x, const struct route *route)
 {
   const struct service_limits *limits = &x->service->spec->limits;
-  caller_service_use (x->service);
+  caller_service_ref (x->service);
   x->repeatable = route->spec.repeatable;
   x->timeout_ms
       = route->timeout_ms > 0 ? route->timeout_ms : limits->timeout_ms;
   x->attempts_max = route->attempts > 0 ? route->attempts : limits->attempts;
-  x->bounded_by_route = route->timeout_ms > 0;
+  x->has_route_timeout = route->timeout_ms > 0;
   x->needs_key = !route->is_open;
   if (route->latency_goal_ms > 0)
-    x->goal_us = x->begun_us + (int64_t)route->latency_goal_ms * US_PER_MS;
+    x->goal_us = x->started_us + (int64_t)route->latency_goal_ms * US_PER_MS;
   snprintf (x->route, sizeof x->route, "%.63s", route->spec.path_prefix);
   memcpy (x->route_host, route->spec.host, sizeof x->route_host);
 }
@@ -69,7 +69,7 @@
   const int64_t left_us
       = context->started_us + SETTINGS_WAIT_US - clock_now_us ();
   if (left_us > 0)
-    exchange_await (x, EXCHANGE_AWAITS_SETTINGS, left_us);
+    exchange_wait_for (x, EXCHANGE_WAIT_SETTINGS, left_us);
   else
     refuse_unknown_yet (x, "no-settings");
 }
@@ -93,7 +93,7 @@
       refuse_unrouted (x);
       return false;
     }
-  x->service = caller_context_service (context, route_next_service (route));
+  x->service = caller_context_service (context, route_select_service (route));
   if (x->service == NULL)
     {
       refuse_unknown_yet (x, "no-service");
@@ -111,7 +111,7 @@
                                   ? config->limits.header_bytes
                                   : x->context->settings->limits.header_bytes;
   const uint32_t body_bytes = x->service->spec->limits.body_bytes;
-  char message[OWN_ANSWER_MESSAGE_SIZE];
+  char message[LOCAL_RESPONSE_MESSAGE_SIZE];
   if (x->head.head_bytes > head_bytes)
     {
       snprintf (message, sizeof message,
@@ -138,9 +138,9 @@
 set_deadline (struct exchange *x)
 {
   int64_t left_ms = x->head.deadline_ms;
-  if (left_ms < 0 || (x->bounded_by_route && x->timeout_ms < left_ms))
+  if (left_ms < 0 || (x->has_route_timeout && x->timeout_ms < left_ms))
     left_ms = x->timeout_ms;
-  x->deadline_us = x->begun_us + left_ms * US_PER_MS;
+  x->deadline_us = x->started_us + left_ms * US_PER_MS;
   if (left_ms > 0)
     return true;
   exchange_refuse (x, MHD_HTTP_GATEWAY_TIMEOUT, "deadline", 0,
@@ -167,10 +167,10 @@
 }
 
 void
-exchange_begin (struct exchange *x, const char *method, const char *version)
+exchange_start (struct exchange *x, const char *method, const char *version)
 {
   x->state = EXCHANGE_WAITING;
-  exchange_count (x);
+  exchange_count_in_flight (x);
   const enum status status = request_head_read (
       &x->head, x->context->interface, x->connection, x->uri, method, version);
   if (status != STATUS_OK)
@@ -181,18 +181,18 @@
     }
   if (comes_too_late (x))
     return;
-  x->deadline_us = x->begun_us + SETTINGS_WAIT_US;
-  exchange_begin_again (x);
+  x->deadline_us = x->started_us + SETTINGS_WAIT_US;
+  exchange_check_and_admit (x);
 }
 
 void
-exchange_begin_again (struct exchange *x)
+exchange_check_and_admit (struct exchange *x)
 {
   if (x->service == NULL)
     {
       if (!find_service (x) || !set_deadline (x))
         return;
-      exchange_arm (x, x->deadline_us - clock_now_us ());
+      exchange_set_timer (x, x->deadline_us - clock_now_us ());
     }
   if (!exchange_access_check (x) || !check_limits (x)
       || !exchange_poison_check (x) || !exchange_quota_check (x))
--- a/node/caller/exchange_ticket.c
+++ b/node/caller/exchange_ticket.c
@@ -17,21 +17,22 @@
 answer_unknown (struct exchange *x, uint32_t status, const char *reason,
                 const char *message)
 {
-  struct own_answer own
-      = { .status = status, .outcome = ANSWER_UNKNOWN, .reason = reason };
+  struct local_response own = { .status = status,
+                                .outcome = REQUEST_OUTCOME_UNKNOWN,
+                                .reason = reason };
   snprintf (own.message, sizeof own.message, "%s", message);
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 static void
 answer_duplicate (struct exchange *x, enum ticket_claim claim,
                   const struct ticket *ticket)
 {
-  struct own_answer own = { .status = MHD_HTTP_CONFLICT,
-                            .outcome = ANSWER_UNKNOWN,
-                            .reason = "ticket-duplicate" };
+  struct local_response own = { .status = MHD_HTTP_CONFLICT,
+                                .outcome = REQUEST_OUTCOME_UNKNOWN,
+                                .reason = "ticket-duplicate" };
   const uint32_t status
-      = ticket_desk_status (x->context->tickets, ticket->sequence);
+      = ticket_issuer_status (x->context->tickets, ticket->sequence);
   if (claim == TICKET_CLAIM_DUPLICATE_ANSWERED)
     snprintf (own.message, sizeof own.message,
               "this ticket has been run and answered with status %u: don't "
@@ -46,7 +47,7 @@
               "the same with a new one");
   if (claim == TICKET_CLAIM_DUPLICATE_RUNNING)
     own.retry_after_ms = RUNNING_RETRY_AFTER_MS;
-  exchange_answer_own (x, &own);
+  exchange_respond_locally (x, &own);
 }
 
 static void
@@ -66,7 +67,7 @@
 pass_on (struct exchange *x, const struct ticket *ticket)
 {
   const char *address
-      = host_directory_find (x->context->directory, ticket->host);
+      = host_directory_find (x->context->host_directory, ticket->host);
   const bool can = address != NULL && address[0] != '\0' && !x->head.relayed;
   if (can)
     exchange_relay (x, ticket->host, address);
@@ -82,7 +83,7 @@
 {
   struct ticket ticket;
   const enum ticket_claim claim
-      = ticket_desk_claim (x->context->tickets, x->head.ticket, &ticket);
+      = ticket_issuer_claim (x->context->tickets, x->head.ticket, &ticket);
   switch (claim)
     {
     case TICKET_CLAIM_RUN:
@@ -121,11 +122,11 @@
     return;
   x->ticket_claimed = false;
   enum ticket_end end = TICKET_END_UNKNOWN;
-  const bool answering = x->state == EXCHANGE_ANSWERING;
-  if (answering && x->answer.whole)
+  const bool answering = x->state == EXCHANGE_FORWARDING;
+  if (answering && x->response_body.is_complete)
     end = TICKET_END_ANSWERED;
-  else if (!answering && exchange_outcome (x) == ANSWER_NOT_RUN)
+  else if (!answering && exchange_outcome (x) == REQUEST_OUTCOME_NOT_RUN)
     end = TICKET_END_NOT_RUN;
-  ticket_desk_finish (x->context->tickets, x->ticket_sequence, end,
-                      x->attempt.status);
+  ticket_issuer_finish (x->context->tickets, x->ticket_sequence, end,
+                        x->attempt.status);
 }
--- a/node/caller/exchange_timeout.h
+++ b/node/caller/exchange_timeout.h
@@ -8,10 +8,10 @@
 #include "node/caller/exchange.h"
 
 /** The attempt under way has just begun. */
-void exchange_timeout_begin (struct exchange *x);
+void exchange_timeout_start (struct exchange *x);
 
 /** The timer came before the deadline while an attempt is under way: go to
  * another target if this one hangs, and arm the timer again. */
-void exchange_timeout_due (struct exchange *x);
+void exchange_timeout_check (struct exchange *x);
 
 #endif
--- a/node/caller/hangup_watch.c
+++ b/node/caller/hangup_watch.c
@@ -15,7 +15,7 @@
 struct hangup_watch
 {
   struct ev_loop *loop;
-  hangup_watch_gone *gone;
+  hangup_watch_fn *gone;
   int epoll_fd;
   ev_io io;
 };
@@ -33,7 +33,7 @@
 }
 
 struct hangup_watch *
-hangup_watch_create (struct ev_loop *loop, hangup_watch_gone *gone)
+hangup_watch_create (struct ev_loop *loop, hangup_watch_fn *gone)
 {
   const int fd = epoll_create1 (EPOLL_CLOEXEC);
   if (fd < 0)
--- a/node/caller/hangup_watch.h
+++ b/node/caller/hangup_watch.h
@@ -15,11 +15,11 @@
 struct hangup_watch;
 
 /** The other end of WATCHED's connection is gone; told once. */
-typedef void hangup_watch_gone (void *watched);
+typedef void hangup_watch_fn (void *watched);
 
 /** @return NULL on failure, with a message */
 struct hangup_watch *hangup_watch_create (struct ev_loop *loop,
-                                          hangup_watch_gone *gone);
+                                          hangup_watch_fn *gone);
 void hangup_watch_destroy (struct hangup_watch *watch);
 
 void hangup_watch_add (struct hangup_watch *watch, int fd, void *watched);
--- a/node/caller/header_list.c
+++ b/node/caller/header_list.c
@@ -64,11 +64,11 @@
                        "header fields are larger than %d bytes: send fewer "
                        "or shorter ones",
                        HEAD_MAX_BYTES);
-  if (list->count == list->room)
+  if (list->count == list->capacity)
     {
-      list->room = list->room > 0 ? list->room * 2 : FIRST_ROOM;
+      list->capacity = list->capacity > 0 ? list->capacity * 2 : FIRST_ROOM;
       list->fields
-          = xreallocarray (list->fields, list->room, sizeof *list->fields);
+          = xreallocarray (list->fields, list->capacity, sizeof *list->fields);
     }
   struct header_field *field = &list->fields[list->count++];
   field->name = add_text (list, name, name_size);
@@ -104,7 +104,7 @@
 }
 
 bool
-header_name_is (const char *name, const char *field)
+header_name_matches (const char *name, const char *field)
 {
   size_t i = 0;
   while (field[i] != '\0' && folded (name[i]) == folded (field[i]))
@@ -113,11 +113,11 @@
 }
 
 void
-header_list_remove_spellings (struct header_list *list, const char *name)
+header_list_remove_equivalent (struct header_list *list, const char *name)
 {
   size_t kept = 0;
   for (size_t i = 0; i < list->count; i++)
-    if (!header_name_is (header_list_name (list, i), name))
+    if (!header_name_matches (header_list_name (list, i), name))
       list->fields[kept++] = list->fields[i];
   list->count = kept;
 }
--- a/node/caller/header_list.h
+++ b/node/caller/header_list.h
@@ -27,7 +27,7 @@
   size_t size_bytes;
   struct header_field *fields;
   size_t count;
-  size_t room;
+  size_t capacity;
 };
 
 void header_list_release (struct header_list *list);
@@ -53,7 +53,7 @@
 
 /** Is NAME a spelling of FIELD?  Some who read a field take `_` for `-`, or
  * pass over blanks before the colon, so these are spellings as well. */
-bool header_name_is (const char *name, const char *field);
+bool header_name_matches (const char *name, const char *field);
 
 /** The value of the first field called NAME, or NULL. */
 const char *header_list_find (const struct header_list *list,
@@ -63,7 +63,8 @@
 void header_list_remove (struct header_list *list, const char *name);
 /** Take out every field whose name is a spelling of NAME: what nobody behind
  * may take for our word. */
-void header_list_remove_spellings (struct header_list *list, const char *name);
+void header_list_remove_equivalent (struct header_list *list,
+                                    const char *name);
 /** Take out every field whose name starts with PREFIX. */
 void header_list_remove_prefix (struct header_list *list, const char *prefix);
 
--- a/node/caller/host_directory.c
+++ b/node/caller/host_directory.c
@@ -61,8 +61,8 @@
 }
 
 void
-host_directory_learn (struct host_directory *directory,
-                      const struct bus_host_set *set)
+host_directory_update (struct host_directory *directory,
+                       const struct bus_host_set *set)
 {
   for (size_t i = 0; i < set->count; i++)
     learn_one (directory, &set->hosts[i]);
--- a/node/caller/host_directory.h
+++ b/node/caller/host_directory.h
@@ -13,8 +13,8 @@
 void host_directory_destroy (struct host_directory *directory);
 
 /** Take in the hosts of SET. */
-void host_directory_learn (struct host_directory *directory,
-                           const struct bus_host_set *set);
+void host_directory_update (struct host_directory *directory,
+                            const struct bus_host_set *set);
 
 /** The caller address of the host called NAME, or NULL. */
 const char *host_directory_find (const struct host_directory *directory,
--- a/node/caller/leaving_probe.c
+++ b/node/caller/leaving_probe.c
@@ -53,11 +53,11 @@
 finish (struct question *question)
 {
   struct caller_service *service = question->service;
-  const uint32_t target = caller_service_find (service, question->key);
+  const uint32_t target = caller_service_find_target (service, question->key);
   if (target != POLICY_NO_TARGET)
     service->targets[target].probing = false;
   DL_DELETE (question->probe->questions, question);
-  caller_service_leave (service);
+  caller_service_unref (service);
   free (question);
 }
 
@@ -65,7 +65,7 @@
 on_end (void *owner, enum target_call_end end, const char *message)
 {
   struct question *question = owner;
-  if (end == TARGET_CALL_WHOLE && !question->leaving)
+  if (end == TARGET_CALL_COMPLETE && !question->leaving)
     caller_service_set_leaving (question->service, question->key, false);
   finish (question);
 }
@@ -78,7 +78,7 @@
   static const struct header_list no_headers;
   struct question *question = xcalloc (1, sizeof *question);
   service->targets[i].probing = true;
-  caller_service_use (service);
+  caller_service_ref (service);
   question->probe = probe;
   question->service = service;
   question->key = service->targets[i].key;
@@ -91,7 +91,7 @@
           .method = "OPTIONS",
           .uri = "*",
           .headers = &no_headers,
-          .fresh = true,
+          .force_new_connection = true,
           .connect_timeout_ms = CONNECT_TIMEOUT_MS };
   question->call = target_call_start (&options);
 }
--- a/node/caller/own_answer.c
+++ b/node/caller/local_response.c
@@ -1,4 +1,4 @@
-#include "node/caller/own_answer.h"
+#include "node/caller/local_response.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -15,23 +15,23 @@
 };
 
 const char *
-answer_outcome_name (enum answer_outcome outcome)
+request_outcome_name (enum request_outcome outcome)
 {
-  static const char *const names[] = { [ANSWER_NOT_RUN] = "not-run",
-                                       [ANSWER_UNKNOWN] = "unknown",
-                                       [ANSWER_RAN] = "ran" };
+  static const char *const names[] = { [REQUEST_OUTCOME_NOT_RUN] = "not-run",
+                                       [REQUEST_OUTCOME_UNKNOWN] = "unknown",
+                                       [REQUEST_OUTCOME_RAN] = "ran" };
   return names[outcome];
 }
 
 static size_t
-format_body (const struct own_answer *answer, char text[BODY_SIZE])
+format_body (const struct local_response *answer, char text[BODY_SIZE])
 {
   char message[BODY_SIZE - 128];
   json_text_quote (message, sizeof message, answer->message);
   const int size = snprintf (
       text, BODY_SIZE,
       "{\"outcome\":\"%s\",\"reason\":\"%s\",\"message\":%s}\n",
-      answer_outcome_name (answer->outcome), answer->reason, message);
+      request_outcome_name (answer->outcome), answer->reason, message);
   return (size_t)size < BODY_SIZE ? (size_t)size : BODY_SIZE - 1;
 }
 
@@ -67,7 +67,7 @@
 /* The fields that differ from answer to answer.
    @return how many */
 static size_t
-answer_fields (const struct own_answer *answer,
+answer_fields (const struct local_response *answer,
                const struct caller_interface *interface,
                struct answer_field fields[FIELDS_MAX])
 {
@@ -76,9 +76,9 @@
     {
       fields[count].name = interface->outcome;
       snprintf (fields[count++].value, NUMBER_SIZE, "%s",
-                answer_outcome_name (answer->outcome));
+                request_outcome_name (answer->outcome));
     }
-  if (answer->asks_for_key)
+  if (answer->has_challenge)
     {
       fields[count].name = "WWW-Authenticate";
       snprintf (fields[count++].value, NUMBER_SIZE, "Bearer");
@@ -94,8 +94,8 @@
 }
 
 struct MHD_Response *
-own_answer_response (const struct own_answer *answer,
-                     const struct caller_interface *interface, bool close)
+local_response_create (const struct local_response *answer,
+                       const struct caller_interface *interface, bool close)
 {
   char body[BODY_SIZE];
   struct answer_field fields[FIELDS_MAX];
@@ -113,9 +113,9 @@
 }
 
 size_t
-own_answer_bytes (const struct own_answer *answer,
-                  const struct caller_interface *interface,
-                  char text[OWN_ANSWER_TEXT_SIZE])
+local_response_format (const struct local_response *answer,
+                       const struct caller_interface *interface,
+                       char text[LOCAL_RESPONSE_TEXT_SIZE])
 {
   char body[BODY_SIZE];
   char lines[LINES_SIZE] = "";
@@ -127,11 +127,11 @@
     used += (size_t)snprintf (lines + used, sizeof lines - used, "%s: %s\r\n",
                               fields[i].name, fields[i].value);
   const int total
-      = snprintf (text, OWN_ANSWER_TEXT_SIZE,
+      = snprintf (text, LOCAL_RESPONSE_TEXT_SIZE,
                   "HTTP/1.1 %u %s\r\nContent-Type: application/json\r\n"
                   "Cache-Control: no-store\r\n%sConnection: close\r\n"
                   "Content-Length: %zu\r\n\r\n%s",
                   answer->status, MHD_get_reason_phrase_for (answer->status),
                   lines, size, body);
-  return (size_t)total < OWN_ANSWER_TEXT_SIZE ? (size_t)total : 0;
+  return (size_t)total < LOCAL_RESPONSE_TEXT_SIZE ? (size_t)total : 0;
 }
--- a/node/caller/caller_news.c
+++ b/node/caller/outcome_report.c
@@ -1,4 +1,4 @@
-#include "node/caller/caller_news.h"
+#include "node/caller/outcome_report.h"
 
 #include "base/clock.h"
 #include "node/caller/caller_share.h"
@@ -20,17 +20,17 @@
   struct caller_target *target = &service->targets[number];
   if (!service->in_set
       || caller_share_is_backup (service, &service->spec->targets[number])
-      || now_us - target->told_unsent_us < TELL_UNSENT_US)
+      || now_us - target->unsent_reported_us < TELL_UNSENT_US)
     return false;
-  target->told_unsent_us = now_us;
+  target->unsent_reported_us = now_us;
   return true;
 }
 
 bool
-caller_news_is_worth_telling (struct caller_service *service, uint64_t key,
-                              enum attempt_end end)
+outcome_report_is_due (struct caller_service *service, uint64_t key,
+                       enum attempt_end end)
 {
-  const uint32_t number = caller_service_find (service, key);
+  const uint32_t number = caller_service_find_target (service, key);
   if (number == POLICY_NO_TARGET || end == ATTEMPT_CANCELLED
       || end == ATTEMPT_SHED)
     return false;
@@ -38,12 +38,12 @@
   const int64_t now_us = clock_now_us ();
   if (end == ATTEMPT_NOT_SENT)
     return is_unsent_news (service, number, now_us);
-  const struct policy_belief belief
-      = service_policy_belief (service->policy, number);
+  const struct policy_target_status belief
+      = service_policy_target_status (service->policy, number);
   const bool is_expected = end == ATTEMPT_ANSWERED
                            && belief.failure_permille < DOUBT_PERMILLE
-                           && now_us - target->told_us < TELL_GOOD_US;
+                           && now_us - target->reported_us < TELL_GOOD_US;
   if (!is_expected)
-    target->told_us = now_us;
+    target->reported_us = now_us;
   return !is_expected;
 }
--- a/node/caller/poison_desk.c
+++ b/node/caller/poison_filter.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "caller"
 
-#include "node/caller/poison_desk.h"
+#include "node/caller/poison_filter.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -21,7 +21,7 @@
 
 static const double REFRESH_INTERVAL_S = 2.0;
 
-struct poison_desk
+struct poison_filter
 {
   struct caller_context *context;
   struct poison_table *table;
@@ -29,7 +29,7 @@
 };
 
 static void
-announce (const struct poison_desk *desk, const char *service,
+announce (const struct poison_filter *desk, const char *service,
           const struct poison_row *rows, size_t count,
           enum poison_recipients to, bool is_stored)
 {
@@ -58,12 +58,12 @@
 static void
 on_refresh (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  struct poison_desk *desk = timer->data;
+  struct poison_filter *desk = timer->data;
   struct poison_row rows[REFRESH_ROWS_MAX];
   const int64_t now_ms = clock_now_ms ();
   poison_table_expire (desk->table, now_ms);
   const size_t count
-      = poison_table_rows (desk->table, now_ms, rows, REFRESH_ROWS_MAX);
+      = poison_table_export (desk->table, now_ms, rows, REFRESH_ROWS_MAX);
   if (count > 0)
     announce (desk, "", rows, count,
               has_recent_crash (rows, count) ? POISON_TO_RANDOM_FEW
@@ -73,15 +73,15 @@
     ev_timer_stop (loop, timer);
 }
 
-struct poison_desk *
-poison_desk_create (struct caller_context *context)
+struct poison_filter *
+poison_filter_create (struct caller_context *context)
 {
   const struct poison_settings *settings = &context->settings->poison;
   const struct poison_options options
       = { .crashes = settings->crashes,
           .block_ms = settings->block_ms,
           .block_max_ms = settings->block_max_ms };
-  struct poison_desk *desk = xcalloc (1, sizeof *desk);
+  struct poison_filter *desk = xcalloc (1, sizeof *desk);
   desk->context = context;
   desk->table = poison_table_create (&options);
   ev_timer_init (&desk->refresh, on_refresh, 0., REFRESH_INTERVAL_S);
@@ -90,7 +90,7 @@
 }
 
 void
-poison_desk_destroy (struct poison_desk *desk)
+poison_filter_destroy (struct poison_filter *desk)
 {
   if (desk == NULL)
     return;
@@ -100,13 +100,13 @@
 }
 
 bool
-poison_desk_is_empty (const struct poison_desk *desk)
+poison_filter_is_empty (const struct poison_filter *desk)
 {
   return poison_table_is_empty (desk->table);
 }
 
 bool
-poison_desk_has_head (const struct poison_desk *desk, uint64_t head)
+poison_filter_has_head (const struct poison_filter *desk, uint64_t head)
 {
   return poison_table_has_head (desk->table, head);
 }
@@ -120,16 +120,16 @@
   const struct fleet_host *first = NULL;
   for (size_t i = 0; i < service->host_count; i++)
     if (first == NULL
-        || rendezvous_before (fingerprint->low, &service->placed_hosts[i],
+        || rendezvous_before (fingerprint->low, &service->rendezvous_hosts[i],
                               first))
-      first = &service->placed_hosts[i];
+      first = &service->rendezvous_hosts[i];
   return first == NULL || first->key == service->own_key;
 }
 
 enum poison_verdict
-poison_desk_check (struct poison_desk *desk,
-                   const struct caller_service *service,
-                   const struct fingerprint *fingerprint, uint32_t *left_ms)
+poison_filter_check (struct poison_filter *desk,
+                     const struct caller_service *service,
+                     const struct fingerprint *fingerprint, uint32_t *left_ms)
 {
   const enum poison_verdict verdict
       = poison_table_check (desk->table, clock_now_ms (), fingerprint,
@@ -160,14 +160,14 @@
 }
 
 static void
-start_refresh (struct poison_desk *desk)
+start_refresh (struct poison_filter *desk)
 {
   if (!ev_is_active (&desk->refresh))
     ev_timer_again (desk->context->loop, &desk->refresh);
 }
 
 static struct poison_row
-current_block (const struct poison_desk *desk,
+current_block (const struct poison_filter *desk,
                const struct fingerprint *fingerprint)
 {
   return poison_table_get_block (desk->table, clock_now_ms (), fingerprint);
@@ -176,7 +176,7 @@
 /* Announces a block that applying ROW has created.  Only a host that counted
    the crashes itself, rather than received the block, has it stored. */
 static void
-announce_block (struct poison_desk *desk, const char *service,
+announce_block (struct poison_filter *desk, const char *service,
                 const struct poison_row *row, uint32_t strikes_before,
                 bool is_counted)
 {
@@ -187,12 +187,12 @@
   log_change ("poison-blocked", service, &row->fingerprint, &block, source);
   caller_counters_add (desk->context->counters.poison_blocks, source, NULL);
   announce (desk, service, &block, 1, POISON_TO_RANDOM_FEW, is_counted);
-  exchange_poison_blocked (desk->context, &row->fingerprint, block.left_ms);
+  exchange_poison_cancel_all (desk->context, &row->fingerprint, block.left_ms);
 }
 
 void
-poison_desk_add_crash (struct poison_desk *desk, const char *service,
-                       const struct poison_crash *crash)
+poison_filter_add_crash (struct poison_filter *desk, const char *service,
+                         const struct poison_crash *crash)
 {
   struct poison_row row;
   const uint32_t before = current_block (desk, &crash->fingerprint).strikes;
@@ -207,7 +207,7 @@
 /* SERVICE is "" if unknown: the hosts of its set then receive the change from
    other hosts only. */
 static bool
-clear_request (struct poison_desk *desk, const char *service,
+clear_request (struct poison_filter *desk, const char *service,
                const struct fingerprint *fingerprint, const char *source)
 {
   struct poison_row row;
@@ -221,21 +221,21 @@
 }
 
 void
-poison_desk_clear (struct poison_desk *desk, const char *service,
-                   const struct fingerprint *fingerprint)
+poison_filter_clear (struct poison_filter *desk, const char *service,
+                     const struct fingerprint *fingerprint)
 {
   clear_request (desk, service, fingerprint, "own");
 }
 
 bool
-poison_desk_clear_manually (struct poison_desk *desk,
-                            const struct fingerprint *fingerprint)
+poison_filter_clear_manually (struct poison_filter *desk,
+                              const struct fingerprint *fingerprint)
 {
   return clear_request (desk, "", fingerprint, "operator");
 }
 
 static void
-merge_row (struct poison_desk *desk, const char *service,
+merge_row (struct poison_filter *desk, const char *service,
            const struct poison_row *row)
 {
   const uint32_t before = current_block (desk, &row->fingerprint).strikes;
@@ -252,8 +252,8 @@
 }
 
 void
-poison_desk_receive (struct poison_desk *desk,
-                     const struct bus_poison *received)
+poison_filter_receive (struct poison_filter *desk,
+                       const struct bus_poison *received)
 {
   start_refresh (desk);
   for (size_t i = 0; i < received->count; i++)
@@ -261,12 +261,12 @@
 }
 
 struct json_object *
-poison_desk_rows (const struct poison_desk *desk)
+poison_filter_rows (const struct poison_filter *desk)
 {
   struct poison_summary summaries[POISON_ENTRIES_MAX];
   struct json_object *rows = json_object_new_array ();
-  const size_t count = poison_table_summaries (desk->table, clock_now_ms (),
-                                               summaries, POISON_ENTRIES_MAX);
+  const size_t count = poison_table_list (desk->table, clock_now_ms (),
+                                          summaries, POISON_ENTRIES_MAX);
   for (size_t i = 0; i < count; i++)
     {
       char text[FINGERPRINT_TEXT_SIZE];
--- a/node/caller/request_head.c
+++ b/node/caller/request_head.c
@@ -144,9 +144,9 @@
   header_list_remove_hop_by_hop (&head->headers);
   header_list_remove_prefix (&head->headers, "Jaystair-");
   header_list_remove (&head->headers, interface->deadline_ms);
-  header_list_remove_spellings (&head->headers, interface->workspace);
-  if (interface->meant_target != NULL)
-    header_list_remove (&head->headers, interface->meant_target);
+  header_list_remove_equivalent (&head->headers, interface->workspace);
+  if (interface->intended_target != NULL)
+    header_list_remove (&head->headers, interface->intended_target);
   return status;
 }
 
--- a/node/caller/request_key.c
+++ b/node/caller/request_key.c
@@ -39,7 +39,8 @@
   struct request_key key = { .state = REQUEST_KEY_NONE };
   for (size_t i = 0; i < headers->count; i++)
     {
-      if (!header_name_is (header_list_name (headers, i), "Authorization"))
+      if (!header_name_matches (header_list_name (headers, i),
+                                "Authorization"))
         continue;
       /* Of two, whoever stands behind might take the other one. */
       if (key.state != REQUEST_KEY_NONE)
--- a/node/caller/answer_check.c
+++ b/node/caller/response_check.c
@@ -1,4 +1,4 @@
-#include "node/caller/answer_check.h"
+#include "node/caller/response_check.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -13,14 +13,14 @@
 
 /* Only a target's own word tells that a request was not run. */
 bool
-answer_check_is_shed (const struct exchange *x)
+response_check_is_shed (const struct exchange *x)
 {
   const struct caller_interface *interface = x->context->interface;
   const char *said
       = header_list_find (&x->attempt.headers, interface->not_run);
   const uint32_t status = x->attempt.status;
   if (status == MHD_HTTP_MISDIRECTED_REQUEST)
-    return interface->meant_target != NULL;
+    return interface->intended_target != NULL;
   if (said == NULL || status < MHD_HTTP_BAD_REQUEST)
     return false;
   return interface->not_run_value == NULL
@@ -31,7 +31,7 @@
 
 /* When a target that shed the request wants to be asked again. */
 void
-answer_check_note_retry_after (struct exchange *x)
+response_check_store_retry_after (struct exchange *x)
 {
   const struct header_list *headers = &x->attempt.headers;
   const char *name = x->context->interface->retry_after_ms;
@@ -44,7 +44,7 @@
     after_ms = (long long)(strtod (seconds, NULL) * MS_PER_SECOND);
   if (after_ms < 0 || after_ms > RETRY_AFTER_MAX_MS)
     return;
-  x->shed_retry_after_ms = (uint32_t)after_ms;
+  x->target_retry_after_ms = (uint32_t)after_ms;
 }
 
 static void
@@ -67,12 +67,12 @@
     return;
   const long seconds = strtol (timeout + strlen ("timeout="), NULL, 10);
   if (seconds > 0 && seconds < IDLE_MAX_S)
-    caller_service_set_idle (x->service, x->attempt.key,
-                             (uint32_t)seconds * MS_PER_SECOND);
+    caller_service_set_idle_timeout (x->service, x->attempt.key,
+                                     (uint32_t)seconds * MS_PER_SECOND);
 }
 
 void
-answer_check_note_target (struct exchange *x)
+response_check_update_target (struct exchange *x)
 {
   note_leaving (x);
   note_idle (x);
@@ -81,7 +81,7 @@
 /* A head that libmicrohttpd could not write whole would end the caller's
    connection without a word. */
 bool
-answer_check_is_too_large (const struct exchange *x)
+response_check_is_too_large (const struct exchange *x)
 {
   return x->attempt.headers.used_bytes
          > x->context->settings->limits.header_bytes;
@@ -94,7 +94,7 @@
    gets somebody else's answer.  The identity that each answer repeats, and
    the signature that only a target can make, tell them apart. */
 const char *
-answer_check_fault (const struct exchange *x)
+response_check_error (const struct exchange *x)
 {
   const struct caller_interface *interface = x->context->interface;
   const struct header_list *headers = &x->attempt.headers;
@@ -108,7 +108,7 @@
   if (is_success && interface->signature != NULL
       && header_list_find (headers, interface->signature) == NULL)
     return "the answer bears no signature";
-  if (interface->refuses_coding
+  if (interface->rejects_content_coding
       && header_list_find (headers, "Content-Encoding") != NULL)
     return "the answer's body is coded";
   return NULL;
@@ -117,7 +117,7 @@
 /* Guards against a promise that no target has made: a caller takes these for
    "not run and never will be". */
 bool
-answer_check_would_promise (const struct exchange *x)
+response_check_is_unsigned_refusal (const struct exchange *x)
 {
   switch (x->attempt.status)
     {
--- a/node/caller/route_table.c
+++ b/node/caller/route_table.c
@@ -48,7 +48,7 @@
 route_destroy (struct route *route)
 {
   free (route->parts);
-  free (route->credits);
+  free (route->current_weights);
   free (route);
 }
 
@@ -140,9 +140,10 @@
 }
 
 void
-route_table_set (struct route_table *table, const struct service_spec *spec)
+route_table_set_service (struct route_table *table,
+                         const struct service_spec *spec)
 {
-  route_table_remove (table, spec->name);
+  route_table_remove_service (table, spec->name);
   for (size_t i = 0; i < spec->route_count; i++)
     add_route (table, spec->name, &spec->routes[i]);
 }
@@ -165,7 +166,7 @@
 }
 
 void
-route_table_remove (struct route_table *table, const char *service)
+route_table_remove_service (struct route_table *table, const char *service)
 {
   struct bucket *bucket;
   struct bucket *next;
@@ -188,7 +189,7 @@
   for (size_t i = 0; i < route->part_count; i++)
     weights += route->parts[i].weight;
   for (uint64_t i = rng_below (&rng, weights); i > 0; i--)
-    route_next_service (route);
+    route_select_service (route);
 }
 
 static void
@@ -204,7 +205,8 @@
   route->part_count = from->part_count;
   route->parts = xcalloc (from->part_count, sizeof *route->parts);
   memcpy (route->parts, from->parts, from->part_count * sizeof *route->parts);
-  route->credits = xcalloc (from->part_count, sizeof *route->credits);
+  route->current_weights
+      = xcalloc (from->part_count, sizeof *route->current_weights);
   shuffle_credits (route, seed);
 }
 
@@ -212,7 +214,7 @@
 route_table_set_config (struct route_table *table,
                         const struct fleet_config *config, uint64_t seed)
 {
-  route_table_remove (table, "");
+  route_table_remove_service (table, "");
   for (size_t i = 0; i < config->route_count; i++)
     add_configured (table, &config->routes[i], seed);
 }
@@ -220,7 +222,7 @@
 /* Each part earns its weight with each request; the one with the most pays
    for it with the weights of all. */
 const char *
-route_next_service (const struct route *route)
+route_select_service (const struct route *route)
 {
   if (route->parts == NULL)
     return route->service;
@@ -229,16 +231,17 @@
   for (size_t i = 0; i < route->part_count; i++)
     {
       weights += route->parts[i].weight;
-      route->credits[i] += route->parts[i].weight;
-      if (route->credits[i] > route->credits[best])
+      route->current_weights[i] += route->parts[i].weight;
+      if (route->current_weights[i] > route->current_weights[best])
         best = i;
     }
-  route->credits[best] -= weights;
+  route->current_weights[best] -= weights;
   return route->parts[best].service;
 }
 
 const char *
-route_table_service_of_host (const struct route_table *table, const char *host)
+route_table_find_service_by_host (const struct route_table *table,
+                                  const char *host)
 {
   for (const struct bucket *bucket = table->buckets; bucket != NULL;
        bucket = bucket->hh.next)
--- a/node/caller/route_table.h
+++ b/node/caller/route_table.h
@@ -35,7 +35,7 @@
   uint32_t priority;
   bool is_open;             /**< requests need no key */
   struct route_part *parts; /**< NULL: all goes to `service` */
-  int64_t *credits;         /**< of each part, towards its next request */
+  int64_t *current_weights; /**< of each part, towards its next request */
   size_t part_count;
 };
 
@@ -45,9 +45,10 @@
 void route_table_destroy (struct route_table *table);
 
 /** Replace the routes of SPEC's service.  Routes found before are gone. */
-void route_table_set (struct route_table *table,
-                      const struct service_spec *spec);
-void route_table_remove (struct route_table *table, const char *service);
+void route_table_set_service (struct route_table *table,
+                              const struct service_spec *spec);
+void route_table_remove_service (struct route_table *table,
+                                 const char *service);
 
 /** Replace all configured routes by those of CONFIG.  SEED makes hosts begin
  * at different parts of a route. */
@@ -56,12 +57,12 @@
 
 /** The service that takes the next request of ROUTE: each part of a route
  * gets its share of any few requests, not only on average. */
-const char *route_next_service (const struct route *route);
+const char *route_select_service (const struct route *route);
 
 /** A service that requests to HOST may go to, or NULL: for callers that ask
  * for addresses by the name that their requests bear. */
-const char *route_table_service_of_host (const struct route_table *table,
-                                         const char *host);
+const char *route_table_find_service_by_host (const struct route_table *table,
+                                              const char *host);
 
 /** The bit of METHOD in `enum route_method`; 0 for one that routes can't
  * name, which only a route for any method matches. */
--- a/node/caller/stream_buffer.c
+++ b/node/caller/stream_buffer.c
@@ -16,7 +16,7 @@
                     bool keep)
 {
   *buffer = (struct stream_buffer){ .capacity_bytes = capacity_bytes,
-                                    .keep = keep };
+                                    .keep_consumed = keep };
 }
 
 void
@@ -27,27 +27,27 @@
 }
 
 size_t
-stream_buffer_waiting (const struct stream_buffer *buffer)
+stream_buffer_pending_bytes (const struct stream_buffer *buffer)
 {
-  return buffer->used - buffer->taken;
+  return buffer->used_bytes - buffer->consumed_bytes;
 }
 
 size_t
-stream_buffer_room (const struct stream_buffer *buffer)
+stream_buffer_free_bytes (const struct stream_buffer *buffer)
 {
-  return buffer->capacity_bytes - stream_buffer_waiting (buffer);
+  return buffer->capacity_bytes - stream_buffer_pending_bytes (buffer);
 }
 
 static void
 drop_taken (struct stream_buffer *buffer)
 {
-  if (buffer->taken == 0)
+  if (buffer->consumed_bytes == 0)
     return;
-  const size_t waiting = stream_buffer_waiting (buffer);
-  memmove (buffer->data, buffer->data + buffer->taken, waiting);
-  buffer->used = waiting;
-  buffer->taken = 0;
-  buffer->dropped = true;
+  const size_t waiting = stream_buffer_pending_bytes (buffer);
+  memmove (buffer->data, buffer->data + buffer->consumed_bytes, waiting);
+  buffer->used_bytes = waiting;
+  buffer->consumed_bytes = 0;
+  buffer->start_discarded = true;
 }
 
 static void
@@ -67,45 +67,45 @@
 stream_buffer_append (struct stream_buffer *buffer, const char *data,
                       size_t size)
 {
-  const size_t room = stream_buffer_room (buffer);
+  const size_t room = stream_buffer_free_bytes (buffer);
   if (size > room)
     size = room;
   if (size == 0)
     return 0;
-  const bool fits = buffer->used + size <= buffer->capacity_bytes;
-  if (!buffer->keep || !fits)
+  const bool fits = buffer->used_bytes + size <= buffer->capacity_bytes;
+  if (!buffer->keep_consumed || !fits)
     drop_taken (buffer);
-  if (buffer->used + size > buffer->size_bytes)
-    grow (buffer, buffer->used + size);
-  memcpy (buffer->data + buffer->used, data, size);
-  buffer->used += size;
+  if (buffer->used_bytes + size > buffer->size_bytes)
+    grow (buffer, buffer->used_bytes + size);
+  memcpy (buffer->data + buffer->used_bytes, data, size);
+  buffer->used_bytes += size;
   return size;
 }
 
 size_t
-stream_buffer_take (struct stream_buffer *buffer, char *data, size_t size)
+stream_buffer_read (struct stream_buffer *buffer, char *data, size_t size)
 {
-  const size_t waiting = stream_buffer_waiting (buffer);
+  const size_t waiting = stream_buffer_pending_bytes (buffer);
   if (size > waiting)
     size = waiting;
   if (size == 0)
     return 0;
-  memcpy (data, buffer->data + buffer->taken, size);
-  buffer->taken += size;
+  memcpy (data, buffer->data + buffer->consumed_bytes, size);
+  buffer->consumed_bytes += size;
   return size;
 }
 
 bool
 stream_buffer_rewind (struct stream_buffer *buffer)
 {
-  if (buffer->dropped)
+  if (buffer->start_discarded)
     return false;
-  buffer->taken = 0;
+  buffer->consumed_bytes = 0;
   return true;
 }
 
 bool
-stream_buffer_ended (const struct stream_buffer *buffer)
+stream_buffer_is_drained (const struct stream_buffer *buffer)
 {
-  return buffer->whole && stream_buffer_waiting (buffer) == 0;
+  return buffer->is_complete && stream_buffer_pending_bytes (buffer) == 0;
 }
--- a/node/caller/stream_buffer.h
+++ b/node/caller/stream_buffer.h
@@ -17,11 +17,11 @@
   char *data;
   size_t size_bytes;     /**< of `data`, grown as needed */
   size_t capacity_bytes; /**< most it may hold */
-  size_t taken;          /**< of the bytes in `data`, from the front */
-  size_t used;
-  bool keep;
-  bool dropped; /**< bytes are gone: no rewind */
-  bool whole;   /**< no more will be appended */
+  size_t consumed_bytes; /**< of the bytes in `data`, from the front */
+  size_t used_bytes;
+  bool keep_consumed;
+  bool start_discarded; /**< bytes are gone: no rewind */
+  bool is_complete;     /**< no more will be appended */
 };
 
 void stream_buffer_init (struct stream_buffer *buffer, size_t capacity_bytes,
@@ -29,9 +29,9 @@
 void stream_buffer_release (struct stream_buffer *buffer);
 
 /** Bytes that can be appended now. */
-size_t stream_buffer_room (const struct stream_buffer *buffer);
+size_t stream_buffer_free_bytes (const struct stream_buffer *buffer);
 /** Bytes waiting to be taken. */
-size_t stream_buffer_waiting (const struct stream_buffer *buffer);
+size_t stream_buffer_pending_bytes (const struct stream_buffer *buffer);
 
 /** Append at most SIZE bytes.
  * @return the number taken in */
@@ -40,7 +40,7 @@
 
 /** Take at most SIZE bytes into DATA.
  * @return the number taken */
-size_t stream_buffer_take (struct stream_buffer *buffer, char *data,
+size_t stream_buffer_read (struct stream_buffer *buffer, char *data,
                            size_t size);
 
 /** Go back to the first byte.
@@ -48,6 +48,6 @@
 bool stream_buffer_rewind (struct stream_buffer *buffer);
 
 /** Everything was taken and no more will come. */
-bool stream_buffer_ended (const struct stream_buffer *buffer);
+bool stream_buffer_is_drained (const struct stream_buffer *buffer);
 
 #endif
--- a/node/caller/target_call.c
+++ b/node/caller/target_call.c
@@ -49,7 +49,7 @@
   if (call->owner == NULL)
     return CURL_READFUNC_ABORT;
   const size_t got = call->events->read (call->owner, data, size * count);
-  call->read_paused = got == TARGET_CALL_WAIT;
+  call->read_paused = got == TARGET_CALL_PAUSE;
   return call->read_paused ? CURL_READFUNC_PAUSE : got;
 }
 
@@ -172,11 +172,11 @@
     message = curl_easy_strerror (code);
   if (call->fault != NULL)
     message = call->fault;
-  enum target_call_end end = TARGET_CALL_CUT;
+  enum target_call_end end = TARGET_CALL_BROKEN;
   if (call->sendings == 0)
     end = TARGET_CALL_NOT_SENT;
   else if (code == CURLE_OK && call->head_told)
-    end = TARGET_CALL_WHOLE;
+    end = TARGET_CALL_COMPLETE;
   if (call->owner != NULL)
     call->events->end (call->owner, end, message);
   call_destroy (call);
@@ -213,7 +213,7 @@
   for (size_t i = 0; i < headers->count; i++)
     add_header (call, header_list_name (headers, i),
                 header_list_value (headers, i));
-  for (const char *const *extra = options->extra;
+  for (const char *const *extra = options->extra_fields;
        extra != NULL && *extra != NULL; extra++)
     add_line (call, *extra);
   if (header_list_find (headers, "Accept") == NULL)
@@ -252,8 +252,8 @@
   curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS,
                     (long)options->connect_timeout_ms);
   curl_easy_setopt (easy, CURLOPT_MAXAGE_CONN,
-                    (long)(options->reuse_idle_ms / MS_PER_SECOND));
-  if (options->fresh)
+                    (long)(options->reuse_idle_max_ms / MS_PER_SECOND));
+  if (options->force_new_connection)
     {
       curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, 1L);
       /* Else each such call would leave one more open connection behind. */
@@ -299,13 +299,13 @@
 }
 
 bool
-target_call_perhaps_sent (const struct target_call *call)
+target_call_may_have_sent (const struct target_call *call)
 {
   return call->sendings > 0;
 }
 
 void
-target_call_go_on (struct target_call *call, bool send, bool receive)
+target_call_unpause (struct target_call *call, bool send, bool receive)
 {
   const bool send_again = send && call->read_paused;
   const bool receive_again = receive && call->body_paused;
--- a/node/caller/target_call.h
+++ b/node/caller/target_call.h
@@ -30,12 +30,12 @@
 enum target_call_end
 {
   TARGET_CALL_NOT_SENT, /**< no byte of the request left this host */
-  TARGET_CALL_CUT,      /**< perhaps sent; no whole answer came */
-  TARGET_CALL_WHOLE     /**< the answer came whole */
+  TARGET_CALL_BROKEN,   /**< perhaps sent; no whole answer came */
+  TARGET_CALL_COMPLETE  /**< the answer came whole */
 };
 
 /** Returned by `read` when there is nothing to send yet. */
-#define TARGET_CALL_WAIT SIZE_MAX
+#define TARGET_CALL_PAUSE SIZE_MAX
 
 /** The head of a final answer. */
 struct target_head
@@ -51,11 +51,11 @@
 struct target_call_events
 {
   /** Bytes of the request's body into DATA.
-   * @return their number, 0 at the body's end, or TARGET_CALL_WAIT */
+   * @return their number, 0 at the body's end, or TARGET_CALL_PAUSE */
   size_t (*read) (void *owner, char *data, size_t size);
   void (*head) (void *owner, const struct target_head *head);
   /** Bytes of the answer's body.
-   * @return false to be given them again after target_call_go_on() */
+   * @return false to be given them again after target_call_unpause() */
   bool (*body) (void *owner, const char *data, size_t size);
   /** The last event; the call is gone after it. */
   void (*end) (void *owner, enum target_call_end end, const char *message);
@@ -70,11 +70,13 @@
   const char *method;
   const char *uri; /**< path and query, as sent */
   const struct header_list *headers;
-  const char *const *extra; /**< whole fields "Name: value"; ends in NULL */
+  const char *const
+      *extra_fields; /**< whole fields "Name: value"; ends in NULL */
   bool has_body;
   int64_t body_bytes; /**< -1 when not known: sent in chunks */
-  bool fresh;
-  uint32_t reuse_idle_ms; /**< longest a kept connection may have been idle */
+  bool force_new_connection;
+  uint32_t
+      reuse_idle_max_ms; /**< longest a kept connection may have been idle */
   uint32_t connect_timeout_ms;
 };
 
@@ -86,9 +88,9 @@
 void target_call_cancel (struct target_call *call);
 
 /** May the target have seen a byte of the request? */
-bool target_call_perhaps_sent (const struct target_call *call);
+bool target_call_may_have_sent (const struct target_call *call);
 
 /** Call `read` (SEND) or `body` (RECEIVE) again, if it paused. */
-void target_call_go_on (struct target_call *call, bool send, bool receive);
+void target_call_unpause (struct target_call *call, bool send, bool receive);
 
 #endif
--- a/node/caller/target_limits.c
+++ b/node/caller/target_limits.c
@@ -88,10 +88,10 @@
   for (size_t i = 0; name != NULL && i < headers->count; i++)
     {
       uint32_t rate_millis;
-      if (!header_name_is (header_list_name (headers, i), name))
+      if (!header_name_matches (header_list_name (headers, i), name))
         continue;
       *is_present = true;
-      if (!limit_text_read (header_list_value (headers, i), &rate_millis))
+      if (!limit_text_parse (header_list_value (headers, i), &rate_millis))
         log_refused (x, header_list_value (headers, i));
       else if (lowest == 0 || rate_millis < lowest)
         lowest = rate_millis;
@@ -100,9 +100,10 @@
 }
 
 void
-target_limits_note_answer (const struct exchange *x)
+target_limits_update_from_answer (const struct exchange *x)
 {
-  const uint32_t number = caller_service_find (x->service, x->attempt.key);
+  const uint32_t number
+      = caller_service_find_target (x->service, x->attempt.key);
   if (number == POLICY_NO_TARGET
       || x->context->interface->target_limit == NULL)
     return;
@@ -129,12 +130,13 @@
   for (size_t i = 0; service != NULL && i < heard->count; i++)
     {
       const struct limit_row *row = &heard->rows[i];
-      const uint32_t number = caller_service_find (service, row->target);
+      const uint32_t number
+          = caller_service_find_target (service, row->target);
       const int64_t sent_us
           = clock_now_us () - (int64_t)row->sent_ago_ms * US_PER_MS;
       if (number != POLICY_NO_TARGET
-          && limit_state_note_heard (&service->targets[number].limit,
-                                     row->rate_millis, sent_us))
+          && limit_state_note_reported (&service->targets[number].limit,
+                                        row->rate_millis, sent_us))
         apply_change (context, service, number, false);
     }
 }
@@ -167,14 +169,14 @@
 void
 target_limits_start (struct caller_context *context)
 {
-  ev_timer_init (&context->limit_refresh, on_refresh, REFRESH_INTERVAL_S,
+  ev_timer_init (&context->limit_refresh_timer, on_refresh, REFRESH_INTERVAL_S,
                  REFRESH_INTERVAL_S);
-  context->limit_refresh.data = context;
-  ev_timer_start (context->loop, &context->limit_refresh);
+  context->limit_refresh_timer.data = context;
+  ev_timer_start (context->loop, &context->limit_refresh_timer);
 }
 
 void
 target_limits_stop (struct caller_context *context)
 {
-  ev_timer_stop (context->loop, &context->limit_refresh);
+  ev_timer_stop (context->loop, &context->limit_refresh_timer);
 }
--- a/node/caller/tests/access_test.cc
+++ b/node/caller/tests/access_test.cc
@@ -175,7 +175,7 @@
     AccessTest::SetUp ();
     settings.access.revoke_ms = 5000;
     bus_subscribe (
-        the_bus, BUS_FRESHNESS_WANTED,
+        the_bus, BUS_FRESHNESS_REQUESTED,
         [] (void *owner, const bus_message *) {
           static_cast<FreshnessTest *> (owner)->wanted++;
         },
@@ -284,10 +284,10 @@
                 + digest_text ("key-june") + "' ], 'rate_per_s': 5 }, "
                 + workspace ("july", "key-july") + "]");
     bus_subscribe (
-        the_bus, BUS_QUOTA_WANTED,
+        the_bus, BUS_QUOTA_REQUESTED,
         [] (void *owner, const bus_message *message) {
           auto *self = static_cast<QuotaTest *> (owner);
-          self->wanted += message->quota.answer.wanted;
+          self->wanted += message->quota.answer.requested;
           self->answer (message->quota);
         },
         this);
@@ -306,15 +306,15 @@
   {
     if (is_silent)
       return;
-    const uint32_t wants = asked.answer.wanted;
+    const uint32_t wants = asked.answer.requested;
     bus_message message = {};
     message.topic = BUS_QUOTA_GRANTED;
     message.quota.workspace = asked.workspace;
-    message.quota.answer.asked_ms = clock_now_ms ();
-    message.quota.answer.wanted = wants;
+    message.quota.answer.requested_ms = clock_now_ms ();
+    message.quota.answer.requested = wants;
     message.quota.answer.tokens = wants < left ? wants : left;
     message.quota.answer.term_ms = 400;
-    message.quota.answer.due_ms = due_ms;
+    message.quota.answer.next_token_ms = due_ms;
     left -= message.quota.answer.tokens;
     bus_post (the_bus, &message);
   }
--- a/node/caller/tests/address_choice_test.cc
+++ b/node/caller/tests/address_selection_test.cc
@@ -7,7 +7,7 @@
 
 extern "C"
 {
-#include "node/caller/address_choice.h"
+#include "node/caller/address_selection.h"
 }
 
 namespace
@@ -32,9 +32,9 @@
       size_t max = MAX)
 {
   const bus_set_host *chosen[MAX];
-  const address_choice_options options
+  const address_selection_options options
       = { hosts.data (), hosts.size (), dc, turn };
-  const size_t count = address_choice_make (&options, chosen, max);
+  const size_t count = address_selection_fill (&options, chosen, max);
   std::vector<std::string> names;
   for (size_t i = 0; i < count; i++)
     names.push_back (chosen[i]->name);
--- a/node/caller/tests/caller_service_test.cc
+++ b/node/caller/tests/caller_service_test.cc
@@ -2,7 +2,7 @@
 
 extern "C"
 {
-#include "node/caller/caller_news.h"
+#include "node/caller/outcome_report.h"
 #include "node/caller/caller_service.h"
 #include "node/caller/caller_share.h"
 }
@@ -53,31 +53,32 @@
 {
   const uint64_t former = service->targets[0].key;
   for (int i = 0; i < 3; i++)
-    caller_service_outcome (service, former, ATTEMPT_CUT, 1000, false);
+    caller_service_record_outcome (service, former, ATTEMPT_CUT, 1000, false);
   caller_service_set_leaving (service, former, true);
-  EXPECT_TRUE (service_policy_belief (service->policy, 0).suspect);
+  EXPECT_TRUE (service_policy_target_status (service->policy, 0).suspect);
   targets[0].started_ms = 9000;
   targets[0].warm_up_ms = 3000;
   caller_service_set_spec (service, &spec);
   EXPECT_NE (service->targets[0].key, former);
   EXPECT_FALSE (service->targets[0].leaving);
-  const policy_belief belief = service_policy_belief (service->policy, 0);
+  const policy_target_status belief
+      = service_policy_target_status (service->policy, 0);
   EXPECT_FALSE (belief.suspect);
   EXPECT_TRUE (belief.warming);
   EXPECT_EQ (belief.requests, 0u);
   /* What the former one still ends says nothing of it. */
-  caller_service_outcome (service, former, ATTEMPT_CUT, 1000, false);
-  EXPECT_EQ (service_policy_belief (service->policy, 0).failures, 0u);
+  caller_service_record_outcome (service, former, ATTEMPT_CUT, 1000, false);
+  EXPECT_EQ (service_policy_target_status (service->policy, 0).failures, 0u);
 }
 
 /* Any other change leaves what is known. */
 TEST_F (CallerService, TheSameProcessKeepsWhatIsKnown)
 {
-  caller_service_outcome (service, service->targets[0].key, ATTEMPT_CUT, 1000,
-                          false);
+  caller_service_record_outcome (service, service->targets[0].key, ATTEMPT_CUT,
+                                 1000, false);
   targets[0].slots = 4;
   caller_service_set_spec (service, &spec);
-  EXPECT_EQ (service_policy_belief (service->policy, 0).failures, 1u);
+  EXPECT_EQ (service_policy_target_status (service->policy, 0).failures, 1u);
 }
 
 /* The way from a host to half of all targets is cut, and it tells so of each.
@@ -85,8 +86,8 @@
  * well; so it tells of its own subset only, and not with each request. */
 TEST_F (CallerService, WhatCouldNotBeSentIsNewsOfTheOwnSubset)
 {
-  EXPECT_FALSE (caller_news_is_worth_telling (service, service->targets[0].key,
-                                              ATTEMPT_NOT_SENT));
+  EXPECT_FALSE (outcome_report_is_due (service, service->targets[0].key,
+                                       ATTEMPT_NOT_SENT));
   bus_set_host hosts[3] = {};
   strcpy (hosts[1].name, "host-2");
   strcpy (hosts[2].name, "host-3");
@@ -99,10 +100,9 @@
     {
       const uint64_t key = service->targets[i].key;
       const bool is_own = !caller_share_is_backup (service, &targets[i]);
-      EXPECT_EQ (caller_news_is_worth_telling (service, key, ATTEMPT_NOT_SENT),
+      EXPECT_EQ (outcome_report_is_due (service, key, ATTEMPT_NOT_SENT),
                  is_own);
-      EXPECT_FALSE (
-          caller_news_is_worth_telling (service, key, ATTEMPT_NOT_SENT));
+      EXPECT_FALSE (outcome_report_is_due (service, key, ATTEMPT_NOT_SENT));
     }
 }
 
--- a/node/caller/tests/caller_task_test.cc
+++ b/node/caller/tests/caller_task_test.cc
@@ -218,7 +218,7 @@
   settings.limits.keep_answer_ms = 3600000;
   caller_task_begin_leaving (
       task, [] (void *owner) { *static_cast<bool *> (owner) = true; }, &done);
-  caller_task_give_up (task);
+  caller_task_answer_all_now (task);
   ASSERT_TRUE (run_until ([&done] { return done; }));
   ASSERT_TRUE (run_until ([&call] { return call->done; }));
   EXPECT_EQ (call->status, 502);
@@ -231,7 +231,7 @@
   detection_recorder *recorder = caller_task_recorder (task, "holds");
   ASSERT_NE (recorder, nullptr);
   detection_report_item items[4];
-  ASSERT_EQ (detection_recorder_take (recorder, items, 4), 1u);
+  ASSERT_EQ (detection_recorder_collect (recorder, items, 4), 1u);
   EXPECT_EQ (items[0].evidence.requests, 1u);
   EXPECT_EQ (caller_task_recorder (task, "nobody"), nullptr);
 }
@@ -256,11 +256,11 @@
   const int64_t all_us = clock_now_us () - start_us;
   detection_report_item items[4];
   detection_recorder *recorder = caller_task_recorder (task, "holds");
-  ASSERT_EQ (detection_recorder_take (recorder, items, 4), 1u);
+  ASSERT_EQ (detection_recorder_collect (recorder, items, 4), 1u);
   uint32_t bucket = 0;
   while (items[0].evidence.latency[bucket] == 0)
     bucket++;
-  EXPECT_LE (detection_evidence_bucket_us (bucket), all_us - stalled_us);
+  EXPECT_LE (detection_evidence_bucket_min_us (bucket), all_us - stalled_us);
   raw->hang_up ();
 }
 
--- a/node/caller/tests/parts_test.cc
+++ b/node/caller/tests/message_parts_test.cc
@@ -39,22 +39,23 @@
             }
           else
             {
-              const size_t out = stream_buffer_take (&buffer, data, size);
+              const size_t out = stream_buffer_read (&buffer, data, size);
               EXPECT_EQ (out, std::min (size, plain.size ()));
               EXPECT_TRUE (std::equal (data, data + out, plain.begin ()));
               plain.erase (plain.begin (), plain.begin () + (long)out);
               taken_total += out;
             }
-          EXPECT_EQ (stream_buffer_waiting (&buffer), plain.size ());
+          EXPECT_EQ (stream_buffer_pending_bytes (&buffer), plain.size ());
           EXPECT_LE (buffer.size_bytes, 5000u);
         }
-      EXPECT_EQ (buffer.dropped, sent.size () > 5000 || (!keep && taken_total))
+      EXPECT_EQ (buffer.start_discarded,
+                 sent.size () > 5000 || (!keep && taken_total))
           << sent.size ();
       if (stream_buffer_rewind (&buffer))
         {
           std::string again (sent.size (), ' ');
           EXPECT_EQ (
-              stream_buffer_take (&buffer, again.data (), again.size ()),
+              stream_buffer_read (&buffer, again.data (), again.size ()),
               sent.size ());
           EXPECT_EQ (again, sent);
         }
--- a/node/caller/tests/poison_test.cc
+++ b/node/caller/tests/poison_test.cc
@@ -42,7 +42,7 @@
   receive (const poison_row &row)
   {
     bus_message message = {};
-    message.topic = BUS_POISON_HEARD;
+    message.topic = BUS_POISON_RECEIVED;
     strcpy (message.poison.service, "holds");
     message.poison.rows
         = static_cast<poison_row *> (calloc (1, sizeof (poison_row)));
--- a/node/caller/tests/request_key_test.cc
+++ b/node/caller/tests/request_key_test.cc
@@ -87,7 +87,7 @@
 {
   Fields fields ({ "X-Kept: 1", "Some-Field: 1", "some_field: 2",
                    "SOME-FIELD : 3", "Some-Fields: 4", "Some-Fiel: 5" });
-  header_list_remove_spellings (&fields.list, "Some-Field");
+  header_list_remove_equivalent (&fields.list, "Some-Field");
   ASSERT_EQ (fields.list.count, 3u);
   EXPECT_STREQ (header_list_name (&fields.list, 1), "Some-Fields");
   EXPECT_STREQ (header_list_name (&fields.list, 2), "Some-Fiel");
--- a/node/caller/tests/route_table_test.cc
+++ b/node/caller/tests/route_table_test.cc
@@ -32,7 +32,7 @@
     std::vector<route_spec> copy = routes;
     spec.routes = copy.data ();
     spec.route_count = copy.size ();
-    route_table_set (table, &spec);
+    route_table_set_service (table, &spec);
   }
 
   std::string
@@ -102,7 +102,7 @@
   put ("a", { make_route ("", "/z", 0, true) });
   EXPECT_EQ (match ("", "/x"), "-");
   EXPECT_EQ (match ("", "/z"), "a:/z");
-  route_table_remove (table, "a");
+  route_table_remove_service (table, "a");
   EXPECT_EQ (match ("", "/z"), "-");
 }
 
--- a/node/caller/tests/target_limits_test.cc
+++ b/node/caller/tests/target_limits_test.cc
@@ -187,7 +187,7 @@
   start ();
   put_service (usual_routes);
   bus_message message = {};
-  message.topic = BUS_LIMITS_HEARD;
+  message.topic = BUS_LIMITS_RECEIVED;
   strcpy (message.limits.service, "holds");
   message.limits.rows
       = static_cast<limit_row *> (calloc (1, sizeof (limit_row)));
--- /dev/null
+++ b/node/caller/ticket_issuer.c
@@ -0,0 +1,99 @@
+#include "node/caller/ticket_issuer.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#include <openssl/evp.h>
+#include <openssl/hmac.h>
+
+#include "base/clock.h"
+#include "base/rng.h"
+#include "base/xmalloc.h"
+
+enum
+{
+  KEY_BYTES = 32,
+  CLAIMS_MAX = 65536,
+  LIFETIME_MS = 3 * 60 * 1000
+};
+
+struct ticket_issuer
+{
+  struct ticket_table *ledger;
+  unsigned char key[KEY_BYTES];
+};
+
+static uint64_t
+check (void *owner, uint64_t sequence, int64_t expires_ms)
+{
+  const struct ticket_issuer *desk = owner;
+  unsigned char digest[EVP_MAX_MD_SIZE];
+  unsigned char text[sizeof sequence + sizeof expires_ms];
+  unsigned int size = sizeof digest;
+  memcpy (text, &sequence, sizeof sequence);
+  memcpy (text + sizeof sequence, &expires_ms, sizeof expires_ms);
+  HMAC (EVP_sha256 (), desk->key, KEY_BYTES, text, sizeof text, digest, &size);
+  uint64_t value;
+  memcpy (&value, digest, sizeof value);
+  return value;
+}
+
+struct ticket_issuer *
+ticket_issuer_create (const char *host, uint64_t incarnation)
+{
+  struct ticket_issuer *desk = xcalloc (1, sizeof *desk);
+  rng_secret (desk->key, sizeof desk->key);
+  if (incarnation == 0)
+    rng_secret (&incarnation, sizeof incarnation);
+  const struct ticket_table_options options = { .host = host,
+                                                .incarnation = incarnation,
+                                                .capacity = CLAIMS_MAX,
+                                                .lifetime_ms = LIFETIME_MS,
+                                                .mac = check,
+                                                .key = desk };
+  desk->ledger = ticket_table_create (&options);
+  return desk;
+}
+
+void
+ticket_issuer_destroy (struct ticket_issuer *desk)
+{
+  if (desk == NULL)
+    return;
+  ticket_table_destroy (desk->ledger);
+  free (desk);
+}
+
+enum status
+ticket_issuer_issue (struct ticket_issuer *desk, char text[TICKET_TEXT_SIZE])
+{
+  struct ticket ticket;
+  const enum status status
+      = ticket_table_issue (desk->ledger, clock_now_ms (), &ticket);
+  if (status == STATUS_OK)
+    ticket_format (&ticket, text);
+  return status;
+}
+
+enum ticket_claim
+ticket_issuer_claim (struct ticket_issuer *desk, const char *text,
+                     struct ticket *ticket)
+{
+  if (!ticket_parse (text, ticket))
+    return TICKET_CLAIM_FORGED;
+  return ticket_table_claim (desk->ledger, clock_now_ms (), ticket);
+}
+
+void
+ticket_issuer_finish (struct ticket_issuer *desk, uint64_t sequence,
+                      enum ticket_end end, uint32_t status)
+{
+  ticket_table_finish (desk->ledger, clock_now_ms (), sequence, end,
+                       (uint16_t)status);
+}
+
+uint32_t
+ticket_issuer_status (const struct ticket_issuer *desk, uint64_t sequence)
+{
+  return ticket_table_answer_code (desk->ledger, sequence);
+}
--- a/node/caller/workspace_table.c
+++ b/node/caller/workspace_table.c
@@ -51,5 +51,6 @@
                       const struct digest *key)
 {
   const uint32_t number = key_table_find (table->keys, key);
-  return number != KEY_TABLE_NONE ? &table->config->workspaces[number] : NULL;
+  return number != KEY_TABLE_NO_WORKSPACE ? &table->config->workspaces[number]
+                                          : NULL;
 }
--- a/node/control/control_cleanup.c
+++ b/node/control/control_cleanup.c
@@ -66,8 +66,8 @@
   const uint32_t after_ms = task->options.settings->times.forget_after_ms;
   return host != task->self && host->is_listed
          && host_cleanup_is_due (now_ms, host->gone_ms, after_ms)
-         && host_cleanup_is_ours (host->key, task->self->key, task->fleet,
-                                  &task->leading);
+         && host_cleanup_is_responsible (host->key, task->self->key,
+                                         task->fleet, &task->leading);
 }
 
 /* A lost answer isn't read back: if the removal took effect, the watch or the
--- a/node/control/control_freshness.c
+++ b/node/control/control_freshness.c
@@ -61,8 +61,8 @@
 static void
 prove (struct control_task *task, const struct freshness_proof *proof)
 {
-  const struct freshness_proof before = freshness_told (&task->freshness);
-  freshness_prove (&task->freshness, proof);
+  const struct freshness_proof before = freshness_get_proof (&task->freshness);
+  freshness_add_proof (&task->freshness, proof);
   if (proof->version > before.version || proof->time_ms > before.time_ms)
     tell_caller (task, proof);
 }
@@ -92,7 +92,7 @@
 control_freshness_answered (struct control_task *task,
                             const struct peer_heartbeat *answer)
 {
-  if (answer->config_age_ms == FRESHNESS_NO_AGE_MS)
+  if (answer->config_age_ms == FRESHNESS_AGE_UNKNOWN_MS)
     return;
   const struct freshness_proof proof
       = { .version = answer->config_version,
@@ -103,14 +103,15 @@
 void
 control_freshness_in_force (struct control_task *task, uint64_t version)
 {
-  freshness_in_force (&task->freshness, version);
+  freshness_set_version_in_force (&task->freshness, version);
 }
 
 bool
 control_freshness_is_lost (const struct control_task *task, int64_t now_ms)
 {
   return control_freshness_is_wanted (task) && task->settled_ms > 0
-         && !freshness_holds (&task->freshness, now_ms, bound_ms (task));
+         && !freshness_is_within_bound (&task->freshness, now_ms,
+                                        bound_ms (task));
 }
 
 static void
@@ -201,7 +202,7 @@
   freshness_init (&task->freshness);
   task->freshness_ask.task = task;
   task->freshness_ask.asked_ms = INT64_MIN / 2;
-  bus_subscribe (task->options.bus, BUS_FRESHNESS_WANTED, on_wanted, task);
+  bus_subscribe (task->options.bus, BUS_FRESHNESS_REQUESTED, on_wanted, task);
 }
 
 void
--- a/node/control/control_hosts.c
+++ b/node/control/control_hosts.c
@@ -92,7 +92,7 @@
 forget (struct control_task *task, struct control_host *host)
 {
   close_link (host);
-  membership_unlisted (task->membership, host->key);
+  membership_note_unlisted (task->membership, host->key);
   HASH_DEL (task->hosts, host);
   free (host);
 }
--- a/node/control/control_internal.h
+++ b/node/control/control_internal.h
@@ -101,8 +101,8 @@
   size_t fleet_count;
   uint64_t generation; /**< of `fleet` */
   struct fleet_choice relays;
-  struct fleet_choice leading; /**< the first of them */
-  struct fleet_choice keepers; /**< of quotas */
+  struct fleet_choice leading;      /**< the first of them */
+  struct fleet_choice coordinators; /**< of quotas */
   bool is_relay;
   bool is_leading; /**< a relay that asks the platform for the newest */
   int64_t started_ms;
--- a/node/control/control_limits.c
+++ b/node/control/control_limits.c
@@ -65,7 +65,7 @@
       || report->value_count % COLUMNS != 0)
     return;
   struct bus_message message
-      = { .topic = BUS_LIMITS_HEARD, .limits = { .count = count } };
+      = { .topic = BUS_LIMITS_RECEIVED, .limits = { .count = count } };
   message.limits.rows = xcalloc (count, sizeof *message.limits.rows);
   snprintf (message.limits.service, sizeof message.limits.service, "%s",
             report->service);
--- a/node/control/control_members.c
+++ b/node/control/control_members.c
@@ -25,8 +25,8 @@
     = { .sequence = sequence,
         .relay_age_ms = relay_age (task, clock_now_ms ()),
         .leaving = task->is_leaving,
-        .settings_hash = settings_index_total (task->index),
-        .config_version = freshness_told (&task->freshness).version,
+        .settings_hash = settings_index_hash (task->index),
+        .config_version = freshness_get_proof (&task->freshness).version,
         .config_age_ms = freshness_age_ms (&task->freshness, clock_now_ms ()) }
   };
 }
@@ -51,7 +51,7 @@
 static void
 send_gossip (struct control_task *task, struct control_host *host)
 {
-  struct member_verdict news[CONTROL_GOSSIP_MAX];
+  struct member_update news[CONTROL_GOSSIP_MAX];
   struct peer_verdict verdicts[CONTROL_GOSSIP_MAX] = { 0 };
   const size_t count
       = membership_gossip (task->membership, news, CONTROL_GOSSIP_MAX);
@@ -78,7 +78,7 @@
   struct peer_message message
       = heartbeat (task, PEER_HEARTBEAT, (uint64_t)now_ms);
   message.heartbeat.return_wanted
-      = membership_wants_return (task->membership, host->key);
+      = membership_requests_return (task->membership, host->key);
   control_hosts_send (task, host, &message);
 }
 
@@ -87,7 +87,7 @@
 {
   uint64_t keys[CONTROL_WATCHED_MAX];
   const size_t count
-      = membership_watched (task->membership, keys, CONTROL_WATCHED_MAX);
+      = membership_monitored (task->membership, keys, CONTROL_WATCHED_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct control_host *host = control_hosts_find (task, keys[i]);
@@ -124,7 +124,7 @@
 {
   uint64_t doubted[CONTROL_DOUBTED_MAX];
   const size_t doubts
-      = membership_doubted (task->membership, doubted, CONTROL_DOUBTED_MAX);
+      = membership_undecided (task->membership, doubted, CONTROL_DOUBTED_MAX);
   for (size_t d = 0; d < doubts; d++)
     {
       const struct peer_message message
@@ -137,7 +137,7 @@
           const uint64_t key = watched[(start + i) % count];
           struct control_host *host = control_hosts_find (task, key);
           if (host == NULL || key == doubted[d]
-              || !membership_reaches (task->membership, now_ms, key))
+              || !membership_has_recent_answer (task->membership, now_ms, key))
             continue;
           control_hosts_send (task, host, &message);
           asked++;
@@ -178,7 +178,7 @@
   membership_tick (task->membership, now_ms);
   control_members_take_changes (task);
   const size_t count
-      = membership_watched (task->membership, keys, CONTROL_WATCHED_MAX);
+      = membership_monitored (task->membership, keys, CONTROL_WATCHED_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct control_host *host = control_hosts_find (task, keys[i]);
@@ -197,7 +197,7 @@
 void
 control_members_take_changes (struct control_task *task)
 {
-  struct member_verdict change;
+  struct member_update change;
   bool is_changed = false;
   while (membership_next_change (task->membership, &change))
     {
@@ -234,9 +234,9 @@
                   const struct peer_heartbeat *beat)
 {
   const int64_t now_ms = clock_now_ms ();
-  membership_heard (task->membership, now_ms, source->host->key,
-                    source->host->record.incarnation, beat->leaving,
-                    beat->return_wanted);
+  membership_note_heartbeat (task->membership, now_ms, source->host->key,
+                             source->host->record.incarnation, beat->leaving,
+                             beat->return_wanted);
   const struct peer_message answer
       = heartbeat (task, PEER_HEARTBEAT_ACK, beat->sequence);
   control_reply (task, source, &answer);
@@ -272,8 +272,8 @@
   const int64_t now_ms = clock_now_ms ();
   if (beat->sequence > (uint64_t)now_ms)
     return;
-  membership_answered (task->membership, (int64_t)beat->sequence,
-                       source->host->key, source->host->record.incarnation);
+  membership_note_answer (task->membership, (int64_t)beat->sequence,
+                          source->host->key, source->host->record.incarnation);
   note_relay (task, beat, now_ms);
   control_freshness_answered (task, beat);
   answer_checks (task, source->host->key);
@@ -332,12 +332,12 @@
     control_hosts_learn (task, &record);
   if (control_hosts_find (task, verdict->host_key) == NULL)
     return;
-  const struct member_verdict said
+  const struct member_update said
       = { .key = verdict->host_key,
           .incarnation = verdict->incarnation,
           .counter = verdict->counter,
           .state = (enum member_state)verdict->state };
-  membership_verdict (task->membership, now_ms, &said);
+  membership_merge (task->membership, now_ms, &said);
 }
 
 void
@@ -362,8 +362,8 @@
       break;
     case PEER_INDIRECT_RESULT:
       if (message->indirect.reachable)
-        membership_vouched (task->membership, clock_now_ms (),
-                            message->indirect.host_key);
+        membership_note_indirect_answer (task->membership, clock_now_ms (),
+                                         message->indirect.host_key);
       break;
     case PEER_MEMBERS:
       for (size_t i = 0; i < message->members.count; i++)
@@ -382,7 +382,7 @@
   uint64_t keys[CONTROL_WATCHED_MAX];
   membership_leave (task->membership);
   const size_t count
-      = membership_watched (task->membership, keys, CONTROL_WATCHED_MAX);
+      = membership_monitored (task->membership, keys, CONTROL_WATCHED_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct control_host *host = control_hosts_find (task, keys[i]);
--- a/node/control/control_outcomes.c
+++ b/node/control/control_outcomes.c
@@ -201,7 +201,7 @@
       enum attempt_end end)
 {
   struct bus_message message
-      = { .topic = BUS_OUTCOME_HEARD,
+      = { .topic = BUS_OUTCOME_RECEIVED,
           .outcome = { .target_key = target, .end = end } };
   memcpy (message.outcome.service, service, sizeof message.outcome.service);
   bus_post (task->options.bus, &message);
--- a/node/control/control_poison.c
+++ b/node/control/control_poison.c
@@ -44,7 +44,7 @@
 control_poison_deliver (struct control_task *task, const char *service,
                         struct poison_row *rows, size_t count)
 {
-  struct bus_message message = { .topic = BUS_POISON_HEARD,
+  struct bus_message message = { .topic = BUS_POISON_RECEIVED,
                                  .poison = { .rows = rows, .count = count } };
   snprintf (message.poison.service, sizeof message.poison.service, "%s",
             service);
--- a/node/control/control_seeds.c
+++ b/node/control/control_seeds.c
@@ -13,7 +13,7 @@
           .heartbeat
           = { .sequence = (uint64_t)clock_now_ms (),
               .relay_age_ms = UINT32_MAX,
-              .settings_hash = settings_index_total (task->index) } };
+              .settings_hash = settings_index_hash (task->index) } };
   peer_link_send (link, &message);
 }
 
--- a/node/control/control_services.c
+++ b/node/control/control_services.c
@@ -38,7 +38,7 @@
   uint64_t slots = 0;
   for (size_t i = 0; i < spec->target_count; i++)
     slots += spec->targets[i].slots;
-  return host_set_rate (slots, spec->limits.goal_ms);
+  return host_set_required_rate (slots, spec->limits.goal_ms);
 }
 
 /* All services of a group have one set. */
