--- a/node/control/control_sets.c
+++ b/node/control/control_sets.c
@@ -32,7 +32,7 @@
   return (struct fleet_host){ .key = host->key,
                               .dc = hash_string (host->record.dc),
                               .weight = strength > 0 ? strength
-                                                     : HOST_STRENGTH_UNKNOWN };
+                                                     : HOST_CAPACITY_UNKNOWN };
 }
 
 static void
@@ -84,12 +84,12 @@
       fleet = all;
     }
   struct fleet_choice choice;
-  uint64_t keys[FLEET_DCS_MAX * FLEET_PER_DC_MAX];
+  uint64_t keys[FLEET_DCS_MAX * FLEET_HOSTS_PER_DC_MAX];
   neighbours_choose (&self, fleet, fleet_count, &choice);
   for (uint32_t i = 0; i < choice.count; i++)
     keys[i] = fleet[choice.hosts[i]].key;
   free (all);
-  membership_watch (task->membership, clock_now_ms (), keys, choice.count);
+  membership_monitor (task->membership, clock_now_ms (), keys, choice.count);
 }
 
 /* Guards against a fleet whose hosts start together: each knows only itself
@@ -110,7 +110,7 @@
 choose_leading (struct control_task *task, uint32_t per_dc)
 {
   const uint32_t most
-      = relays_leading (task->fleet, task->fleet_count, per_dc);
+      = relays_leading_count (task->fleet, task->fleet_count, per_dc);
   task->leading = task->relays;
   if (task->leading.count > most)
     task->leading.count = most;
@@ -120,8 +120,8 @@
 choose_relays (struct control_task *task)
 {
   uint32_t per_dc = task->options.settings->relays_per_dc;
-  if (per_dc > FLEET_PER_DC_MAX)
-    per_dc = FLEET_PER_DC_MAX;
+  if (per_dc > FLEET_HOSTS_PER_DC_MAX)
+    per_dc = FLEET_HOSTS_PER_DC_MAX;
   relays_choose (task->fleet, task->fleet_count, per_dc, &task->relays);
   const bool was_relay = task->is_relay;
   const bool was_leading = task->is_leading;
@@ -186,17 +186,17 @@
   for (other = task->services; other != NULL; other = other->hh.next)
     if (other->key == service->key)
       rate += other->rate;
-  return host_set_round (rate);
+  return host_set_round_rate (rate);
 }
 
 static void
 choose_set (struct control_task *task, struct control_service *service)
 {
-  struct host_set_need need
+  struct host_set_requirement need
       = { .per_dc = task->options.settings->set_hosts_per_dc,
           .rate = group_rate (task, service) };
-  if (need.per_dc > FLEET_PER_DC_MAX)
-    need.per_dc = FLEET_PER_DC_MAX;
+  if (need.per_dc > FLEET_HOSTS_PER_DC_MAX)
+    need.per_dc = FLEET_HOSTS_PER_DC_MAX;
   struct fleet_choice choice;
   host_set_choose (service->key, task->fleet, task->fleet_count, &need,
                    &choice);
@@ -226,7 +226,8 @@
   task->generation++;
   gather (task);
   choose_relays (task);
-  keepers_choose (task->fleet, task->fleet_count, &task->keepers);
+  quota_coordinators_choose (task->fleet, task->fleet_count,
+                             &task->coordinators);
   watch_neighbours (task);
   control_platform_wake (task);
   const struct bus_message message = { .topic = BUS_MEMBERS };
@@ -260,14 +261,14 @@
 }
 
 size_t
-control_keepers (const struct control_task *task, const char **names,
-                 size_t max)
+control_quota_coordinators (const struct control_task *task,
+                            const char **names, size_t max)
 {
   const char *own_dc = task->self->record.dc;
   size_t count = 0;
-  for (uint32_t i = 0; i < task->keepers.count && count < max; i++)
+  for (uint32_t i = 0; i < task->coordinators.count && count < max; i++)
     {
-      const uint64_t key = task->fleet[task->keepers.hosts[i]].key;
+      const uint64_t key = task->fleet[task->coordinators.hosts[i]].key;
       const struct control_host *host = control_hosts_find (task, key);
       if (host == NULL)
         continue;
--- a/node/control/control_settings.c
+++ b/node/control/control_settings.c
@@ -88,7 +88,7 @@
         return;
       host->is_listed = false;
       host->is_removed = true;
-      membership_unlisted (task->membership, host->key);
+      membership_note_unlisted (task->membership, host->key);
       return;
     }
   struct host_record record;
@@ -102,8 +102,8 @@
   host = control_hosts_learn (task, &record);
   host->is_listed = true;
   host->is_removed = false;
-  membership_introduce (task->membership, clock_now_ms (), host->key,
-                        record.incarnation, record.leaving);
+  membership_add (task->membership, clock_now_ms (), host->key,
+                  record.incarnation, record.leaving);
   control_members_take_changes (task);
 }
 
@@ -117,7 +117,7 @@
           .settings = { .entries = &entry, .count = 1 } };
   uint64_t keys[CONTROL_WATCHED_MAX];
   const size_t count
-      = membership_watched (task->membership, keys, CONTROL_WATCHED_MAX);
+      = membership_monitored (task->membership, keys, CONTROL_WATCHED_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct control_host *host = control_hosts_find (task, keys[i]);
@@ -153,7 +153,7 @@
   if (take == NULL || strlen (name) >= PEER_NAME_SIZE)
     return false;
   const uint64_t key = settings_key (kind, name);
-  if (!settings_index_raise (task->index, key, version))
+  if (!settings_index_update (task->index, key, version))
     return false;
   control_pulls_end (task, key, version);
   struct control_object *object = hold (task, key, kind, name, version, value);
@@ -169,13 +169,13 @@
                 uint64_t buckets[SETTINGS_BUCKETS])
 {
   for (uint32_t i = 0; i < SETTINGS_BUCKETS; i++)
-    buckets[i] = settings_index_bucket (task->index, i);
+    buckets[i] = settings_index_bucket_hash (task->index, i);
   return (struct peer_message){ .type = PEER_SETTINGS_DIGEST,
-                                .digest = { .answer_wanted = answer_wanted,
-                                            .total = settings_index_total (
-                                                task->index),
-                                            .buckets = buckets,
-                                            .count = SETTINGS_BUCKETS } };
+                                .digest
+                                = { .answer_wanted = answer_wanted,
+                                    .total = settings_index_hash (task->index),
+                                    .buckets = buckets,
+                                    .count = SETTINGS_BUCKETS } };
 }
 
 /* Two hosts that differ right after a change mostly have an offer under way;
@@ -186,7 +186,7 @@
 {
   const int64_t now_ms = clock_now_ms ();
   const uint32_t pause_ms = task->options.settings->times.heartbeat_ms;
-  if (hash == settings_index_total (task->index))
+  if (hash == settings_index_hash (task->index))
     {
       if (hash != 0)
         task->has_settings = true;
@@ -254,7 +254,7 @@
   struct batch batch
       = { .task = task, .source = source, .type = PEER_SETTINGS_OFFER };
   for (uint32_t i = 0; i < SETTINGS_BUCKETS; i++)
-    if (digest->buckets[i] != settings_index_bucket (task->index, i))
+    if (digest->buckets[i] != settings_index_bucket_hash (task->index, i))
       offer_bucket (&batch, i);
   batch_send (&batch);
   if (!digest->answer_wanted)
--- a/node/control/control_task.c
+++ b/node/control/control_task.c
@@ -204,7 +204,7 @@
   const struct host_settings *settings = task->options.settings;
   struct host_record record
       = { .incarnation = task->options.incarnation,
-          .strength = host_strength (&settings->resources) };
+          .strength = host_capacity (&settings->resources) };
   memcpy (record.name, settings->name, sizeof record.name);
   memcpy (record.dc, settings->dc, sizeof record.dc);
   advertise (record.caller_address, settings->caller_advertised,
--- a/node/control/control_task.h
+++ b/node/control/control_task.h
@@ -75,8 +75,8 @@
 /** The hosts that keep quotas, one in each data centre, that of this host's
  * own first; names are good until the next BUS_MEMBERS.
  * @return how many were written to NAMES */
-size_t control_keepers (const struct control_task *task, const char **names,
-                        size_t max);
+size_t control_quota_coordinators (const struct control_task *task,
+                                   const char **names, size_t max);
 
 /** How many hosts the platform's list shows, live or not; 0: it hasn't come
  * yet. */
--- a/node/control/tests/control_cleanup_test.cc
+++ b/node/control/tests/control_cleanup_test.cc
@@ -128,8 +128,8 @@
   late.start (loop);
   EXPECT_TRUE (until ([&] {
     return late.version ("holds") > 0
-           && settings_index_total (late.task->index)
-                  == settings_index_total (nodes[0]->task->index);
+           && settings_index_hash (late.task->index)
+                  == settings_index_hash (nodes[0]->task->index);
   }));
   EXPECT_EQ (late.task->tombstone_count, 0u);
 }
@@ -410,7 +410,7 @@
   verdict.counter = 1;
   control_receive (task, &source, &message);
   EXPECT_TRUE (until ([&] { return !knows (*nodes[0], "r0"); }));
-  member_verdict spoken[CONTROL_GOSSIP_MAX];
+  member_update spoken[CONTROL_GOSSIP_MAX];
   for (int i = 0; i < 200; i++)
     {
       const size_t count
--- a/node/control/tests/control_fixture.h
+++ b/node/control/tests/control_fixture.h
@@ -138,10 +138,10 @@
         const uint64_t version = message->config_in_force.config->version;
         EXPECT_GT (version, self->config_version) << "reverted";
         self->config_version = version;
-        freshness_in_force (&self->proofs, version);
+        freshness_set_version_in_force (&self->proofs, version);
       }
     else if (message->topic == BUS_FRESHNESS)
-      freshness_prove (&self->proofs, &message->freshness);
+      freshness_add_proof (&self->proofs, &message->freshness);
     else if (message->topic == BUS_SERVICE_REMOVED)
       {
         const auto &removed = message->service_removed;
--- a/node/control/tests/control_freshness_test.cc
+++ b/node/control/tests/control_freshness_test.cc
@@ -45,7 +45,7 @@
   static bool
   is_fresh (const node &n)
   {
-    return freshness_holds (&n.proofs, clock_now_ms (), bound_ms);
+    return freshness_is_within_bound (&n.proofs, clock_now_ms (), bound_ms);
   }
 
   bool
@@ -179,7 +179,7 @@
   n.start (loop);
   ASSERT_TRUE (until ([&] { return n.config_version > 0; }));
   bus_message wanted = {};
-  wanted.topic = BUS_FRESHNESS_WANTED;
+  wanted.topic = BUS_FRESHNESS_REQUESTED;
   const int64_t asked_ms = clock_now_ms ();
   bus_post (n.bus, &wanted);
   ASSERT_TRUE (until ([&] { return is_fresh (n); }));
--- a/node/control/tests/control_outcomes_test.cc
+++ b/node/control/tests/control_outcomes_test.cc
@@ -22,7 +22,8 @@
       {
         node &added = add ("h" + std::to_string (i), "d0");
         added.start (loop);
-        bus_subscribe (added.bus, BUS_OUTCOME_HEARD, on_heard, &heard[&added]);
+        bus_subscribe (added.bus, BUS_OUTCOME_RECEIVED, on_heard,
+                       &heard[&added]);
       }
     ASSERT_TRUE (until ([&] { return all_meet (); }));
     store.put ("service", "holds", service_text ("holds", 4));
--- a/node/control/tests/control_poison_test.cc
+++ b/node/control/tests/control_poison_test.cc
@@ -41,7 +41,7 @@
   void
   subscribe (node &at)
   {
-    bus_subscribe (at.bus, BUS_POISON_HEARD, on_received, &received[&at]);
+    bus_subscribe (at.bus, BUS_POISON_RECEIVED, on_received, &received[&at]);
   }
 
   static void
--- a/node/control/tests/poison_message_test.cc
+++ b/node/control/tests/poison_message_test.cc
@@ -23,7 +23,7 @@
   EXPECT_EQ (a.epoch, b.epoch);
   EXPECT_EQ (a.strikes, b.strikes);
   EXPECT_EQ (a.left_ms, b.left_ms);
-  EXPECT_EQ (a.began_ago_ms, b.began_ago_ms);
+  EXPECT_EQ (a.sent_ago_ms, b.sent_ago_ms);
   EXPECT_EQ (a.crashed_ago_ms, b.crashed_ago_ms);
 }
 
--- a/node/daemon/host.c
+++ b/node/daemon/host.c
@@ -358,7 +358,7 @@
                     / MS_PER_SECOND,
                 0.);
   ev_timer_start (host->loop, &host->leave_limit);
-  caller_task_give_up (host->caller);
+  caller_task_answer_all_now (host->caller);
 }
 
 static void
--- a/node/ejection/ejection_calls.c
+++ b/node/ejection/ejection_calls.c
@@ -16,11 +16,11 @@
     case STATUS_NOT_FOUND:
       return FLOOR_REPLY_NOT_FOUND;
     case STATUS_REFUSED:
-      return FLOOR_REPLY_REFUSED;
+      return FLOOR_REPLY_CONFLICT;
     case STATUS_UNREACHABLE:
       return FLOOR_REPLY_UNREACHABLE;
     default:
-      return FLOOR_REPLY_LOST;
+      return FLOOR_REPLY_UNKNOWN;
     }
 }
 
@@ -28,7 +28,8 @@
 hand_over (struct ejection_service *service, const struct floor_reply *reply)
 {
   service->why = "record";
-  floor_owner_replied (service->owner, ejection_now_ms (service->task), reply);
+  floor_owner_handle_reply (service->owner, ejection_now_ms (service->task),
+                            reply);
   ejection_owner_drive (service);
 }
 
@@ -63,7 +64,7 @@
         {
           LOG_ERR ("record-unreadable", LOG_STR ("service", service->name),
                    LOG_STR ("why", status_message ()));
-          result.status = FLOOR_REPLY_LOST;
+          result.status = FLOOR_REPLY_UNKNOWN;
         }
     }
   hand_over (service, &result);
@@ -79,7 +80,7 @@
   if (reply->status == STATUS_OK && reply->count == 1)
     result.version = reply->objects[0].version;
   else if (reply->status == STATUS_OK || reply->status == STATUS_NOT_FOUND)
-    result.status = FLOOR_REPLY_LOST;
+    result.status = FLOOR_REPLY_UNKNOWN;
   hand_over (service, &result);
 }
 
@@ -103,8 +104,8 @@
 void
 ejection_calls_drive (struct ejection_service *service)
 {
-  const struct floor_request request
-      = floor_owner_next (service->owner, ejection_now_ms (service->task));
+  const struct floor_request request = floor_owner_next_request (
+      service->owner, ejection_now_ms (service->task));
   if (request.call == FLOOR_CALL_NONE)
     return;
   counter_add (service->task->counters.platform_calls, 1);
--- a/node/ejection/ejection_command.c
+++ b/node/ejection/ejection_command.c
@@ -66,17 +66,17 @@
 }
 
 static enum ejection_reason
-refusal (enum floor_verdict verdict)
+refusal (enum floor_eject_result verdict)
 {
   switch (verdict)
     {
-    case FLOOR_VERDICT_FLOOR:
+    case FLOOR_EJECT_BELOW_FLOOR:
       return EJECTION_REASON_FLOOR;
-    case FLOOR_VERDICT_TARGET:
+    case FLOOR_EJECT_NO_SUCH_TARGET:
       return EJECTION_REASON_TARGET;
-    case FLOOR_VERDICT_SETTINGS:
+    case FLOOR_EJECT_SETTINGS_BEHIND:
       return EJECTION_REASON_SETTINGS;
-    case FLOOR_VERDICT_NOT_OWNER:
+    case FLOOR_EJECT_NOT_OWNER:
       return EJECTION_REASON_OWNER;
     default:
       return EJECTION_REASON_NONE;
@@ -278,7 +278,7 @@
   if (is_owner && command->is_started)
     {
       const bool wanted = command->command.verb == OPERATOR_EJECT;
-      if (is_out (floor_owner_known (service->owner), &command->command)
+      if (is_out (floor_owner_known_record (service->owner), &command->command)
           == wanted)
         finish (task, command, STATUS_OK, EJECTION_REASON_NONE);
       else if (is_out (floor_owner_claims (service->owner), &command->command)
--- a/node/ejection/ejection_enforce.c
+++ b/node/ejection/ejection_enforce.c
@@ -123,7 +123,7 @@
                                            .enforce_ms = news->enforce_ms,
                                            .targets = news->names,
                                            .count = news->count };
-  floor_view_heard (service->view, ejection_now_ms (service->task),
+  floor_view_apply (service->view, ejection_now_ms (service->task),
                     news->poll_ms, &decision);
   ejection_service_post (service);
   ejection_shares_hear (service, news);
@@ -154,8 +154,8 @@
 hear_stopped (struct ejection_service *service, const char *from,
               const struct ejection_news *news)
 {
-  floor_owner_stopped (service->owner, ejection_now_ms (service->task),
-                       news->epoch);
+  floor_owner_predecessor_stopped (
+      service->owner, ejection_now_ms (service->task), news->epoch);
   if (strcmp (from, service->owner_name) != 0
       || news->epoch < floor_view_epoch (service->view))
     return;
--- a/node/ejection/ejection_internal.h
+++ b/node/ejection/ejection_internal.h
@@ -119,7 +119,7 @@
   uint64_t role_epoch;
   const char *why;      /* of the change under way, for the log */
   uint64_t refused_key; /* last refusal logged */
-  enum floor_verdict refused_verdict;
+  enum floor_eject_result refused_verdict;
   struct target_probe *probes[EJECTION_PROBES_MAX];
   uint64_t probe_keys[EJECTION_PROBES_MAX];
 
--- a/node/ejection/ejection_judge.c
+++ b/node/ejection/ejection_judge.c
@@ -93,7 +93,7 @@
 /* One line for a refusal, not one for each step that repeats it. */
 static void
 log_refusal (struct ejection_service *service, uint64_t key,
-             const char *target, enum floor_verdict verdict)
+             const char *target, enum floor_eject_result verdict)
 {
   if (service->refused_key == key && service->refused_verdict == verdict)
     return;
@@ -102,7 +102,7 @@
   counter_add (service->task->counters.refused, 1);
   LOG_INFO ("ejection-refused", LOG_STR ("service", service->name),
             LOG_STR ("target", target),
-            LOG_STR ("why", floor_verdict_name (verdict)),
+            LOG_STR ("why", floor_eject_result_name (verdict)),
             LOG_INT ("slack", floor_owner_slack (service->owner)),
             LOG_INT ("old_reserve",
                      floor_owner_claims (service->owner)->old_reserve));
@@ -120,10 +120,10 @@
   const uint32_t scaled = score < 0           ? 0
                           : score > INT32_MAX ? INT32_MAX
                                               : (uint32_t)score;
-  const enum floor_verdict verdict = floor_owner_eject (
+  const enum floor_eject_result verdict = floor_owner_eject (
       service->owner, ejection_now_ms (service->task), target, scaled, false);
-  if (verdict == FLOOR_VERDICT_EJECTED || verdict == FLOOR_VERDICT_PLANNED
-      || verdict == FLOOR_VERDICT_ALREADY)
+  if (verdict == FLOOR_EJECT_EJECTED || verdict == FLOOR_EJECT_PLANNED
+      || verdict == FLOOR_EJECT_ALREADY)
     ejection_owner_drive (service);
   else
     log_refusal (service, ejection->target_key, target, verdict);
@@ -148,8 +148,8 @@
     if (service->probes[i] == probe)
       {
         service->probes[i] = NULL;
-        detection_detector_probed (service->detector, now_us (service),
-                                   service->probe_keys[i], ok);
+        detection_detector_probe_result (service->detector, now_us (service),
+                                         service->probe_keys[i], ok);
       }
   target_probe_destroy (probe);
 }
--- a/node/ejection/ejection_owner.c
+++ b/node/ejection/ejection_owner.c
@@ -42,7 +42,8 @@
 static void
 begin (struct ejection_service *service)
 {
-  const struct floor_record *record = floor_owner_known (service->owner);
+  const struct floor_record *record
+      = floor_owner_known_record (service->owner);
   configure_detector (service);
   service->told.count = 0;
   service->why = "found in record";
@@ -64,7 +65,7 @@
   const struct ejection_task *task = service->task;
   const struct ejection_news news
       = { .kind = EJECTION_STOPPED, .service = service->name, .epoch = epoch };
-  const char *successor = floor_owner_known (service->owner)->owner;
+  const char *successor = floor_owner_known_record (service->owner)->owner;
   for (size_t i = 0; i < service->poller_count; i++)
     ejection_send_news (task->options.transport, service->pollers[i].host,
                         &news);
@@ -92,12 +93,13 @@
 end (struct ejection_service *service)
 {
   const uint64_t epoch = service->role_epoch;
-  const struct floor_record *record = floor_owner_known (service->owner);
+  const struct floor_record *record
+      = floor_owner_known_record (service->owner);
   const bool is_released = record->owner[0] == '\0';
   LOG_INFO ("ownership-ended", LOG_STR ("service", service->name),
             LOG_INT ("epoch", epoch), LOG_STR ("owner", record->owner),
             LOG_STR ("why", is_released ? "released" : "replaced"));
-  floor_owner_take_stopped (service->owner);
+  floor_owner_take_stopped_epoch (service->owner);
   announce_stopped (service, epoch);
   ejection_owner_drop (service);
 }
@@ -107,7 +109,8 @@
 static void
 wait_for_owner (struct ejection_service *service)
 {
-  const struct floor_record *record = floor_owner_known (service->owner);
+  const struct floor_record *record
+      = floor_owner_known_record (service->owner);
   memcpy (service->owner_name, record->owner, sizeof service->owner_name);
   floor_view_epoch_seen (service->view, record->epoch);
   service->heard_ms = ejection_now_ms (service->task);
@@ -126,7 +129,7 @@
   if (before == FLOOR_ROLE_OWNER)
     end (service);
   if (role == FLOOR_ROLE_NONE
-      && floor_owner_known (service->owner)->owner[0] != '\0')
+      && floor_owner_known_record (service->owner)->owner[0] != '\0')
     wait_for_owner (service);
 }
 
--- a/node/ejection/ejection_service.c
+++ b/node/ejection/ejection_service.c
@@ -106,8 +106,8 @@
           .targets = targets,
           .count = spec->target_count };
   service->why = "settings";
-  floor_owner_spec (service->owner, ejection_now_ms (service->task),
-                    &floor_spec);
+  floor_owner_set_spec (service->owner, ejection_now_ms (service->task),
+                        &floor_spec);
   free (targets);
 }
 
@@ -154,8 +154,8 @@
       = options->recorder (options->recorder_owner, service->name);
   if (recorder == NULL)
     return 0;
-  const size_t count = detection_recorder_take (recorder, service->task->items,
-                                                EJECTION_ITEMS_MAX);
+  const size_t count = detection_recorder_collect (
+      recorder, service->task->items, EJECTION_ITEMS_MAX);
   if (count > 0)
     service->active_ms = ejection_now_ms (service->task);
   return count;
@@ -255,8 +255,8 @@
   uint64_t epoch = floor_view_epoch (service->view);
   if (floor_owner_epoch (service->owner) > epoch)
     epoch = floor_owner_epoch (service->owner);
-  floor_owner_candidate (service->owner, ejection_now_ms (service->task),
-                         is_silent, epoch);
+  floor_owner_set_candidate (service->owner, ejection_now_ms (service->task),
+                             is_silent, epoch);
 }
 
 /* How long the owner was neither heard nor, within bounds, heard of. */
--- a/node/ejection/tests/ejection_task_test.cc
+++ b/node/ejection/tests/ejection_task_test.cc
@@ -300,7 +300,7 @@
     f.turn ();
   detection_report_item items[target_count];
   EXPECT_EQ (
-      detection_recorder_take (f.hosts[1].recorder, items, target_count),
+      detection_recorder_collect (f.hosts[1].recorder, items, target_count),
       (size_t)target_count);
 }
 
--- a/node/host_resources.h
+++ b/node/host_resources.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 #include "base/options.h"
-#include "policy/fleet/host_strength.h"
+#include "policy/fleet/host_capacity.h"
 
 /** Read the object "resources" of TOP, if it is there. */
 void host_resources_read (struct options *top,
--- a/node/host_settings.h
+++ b/node/host_settings.h
@@ -12,7 +12,7 @@
 
 #include "base/log.h"
 #include "base/status.h"
-#include "policy/fleet/host_strength.h"
+#include "policy/fleet/host_capacity.h"
 
 #define HOST_NAME_SIZE 64
 #define HOST_ADDRESS_SIZE 56
--- a/node/quota/control_quota.c
+++ b/node/quota/control_quota.c
@@ -14,9 +14,11 @@
 }
 
 static size_t
-keepers (struct quota_transport *base, const char *names[QUOTA_KEEPERS_MAX])
+coordinators (struct quota_transport *base,
+              const char *names[QUOTA_COORDINATORS_MAX])
 {
-  return control_keepers (control_of (base), names, QUOTA_KEEPERS_MAX);
+  return control_quota_coordinators (control_of (base), names,
+                                     QUOTA_COORDINATORS_MAX);
 }
 
 static uint32_t
@@ -27,7 +29,7 @@
 
 static const struct quota_transport_ops ops = {
   .send = send_control,
-  .keepers = keepers,
+  .coordinators = coordinators,
   .known_hosts = known_hosts,
 };
 
--- a/node/quota/quota_hold.c
+++ b/node/quota/quota_hold.c
@@ -26,11 +26,11 @@
   const struct bus_message message
       = { .topic = BUS_QUOTA_GRANTED,
           .quota = { .workspace = row->workspace,
-                     .answer = { .asked_ms = asked_ms,
-                                 .wanted = row->wanted,
+                     .answer = { .requested_ms = asked_ms,
+                                 .requested = row->wanted,
                                  .tokens = row->tokens,
                                  .term_ms = row->term_ms,
-                                 .due_ms = row->due_ms } } };
+                                 .next_token_ms = row->due_ms } } };
   bus_post (task->options.bus, &message);
 }
 
@@ -69,11 +69,11 @@
 /* The first keeper that answers; the one of the own data centre if none
    does. */
 const char *
-quota_hold_keeper (struct quota_task *task, int64_t now_ms)
+quota_hold_coordinator (struct quota_task *task, int64_t now_ms)
 {
-  const char *names[QUOTA_KEEPERS_MAX];
+  const char *names[QUOTA_COORDINATORS_MAX];
   struct quota_transport *transport = task->options.transport;
-  const size_t count = transport->ops->keepers (transport, names);
+  const size_t count = transport->ops->coordinators (transport, names);
   for (size_t i = 0; i < count; i++)
     if (quota_task_is_self (task, names[i])
         || answers (quota_task_peer (task, names[i]), now_ms))
@@ -82,17 +82,17 @@
 }
 
 static void
-ask (struct quota_task *task, const char *keeper, int64_t now_ms)
+ask (struct quota_task *task, const char *coordinator, int64_t now_ms)
 {
-  struct quota_peer *peer = quota_task_peer (task, keeper);
+  struct quota_peer *peer = quota_task_peer (task, coordinator);
   quota_task_begin_report (task, peer, now_ms);
   task->report.lends
-      = quota_lending_lend (&task->lending, now_ms, hash_string (keeper));
-  quota_shares_own (task->shares, now_ms, task->lending.until_ms);
+      = quota_lease_renew (&task->lending, now_ms, hash_string (coordinator));
+  quota_shares_set_own_from (task->shares, now_ms, task->lending.expires_ms);
   add_wanted (task);
   if (peer->asked_ms == 0)
     peer->asked_ms = now_ms;
-  quota_task_send_report (task, keeper, PEER_QUOTA_ASK);
+  quota_task_send_report (task, coordinator, PEER_QUOTA_ASK);
 }
 
 /* Ask for what requests here want; RENEW: also when that is nothing. */
@@ -100,17 +100,17 @@
 quota_hold_ask (struct quota_task *task, bool renew)
 {
   const int64_t now_ms = clock_now_ms ();
-  const char *keeper = quota_hold_keeper (task, now_ms);
-  if (keeper == NULL)
+  const char *coordinator = quota_hold_coordinator (task, now_ms);
+  if (coordinator == NULL)
     return;
-  if (quota_task_is_self (task, keeper))
+  if (quota_task_is_self (task, coordinator))
     {
       grant_self (task, now_ms);
       return;
     }
   while (renew || task->wanted != NULL)
     {
-      ask (task, keeper, now_ms);
+      ask (task, coordinator, now_ms);
       renew = false;
     }
 }
@@ -126,11 +126,11 @@
   peer->stamp = answer->stamp;
   peer->asked_ms = 0;
   /* What was lent with the question couldn't be counted by the keeper yet. */
-  if (is_first && !answer->is_keeper)
+  if (is_first && !answer->is_coordinator)
     ask (task, from, now_ms);
-  if (!quota_stamp_time (task->life, answer->echo, now_ms, &asked_ms))
+  if (!quota_stamp_parse (task->life, answer->echo, now_ms, &asked_ms))
     return;
-  if (answer->is_keeper)
+  if (answer->is_coordinator)
     {
       quota_keep_add (task, answer);
       return;
--- a/node/quota/quota_internal.h
+++ b/node/quota/quota_internal.h
@@ -13,8 +13,8 @@
 
 #include "node/quota/quota_messages.h"
 #include "node/quota/quota_task.h"
-#include "policy/quota/quota_ledger.h"
-#include "policy/quota/quota_lending.h"
+#include "policy/quota/quota_pool.h"
+#include "policy/quota/quota_lease.h"
 
 /** Another host, as a keeper or as one that asks. */
 struct quota_peer
@@ -45,11 +45,11 @@
 struct quota_task
 {
   struct quota_task_options options;
-  struct quota_terms terms;
+  struct quota_tolerance terms;
   uint64_t life;
   struct quota_shares *shares;
-  struct quota_ledger *ledger;
-  struct quota_lending lending;
+  struct quota_pool *ledger;
+  struct quota_lease lending;
   struct quota_peer *peers;    /**< by name */
   uint64_t generation;         /**< counts configurations */
   struct quota_entry *entries; /**< by workspace */
@@ -78,7 +78,7 @@
  * host's share again. */
 void quota_hold_ask (struct quota_task *task, bool renew);
 /** The keeper to ask, or NULL. */
-const char *quota_hold_keeper (struct quota_task *task, int64_t now_ms);
+const char *quota_hold_coordinator (struct quota_task *task, int64_t now_ms);
 /** The answer of host FROM. */
 void quota_hold_receive (struct quota_task *task, const char *from,
                          const struct quota_report *answer);
--- a/node/quota/quota_keep.c
+++ b/node/quota/quota_keep.c
@@ -34,7 +34,7 @@
 quota_keep_grant (struct quota_task *task, struct quota_entry *entry,
                   uint32_t wanted, int64_t now_ms)
 {
-  const struct quota_grant granted = quota_ledger_grant (
+  const struct quota_grant granted = quota_pool_grant (
       task->ledger, now_ms, entry->workspace, &entry->limit, wanted);
   note_active (task, entry, now_ms);
   entry->granted += granted.tokens;
@@ -42,7 +42,7 @@
                              .wanted = wanted,
                              .tokens = granted.tokens,
                              .term_ms = granted.term_ms,
-                             .due_ms = granted.due_ms };
+                             .due_ms = granted.next_token_ms };
 }
 
 /* The same for another keeper. */
@@ -50,7 +50,7 @@
 spare (struct quota_task *task, const struct quota_entry *entry,
        uint32_t wanted, int64_t now_ms)
 {
-  const uint32_t tokens = quota_ledger_spare (
+  const uint32_t tokens = quota_pool_take_surplus (
       task->ledger, now_ms, entry->workspace, &entry->limit, wanted);
   return (struct quota_row){ .workspace = entry->workspace,
                              .wanted = wanted,
@@ -66,11 +66,11 @@
   int64_t lent_after_ms;
   peer->stamp = asked->stamp;
   if (asked->lends
-      && quota_stamp_time (task->life, asked->echo, now_ms, &lent_after_ms))
-    quota_shares_take (task->shares, now_ms, hash_string (from),
-                       lent_after_ms);
+      && quota_stamp_parse (task->life, asked->echo, now_ms, &lent_after_ms))
+    quota_shares_add_lease (task->shares, now_ms, hash_string (from),
+                            lent_after_ms);
   quota_task_begin_report (task, peer, now_ms);
-  task->report.is_keeper = asked->is_keeper;
+  task->report.is_coordinator = asked->is_coordinator;
   for (size_t i = 0; i < asked->row_count; i++)
     {
       struct quota_entry *entry
@@ -78,7 +78,7 @@
       if (entry == NULL)
         continue;
       task->report.rows[task->report.row_count++]
-          = asked->is_keeper
+          = asked->is_coordinator
                 ? spare (task, entry, asked->rows[i].wanted, now_ms)
                 : quota_keep_grant (task, entry, asked->rows[i].wanted,
                                     now_ms);
@@ -96,8 +96,8 @@
       const struct quota_entry *entry
           = quota_task_entry (task, row->workspace);
       if (entry != NULL)
-        quota_ledger_add (task->ledger, now_ms, row->workspace, &entry->limit,
-                          row->tokens);
+        quota_pool_add (task->ledger, now_ms, row->workspace, &entry->limit,
+                        row->tokens);
     }
 }
 
@@ -107,7 +107,7 @@
 void
 quota_keep_level (struct quota_task *task, int64_t now_ms)
 {
-  const char *names[QUOTA_KEEPERS_MAX];
+  const char *names[QUOTA_COORDINATORS_MAX];
   struct quota_transport *transport = task->options.transport;
   struct quota_row lacking[QUOTA_ROWS_MAX];
   size_t lacking_count = 0;
@@ -121,7 +121,7 @@
         DL_DELETE2 (task->active, entry, active_prev, active_next);
         continue;
       }
-    const uint32_t lacks = quota_ledger_lacks (
+    const uint32_t lacks = quota_pool_deficit (
         task->ledger, now_ms, entry->workspace, &entry->limit);
     if (lacks > 0 && lacking_count < QUOTA_ROWS_MAX)
       lacking[lacking_count++]
@@ -132,13 +132,13 @@
     ev_timer_stop (task->options.loop, &task->level);
   if (lacking_count == 0)
     return;
-  const size_t count = transport->ops->keepers (transport, names);
+  const size_t count = transport->ops->coordinators (transport, names);
   for (size_t i = 0; i < count; i++)
     {
       if (quota_task_is_self (task, names[i]))
         continue;
       quota_task_begin_report (task, quota_task_peer (task, names[i]), now_ms);
-      task->report.is_keeper = true;
+      task->report.is_coordinator = true;
       memcpy (task->report.rows, lacking, lacking_count * sizeof *lacking);
       task->report.row_count = lacking_count;
       quota_task_send_report (task, names[i], PEER_QUOTA_ASK);
--- a/node/quota/quota_messages.c
+++ b/node/quota/quota_messages.c
@@ -12,7 +12,7 @@
 {
   FIRST_HOSTS,
   FIRST_LENDS,
-  FIRST_IS_KEEPER,
+  FIRST_IS_COORDINATOR,
 };
 
 enum row_column
@@ -32,7 +32,7 @@
   *values = row;
   row[FIRST_HOSTS] = report->hosts;
   row[FIRST_LENDS] = report->lends;
-  row[FIRST_IS_KEEPER] = report->is_keeper;
+  row[FIRST_IS_COORDINATOR] = report->is_coordinator;
   for (size_t i = 0; i < report->row_count; i++)
     {
       row += COLUMNS;
@@ -75,7 +75,7 @@
   report->stamp = from->sequence;
   report->hosts = number (row[FIRST_HOSTS]);
   report->lends = row[FIRST_LENDS] != 0;
-  report->is_keeper = row[FIRST_IS_KEEPER] != 0;
+  report->is_coordinator = row[FIRST_IS_COORDINATOR] != 0;
   report->row_count = from->value_count / COLUMNS - 1;
   for (size_t i = 0; i < report->row_count; i++)
     {
--- a/node/quota/quota_messages.h
+++ b/node/quota/quota_messages.h
@@ -36,8 +36,8 @@
   uint64_t echo;  /**< of the receiver, as the sender had it last; 0: none */
   uint32_t hosts; /**< that the sender knows; 0: not known */
   bool lends;     /**< question: the sender lends its share to the receiver */
-  bool is_keeper; /**< question and its answer: for a keeper, not for requests
-                       of its own */
+  bool is_coordinator; /**< question and its answer: for a keeper, not for
+                       requests of its own */
   size_t row_count;
   struct quota_row rows[QUOTA_ROWS_MAX];
 };
--- a/node/quota/quota_task.c
+++ b/node/quota/quota_task.c
@@ -59,9 +59,9 @@
   struct quota_report *report = &task->report;
   report->stamp = quota_stamp_make (task->life, now_ms);
   report->echo = to->stamp;
-  report->hosts = quota_shares_hosts (task->shares);
+  report->hosts = quota_shares_host_count (task->shares);
   report->lends = false;
-  report->is_keeper = false;
+  report->is_coordinator = false;
   report->row_count = 0;
 }
 
@@ -87,7 +87,7 @@
   if (task->entries == NULL)
     return;
   if (hosts > 0)
-    quota_shares_fleet (task->shares, now_ms, hosts);
+    quota_shares_note_host_count (task->shares, now_ms, hosts);
   quota_hold_ask (task, true);
 }
 
@@ -105,7 +105,7 @@
       = quota_task_entry (task, message->quota.workspace);
   if (entry == NULL)
     return;
-  entry->wanted = message->quota.answer.wanted;
+  entry->wanted = message->quota.answer.requested;
   if (!entry->is_wanted)
     DL_APPEND2 (task->wanted, entry, wanted_prev, wanted_next);
   entry->is_wanted = true;
@@ -183,7 +183,8 @@
   if (quota_report_read (message, report))
     {
       if (report->hosts > 0)
-        quota_shares_fleet (task->shares, clock_now_ms (), report->hosts);
+        quota_shares_note_host_count (task->shares, clock_now_ms (),
+                                      report->hosts);
       if (message->type == PEER_QUOTA_ASK)
         quota_keep_receive (task, from, report);
       else
@@ -197,7 +198,7 @@
 {
   struct quota_task *task = owner;
   const int64_t now_ms = clock_now_ms ();
-  const char *keeper = quota_hold_keeper (task, now_ms);
+  const char *coordinator = quota_hold_coordinator (task, now_ms);
   struct json_object *rows = json_object_new_array ();
   for (const struct quota_entry *entry = task->entries; entry != NULL;
        entry = entry->hh.next)
@@ -206,7 +207,7 @@
       json_row_text (row, "workspace", entry->name);
       json_row_number (row, "rate_per_s", (int64_t)entry->limit.rate_per_s);
       json_row_number (row, "burst", (int64_t)entry->limit.burst);
-      json_row_text (row, "keeper", keeper != NULL ? keeper : "-");
+      json_row_text (row, "keeper", coordinator != NULL ? coordinator : "-");
       json_row_flag (row, "kept_here", entry->is_active);
       json_row_number (row, "granted_here", (int64_t)entry->granted);
       json_object_array_add (rows, row);
@@ -221,22 +222,22 @@
   const struct access_settings *access = &options->settings->access;
   const int64_t now_ms = clock_now_ms ();
   task->options = *options;
-  task->terms
-      = (struct quota_terms){ .window_ms = access->quota_window_ms,
-                              .overshoot_percent = access->quota_over_percent,
-                              .slack = access->quota_slack };
+  task->terms = (struct quota_tolerance){ .window_ms = access->quota_window_ms,
+                                          .overshoot_percent
+                                          = access->quota_over_percent,
+                                          .slack = access->quota_slack };
   rng_secret (&task->life, sizeof task->life);
-  quota_lending_init (&task->lending, now_ms, &task->terms);
-  task->shares = quota_shares_create (now_ms, task->lending.until_ms);
-  task->ledger = quota_ledger_create (task->shares, &task->terms);
+  quota_lease_init (&task->lending, now_ms, &task->terms);
+  task->shares = quota_shares_create (now_ms, task->lending.expires_ms);
+  task->ledger = quota_pool_create (task->shares, &task->terms);
   ev_timer_init (&task->gather, gather_cb, 0., 0.);
   task->gather.data = task;
-  const double renew_s = QUOTA_RENEW_MS / MS_PER_SECOND;
+  const double renew_s = QUOTA_RENEWAL_INTERVAL_MS / MS_PER_SECOND;
   ev_timer_init (&task->renew, renew_cb, renew_s, renew_s);
   task->renew.data = task;
   ev_timer_start (options->loop, &task->renew);
   quota_keep_start (task);
-  bus_subscribe (options->bus, BUS_QUOTA_WANTED, on_wanted, task);
+  bus_subscribe (options->bus, BUS_QUOTA_REQUESTED, on_wanted, task);
   bus_subscribe (options->bus, BUS_CONFIG_IN_FORCE, on_config, task);
   if (options->tables != NULL)
     tables_register (options->tables, "quotas", quota_rows, task);
@@ -263,7 +264,7 @@
       free (peer);
       peer = next;
     }
-  quota_ledger_destroy (task->ledger);
+  quota_pool_destroy (task->ledger);
   quota_shares_destroy (task->shares);
   free (task);
 }
--- a/node/quota/quota_task.h
+++ b/node/quota/quota_task.h
@@ -4,8 +4,8 @@
  * itself where it is chosen.  policy/quota/quota_limit.h says why no more runs
  * than may.
  *
- * It obeys BUS_QUOTA_WANTED, answers with BUS_QUOTA_GRANTED, and learns limits
- * from BUS_CONFIG_IN_FORCE.
+ * It obeys BUS_QUOTA_REQUESTED, answers with BUS_QUOTA_GRANTED, and learns
+ * limits from BUS_CONFIG_IN_FORCE.
  */
 #ifndef NODE_QUOTA_QUOTA_TASK_H
 #define NODE_QUOTA_QUOTA_TASK_H
--- a/node/quota/quota_transport.h
+++ b/node/quota/quota_transport.h
@@ -13,7 +13,7 @@
 enum
 {
   /** One in each data centre. */
-  QUOTA_KEEPERS_MAX = 16,
+  QUOTA_COORDINATORS_MAX = 16,
 };
 
 struct quota_transport;
@@ -26,8 +26,8 @@
   /** The hosts that keep quotas, that of this host's own data centre first.
    * Names are good until the next BUS_MEMBERS.
    * @return how many were written to NAMES */
-  size_t (*keepers) (struct quota_transport *transport,
-                     const char *names[QUOTA_KEEPERS_MAX]);
+  size_t (*coordinators) (struct quota_transport *transport,
+                          const char *names[QUOTA_COORDINATORS_MAX]);
   /** How many hosts the platform's list shows; 0: it isn't known yet. */
   uint32_t (*known_hosts) (struct quota_transport *transport);
 };
--- a/node/quota/tests/quota_messages_test.cc
+++ b/node/quota/tests/quota_messages_test.cc
@@ -30,7 +30,7 @@
   sent->echo = 77;
   sent->hosts = 118;
   sent->lends = true;
-  sent->is_keeper = true;
+  sent->is_coordinator = true;
   sent->row_count = 2;
   sent->rows[0] = { UINT64_MAX, 3, 2, 150, 900 };
   sent->rows[1] = { 1, 0, 0, 0, 0 };
@@ -48,7 +48,7 @@
   EXPECT_EQ (read->echo, sent->echo);
   EXPECT_EQ (read->hosts, sent->hosts);
   EXPECT_EQ (read->lends, sent->lends);
-  EXPECT_EQ (read->is_keeper, sent->is_keeper);
+  EXPECT_EQ (read->is_coordinator, sent->is_coordinator);
   ASSERT_EQ (read->row_count, sent->row_count);
   EXPECT_EQ (read->rows[0].workspace, UINT64_MAX);
   EXPECT_EQ (read->rows[0].tokens, 2u);
--- a/node/quota/tests/quota_task_test.cc
+++ b/node/quota/tests/quota_task_test.cc
@@ -27,7 +27,7 @@
   quota_transport transport; /* first */
   Fleet *fleet;
   std::string name;
-  std::vector<std::string> keepers; /**< its own data centre's first */
+  std::vector<std::string> coordinators; /**< its own data centre's first */
   uint32_t known = 0;
   host_settings settings;
   struct bus *bus = nullptr;
@@ -94,14 +94,14 @@
   }
 
   void
-  add (const std::string &name, const std::vector<std::string> &keepers)
+  add (const std::string &name, const std::vector<std::string> &coordinators)
   {
     hosts.push_back (std::make_unique<Host> ());
     Host &host = *hosts.back ();
     host.transport.ops = &ops;
     host.fleet = this;
     host.name = name;
-    host.keepers = keepers;
+    host.coordinators = coordinators;
     host_settings_defaults (&host.settings);
     strcpy (host.settings.name, name.c_str ());
     host.bus = bus_create (loop);
@@ -145,9 +145,9 @@
   want (Host &host, uint32_t tokens, const std::string &workspace = "june")
   {
     bus_message message = {};
-    message.topic = BUS_QUOTA_WANTED;
+    message.topic = BUS_QUOTA_REQUESTED;
     message.quota.workspace = hash_string (workspace.c_str ());
-    message.quota.answer.wanted = tokens;
+    message.quota.answer.requested = tokens;
     bus_post (host.bus, &message);
   }
 
@@ -255,12 +255,13 @@
   }
 
   static size_t
-  keepers (quota_transport *transport, const char *names[QUOTA_KEEPERS_MAX])
+  coordinators (quota_transport *transport,
+                const char *names[QUOTA_COORDINATORS_MAX])
   {
     auto *host = (Host *)transport;
-    for (size_t i = 0; i < host->keepers.size (); i++)
-      names[i] = host->keepers[i].c_str ();
-    return host->keepers.size ();
+    for (size_t i = 0; i < host->coordinators.size (); i++)
+      names[i] = host->coordinators[i].c_str ();
+    return host->coordinators.size ();
   }
 
   static uint32_t
@@ -269,7 +270,8 @@
     return ((Host *)transport)->known;
   }
 
-  static constexpr quota_transport_ops ops = { send, keepers, known_hosts };
+  static constexpr quota_transport_ops ops
+      = { send, coordinators, known_hosts };
 
   /* Six hosts of two data centres. */
   void
@@ -343,7 +345,7 @@
   start_six ();
   turn_for (1.5);
   cut.insert ("a3");
-  host ("a3").keepers = { "a3" };
+  host ("a3").coordinators = { "a3" };
   turn_for (1);
   const uint64_t alone = want_all (3, { "a3" });
   EXPECT_LE (alone, 3 * 100 / 6 + 10);
@@ -410,7 +412,7 @@
   const uint64_t before = sent;
   turn_for (3);
   /* Four hosts that aren't keepers, a question and an answer each. */
-  const double most = 3.0 / (QUOTA_RENEW_MS / 1000.0) * 4 * 2;
+  const double most = 3.0 / (QUOTA_RENEWAL_INTERVAL_MS / 1000.0) * 4 * 2;
   EXPECT_LE ((double)(sent - before), most * 1.1);
 }
 } // namespace
--- a/policy/access/freshness.c
+++ b/policy/access/freshness.c
@@ -10,7 +10,7 @@
 freshness_init (struct freshness *freshness)
 {
   *freshness = (struct freshness){ .time_ms = INT64_MIN,
-                                   .awaited = { .time_ms = INT64_MIN } };
+                                   .pending_proof = { .time_ms = INT64_MIN } };
 }
 
 static bool
@@ -25,7 +25,7 @@
 static void
 await (struct freshness *freshness, const struct freshness_proof *proof)
 {
-  struct freshness_proof *awaited = &freshness->awaited;
+  struct freshness_proof *awaited = &freshness->pending_proof;
   const bool is_newer = proof->version > awaited->version
                         || (proof->version == awaited->version
                             && proof->time_ms > awaited->time_ms);
@@ -34,8 +34,8 @@
 }
 
 bool
-freshness_prove (struct freshness *freshness,
-                 const struct freshness_proof *proof)
+freshness_add_proof (struct freshness *freshness,
+                     const struct freshness_proof *proof)
 {
   if (proof->version == 0)
     return false;
@@ -46,19 +46,19 @@
 }
 
 void
-freshness_in_force (struct freshness *freshness, uint64_t version)
+freshness_set_version_in_force (struct freshness *freshness, uint64_t version)
 {
   if (version < freshness->version)
     return;
   freshness->version = version;
-  if (freshness->awaited.version > version)
+  if (freshness->pending_proof.version > version)
     return;
-  raise_time (freshness, freshness->awaited.time_ms);
-  freshness->awaited = (struct freshness_proof){ .time_ms = INT64_MIN };
+  raise_time (freshness, freshness->pending_proof.time_ms);
+  freshness->pending_proof = (struct freshness_proof){ .time_ms = INT64_MIN };
 }
 
 struct freshness_proof
-freshness_told (const struct freshness *freshness)
+freshness_get_proof (const struct freshness *freshness)
 {
   return (struct freshness_proof){ .version = freshness->version,
                                    .time_ms = freshness->time_ms };
@@ -68,16 +68,17 @@
 freshness_age_ms (const struct freshness *freshness, int64_t now_ms)
 {
   if (freshness->version == 0 || freshness->time_ms == INT64_MIN)
-    return FRESHNESS_NO_AGE_MS;
+    return FRESHNESS_AGE_UNKNOWN_MS;
   const int64_t age_ms = now_ms - freshness->time_ms;
   if (age_ms < 0)
     return 0;
-  return age_ms < FRESHNESS_NO_AGE_MS ? (uint32_t)age_ms : FRESHNESS_NO_AGE_MS;
+  return age_ms < FRESHNESS_AGE_UNKNOWN_MS ? (uint32_t)age_ms
+                                           : FRESHNESS_AGE_UNKNOWN_MS;
 }
 
 bool
-freshness_holds (const struct freshness *freshness, int64_t now_ms,
-                 uint32_t bound_ms)
+freshness_is_within_bound (const struct freshness *freshness, int64_t now_ms,
+                           uint32_t bound_ms)
 {
   const uint32_t age_ms = freshness_age_ms (freshness, now_ms);
   return age_ms < bound_ms - bound_ms / DRIFT_PARTS;
--- a/policy/access/freshness.h
+++ b/policy/access/freshness.h
@@ -34,7 +34,7 @@
 #include <stdint.h>
 
 /** The age of a proof when there is none. */
-#define FRESHNESS_NO_AGE_MS UINT32_MAX
+#define FRESHNESS_AGE_UNKNOWN_MS UINT32_MAX
 
 /** "Every configuration accepted before this time has at most this
  * version." */
@@ -49,28 +49,29 @@
   uint64_t version; /**< in force here; 0: none */
   int64_t time_ms;  /**< the proof of it; INT64_MIN: none */
   /** Names a version that isn't in force yet; its time counts once it is. */
-  struct freshness_proof awaited;
+  struct freshness_proof pending_proof;
 };
 
 void freshness_init (struct freshness *freshness);
 
 /** Take in PROOF.
  * @return whether the host's own became younger */
-bool freshness_prove (struct freshness *freshness,
-                      const struct freshness_proof *proof);
+bool freshness_add_proof (struct freshness *freshness,
+                          const struct freshness_proof *proof);
 
 /** VERSION is in force from now on. */
-void freshness_in_force (struct freshness *freshness, uint64_t version);
+void freshness_set_version_in_force (struct freshness *freshness,
+                                     uint64_t version);
 
 /** The proof that may be told to others. */
-struct freshness_proof freshness_told (const struct freshness *freshness);
+struct freshness_proof freshness_get_proof (const struct freshness *freshness);
 
-/** How old the proof is, or FRESHNESS_NO_AGE_MS. */
+/** How old the proof is, or FRESHNESS_AGE_UNKNOWN_MS. */
 uint32_t freshness_age_ms (const struct freshness *freshness, int64_t now_ms);
 
 /** May a key be judged at NOW_MS, where one that was taken away must not be
  * taken for longer than BOUND_MS? */
-bool freshness_holds (const struct freshness *freshness, int64_t now_ms,
-                      uint32_t bound_ms);
+bool freshness_is_within_bound (const struct freshness *freshness,
+                                int64_t now_ms, uint32_t bound_ms);
 
 #endif
--- a/policy/access/key_table.c
+++ b/policy/access/key_table.c
@@ -15,7 +15,7 @@
 struct key_place
 {
   struct digest key;
-  uint32_t workspace; /* KEY_TABLE_NONE: the place is free */
+  uint32_t workspace; /* KEY_TABLE_NO_WORKSPACE: the place is free */
 };
 
 struct key_table
@@ -34,7 +34,7 @@
     table->place_count *= 2;
   table->places = xcalloc (table->place_count, sizeof *table->places);
   for (size_t i = 0; i < table->place_count; i++)
-    table->places[i].workspace = KEY_TABLE_NONE;
+    table->places[i].workspace = KEY_TABLE_NO_WORKSPACE;
   return table;
 }
 
@@ -54,7 +54,7 @@
   uint64_t hash;
   memcpy (&hash, key->bytes, sizeof hash);
   size_t at = (size_t)hash & (table->place_count - 1);
-  while (table->places[at].workspace != KEY_TABLE_NONE
+  while (table->places[at].workspace != KEY_TABLE_NO_WORKSPACE
          && !digest_equal (&table->places[at].key, key))
     at = (at + 1) & (table->place_count - 1);
   return &table->places[at];
@@ -65,7 +65,7 @@
                uint32_t workspace)
 {
   struct key_place *place = find_place (table, key);
-  if (place->workspace != KEY_TABLE_NONE)
+  if (place->workspace != KEY_TABLE_NO_WORKSPACE)
     return;
   place->key = *key;
   place->workspace = workspace;
--- a/policy/access/key_table.h
+++ b/policy/access/key_table.h
@@ -14,7 +14,7 @@
 #include "base/digest.h"
 
 /** No workspace has the key. */
-#define KEY_TABLE_NONE UINT32_MAX
+#define KEY_TABLE_NO_WORKSPACE UINT32_MAX
 
 struct key_table;
 
@@ -27,7 +27,8 @@
 void key_table_add (struct key_table *table, const struct digest *key,
                     uint32_t workspace);
 
-/** The number of the workspace that KEY belongs to, or KEY_TABLE_NONE. */
+/** The number of the workspace that KEY belongs to, or KEY_TABLE_NO_WORKSPACE.
+ */
 uint32_t key_table_find (const struct key_table *table,
                          const struct digest *key);
 
--- a/policy/access/tests/freshness_test.cc
+++ b/policy/access/tests/freshness_test.cc
@@ -20,9 +20,9 @@
 {
   freshness made;
   freshness_init (&made);
-  freshness_in_force (&made, version);
+  freshness_set_version_in_force (&made, version);
   const freshness_proof proof = { version, time_ms };
-  freshness_prove (&made, &proof);
+  freshness_add_proof (&made, &proof);
   return made;
 }
 
@@ -30,26 +30,26 @@
 {
   freshness made;
   freshness_init (&made);
-  EXPECT_EQ (freshness_age_ms (&made, 100), FRESHNESS_NO_AGE_MS);
-  EXPECT_FALSE (freshness_holds (&made, 100, bound_ms));
-  freshness_in_force (&made, 3);
-  EXPECT_FALSE (freshness_holds (&made, 100, bound_ms));
+  EXPECT_EQ (freshness_age_ms (&made, 100), FRESHNESS_AGE_UNKNOWN_MS);
+  EXPECT_FALSE (freshness_is_within_bound (&made, 100, bound_ms));
+  freshness_set_version_in_force (&made, 3);
+  EXPECT_FALSE (freshness_is_within_bound (&made, 100, bound_ms));
 }
 
 TEST (Freshness, HoldsForLessThanTheBound)
 {
   const freshness made = fresh (3, 1000);
-  EXPECT_TRUE (freshness_holds (&made, 1000, bound_ms));
-  EXPECT_TRUE (freshness_holds (&made, 5900, bound_ms));
-  EXPECT_FALSE (freshness_holds (&made, 5950, bound_ms));
-  EXPECT_FALSE (freshness_holds (&made, 100000, bound_ms));
+  EXPECT_TRUE (freshness_is_within_bound (&made, 1000, bound_ms));
+  EXPECT_TRUE (freshness_is_within_bound (&made, 5900, bound_ms));
+  EXPECT_FALSE (freshness_is_within_bound (&made, 5950, bound_ms));
+  EXPECT_FALSE (freshness_is_within_bound (&made, 100000, bound_ms));
 }
 
 TEST (Freshness, AnOlderProofChangesNothing)
 {
   freshness made = fresh (3, 1000);
   const freshness_proof older = { 3, 900 };
-  EXPECT_FALSE (freshness_prove (&made, &older));
+  EXPECT_FALSE (freshness_add_proof (&made, &older));
   EXPECT_EQ (freshness_age_ms (&made, 1000), 0u);
 }
 
@@ -60,22 +60,22 @@
 {
   freshness made = fresh (3, 1000);
   const freshness_proof newer = { 4, 9000 };
-  EXPECT_FALSE (freshness_prove (&made, &newer));
-  EXPECT_FALSE (freshness_holds (&made, 9000, bound_ms));
-  freshness_in_force (&made, 4);
-  EXPECT_TRUE (freshness_holds (&made, 9000, bound_ms));
-  EXPECT_EQ (freshness_told (&made).version, 4u);
+  EXPECT_FALSE (freshness_add_proof (&made, &newer));
+  EXPECT_FALSE (freshness_is_within_bound (&made, 9000, bound_ms));
+  freshness_set_version_in_force (&made, 4);
+  EXPECT_TRUE (freshness_is_within_bound (&made, 9000, bound_ms));
+  EXPECT_EQ (freshness_get_proof (&made).version, 4u);
 }
 
 TEST (Freshness, AVersionInBetweenIsNotEnough)
 {
   freshness made = fresh (3, 1000);
   const freshness_proof newer = { 5, 9000 };
-  freshness_prove (&made, &newer);
-  freshness_in_force (&made, 4);
-  EXPECT_FALSE (freshness_holds (&made, 9000, bound_ms));
-  freshness_in_force (&made, 5);
-  EXPECT_TRUE (freshness_holds (&made, 9000, bound_ms));
+  freshness_add_proof (&made, &newer);
+  freshness_set_version_in_force (&made, 4);
+  EXPECT_FALSE (freshness_is_within_bound (&made, 9000, bound_ms));
+  freshness_set_version_in_force (&made, 5);
+  EXPECT_TRUE (freshness_is_within_bound (&made, 9000, bound_ms));
 }
 
 /* A fleet under a random order of events: versions are accepted, hosts ask the
@@ -151,7 +151,7 @@
   ask_host (size_t host, size_t other)
   {
     const uint32_t age_ms = freshness_age_ms (&hosts[other], now_ms);
-    if (age_ms == FRESHNESS_NO_AGE_MS)
+    if (age_ms == FRESHNESS_AGE_UNKNOWN_MS)
       return;
     const int64_t asked_ms = now_ms - some_delay ();
     answers.push_back ({ host,
@@ -171,10 +171,10 @@
           }
         const answer due = answers[i];
         answers.erase (answers.begin () + (long)i);
-        freshness_prove (&hosts[due.host], &due.proof);
+        freshness_add_proof (&hosts[due.host], &due.proof);
         /* The version itself comes by another way, sooner or later. */
         if (rng_below (&random, 3) == 0)
-          freshness_in_force (&hosts[due.host], due.proof.version);
+          freshness_set_version_in_force (&hosts[due.host], due.proof.version);
       }
   }
 
@@ -183,7 +183,7 @@
   {
     for (const freshness &host : hosts)
       {
-        if (!freshness_holds (&host, now_ms, bound_ms))
+        if (!freshness_is_within_bound (&host, now_ms, bound_ms))
           continue;
         said_yes++;
         if (host.version < newest ())
--- a/policy/access/tests/key_table_test.cc
+++ b/policy/access/tests/key_table_test.cc
@@ -33,7 +33,8 @@
       const digest key = key_of ("key-" + std::to_string (i));
       EXPECT_EQ (key_table_find (table.get (), &key), i / 2);
       const digest other = key_of ("other-" + std::to_string (i));
-      EXPECT_EQ (key_table_find (table.get (), &other), KEY_TABLE_NONE);
+      EXPECT_EQ (key_table_find (table.get (), &other),
+                 KEY_TABLE_NO_WORKSPACE);
     }
 }
 
@@ -41,7 +42,7 @@
 {
   const table_ptr table = { key_table_create (0), key_table_destroy };
   const digest key = key_of ("key");
-  EXPECT_EQ (key_table_find (table.get (), &key), KEY_TABLE_NONE);
+  EXPECT_EQ (key_table_find (table.get (), &key), KEY_TABLE_NO_WORKSPACE);
 }
 
 /* Two versions of a configuration are merged wrongly and name a key twice.
--- a/policy/choice/attempt_rules.c
+++ b/policy/choice/attempt_rules.c
@@ -14,13 +14,13 @@
     case ATTEMPT_CUT:
     case ATTEMPT_TIMED_OUT:
     case ATTEMPT_CANCELLED:
-      return STAGE_PERHAPS_SENT;
+      return STAGE_MAYBE_SENT;
     }
-  return STAGE_PERHAPS_SENT;
+  return STAGE_MAYBE_SENT;
 }
 
 bool
-attempt_may_say_not_run (enum attempt_end end)
+attempt_may_report_not_run (enum attempt_end end)
 {
   return attempt_stage_of (end) == STAGE_NOT_RUN;
 }
--- a/policy/choice/attempt_rules.h
+++ b/policy/choice/attempt_rules.h
@@ -12,15 +12,15 @@
 /** What is known of the request's fate at the target. */
 enum attempt_stage
 {
-  STAGE_NOT_RUN,      /**< not sent, or refused by the target as not run */
-  STAGE_PERHAPS_SENT, /**< unknown: it may have run */
-  STAGE_ANSWERED,     /**< it ran, or the target says how it ended */
+  STAGE_NOT_RUN,    /**< not sent, or refused by the target as not run */
+  STAGE_MAYBE_SENT, /**< unknown: it may have run */
+  STAGE_ANSWERED,   /**< it ran, or the target says how it ended */
 };
 
 enum attempt_stage attempt_stage_of (enum attempt_end end);
 
 /** May the caller be told that the request was not run? */
-bool attempt_may_say_not_run (enum attempt_end end);
+bool attempt_may_report_not_run (enum attempt_end end);
 
 /** May the request be sent again? */
 bool attempt_may_retry (enum attempt_end end, bool repeatable);
--- a/policy/choice/attempt_timeout.c
+++ b/policy/choice/attempt_timeout.c
@@ -19,52 +19,52 @@
 
 /* What an answer at AGE_US of the attempt is worth. */
 static double
-worth_at (const struct attempt_outlook *outlook, int64_t age_us)
+worth_at (const struct attempt_timeout_context *outlook, int64_t age_us)
 {
   const double in_time = age_us <= outlook->goal_us ? 1 : late_worth;
-  return in_time * (1 - impatience * (double)age_us / outlook->left_us);
+  return in_time * (1 - impatience * (double)age_us / outlook->remaining_us);
 }
 
 /* What another attempt promises that begins at AGE_US of this one. */
 static double
-other_promises (const struct answer_times *times,
-                const struct attempt_outlook *outlook, int64_t age_us)
+other_promises (const struct latency_histogram *times,
+                const struct attempt_timeout_context *outlook, int64_t age_us)
 {
-  const int64_t left_us = outlook->left_us - age_us;
+  const int64_t left_us = outlook->remaining_us - age_us;
   const int64_t goal_us = outlook->goal_us - age_us;
-  const double past_end = answer_times_longer (times, left_us);
+  const double past_end = latency_histogram_survival (times, left_us);
   const double past_goal
-      = goal_us > 0 ? answer_times_longer (times, goal_us) : 1;
+      = goal_us > 0 ? latency_histogram_survival (times, goal_us) : 1;
   const double in_time = past_goal > past_end ? past_goal : past_end;
   const double share = (1 - in_time) + late_worth * (in_time - past_end);
-  const double waited = impatience * (double)age_us / outlook->left_us;
-  return (1 - outlook->other_hangs) * share * (1 - waited) - leaving_costs;
+  const double waited = impatience * (double)age_us / outlook->remaining_us;
+  return (1 - outlook->p_next_hang) * share * (1 - waited) - leaving_costs;
 }
 
 int64_t
-attempt_timeout_us (const struct answer_times *times,
-                    const struct attempt_outlook *outlook)
+attempt_timeout_us (const struct latency_histogram *times,
+                    const struct attempt_timeout_context *outlook)
 {
-  if (outlook->attempts_left == 0 || outlook->left_us / 2 <= 0)
+  if (outlook->attempts_left == 0 || outlook->remaining_us / 2 <= 0)
     return ATTEMPT_NO_TIMEOUT;
-  if (!answer_times_known (times))
-    return outlook->left_us / 2;
+  if (!latency_histogram_has_enough (times))
+    return outlook->remaining_us / 2;
   int64_t best_us = ATTEMPT_NO_TIMEOUT;
   double best = 0; /* beyond what has come by then */
   double come = 0; /* what has come by the step's beginning */
   double longer = 1;
-  const double answers = 1 - outlook->hangs;
-  for (uint32_t step = 1; step < ANSWER_TIMES_STEPS; step++)
+  const double answers = 1 - outlook->p_hang;
+  for (uint32_t step = 1; step < LATENCY_HISTOGRAM_BUCKETS; step++)
     {
-      const int64_t age_us = answer_times_step_us (step);
-      if (age_us >= outlook->left_us)
+      const int64_t age_us = latency_histogram_bucket_start_us (step);
+      if (age_us >= outlook->remaining_us)
         break;
-      const double still = answer_times_longer (times, age_us);
+      const double still = latency_histogram_survival (times, age_us);
       come += answers * (longer - still) * worth_at (outlook, age_us);
       longer = still;
       if (age_us < TIMEOUT_LEAST_US)
         continue;
-      const double open = answers * still + outlook->hangs;
+      const double open = answers * still + outlook->p_hang;
       const double promised
           = come + open * other_promises (times, outlook, age_us);
       if (promised > best)
@@ -81,13 +81,14 @@
   /* Guards a request whose target hangs soon after the start: while answers
      are few, many longer ones may come for all that is known, and it would
      wait to its deadline. */
-  return answer_times_are_few (times) ? outlook->left_us / 2
-                                      : ATTEMPT_NO_TIMEOUT;
+  return latency_histogram_is_sparse (times) ? outlook->remaining_us / 2
+                                             : ATTEMPT_NO_TIMEOUT;
 }
 
 bool
-attempt_timeout_is_too_late (const struct answer_times *times, int64_t left_us)
+attempt_timeout_is_deadline_unlikely (const struct latency_histogram *times,
+                                      int64_t left_us)
 {
-  return answer_times_known (times)
-         && answer_times_longer (times, left_us) > 0.5;
+  return latency_histogram_has_enough (times)
+         && latency_histogram_survival (times, left_us) > 0.5;
 }
--- a/policy/choice/chooser.c
+++ b/policy/choice/chooser.c
@@ -41,7 +41,7 @@
                  int64_t now_us, bool repeatable)
 {
   const double busy = (double)t->in_flight / t->config.slots;
-  const double f = fmin (t->failure, failure_cap);
+  const double f = fmin (t->failure_rate, failure_cap);
   const double per_failure
       = repeatable ? FAILURE_COST : FAILURE_COST_UNREPEATABLE;
   const double expected_failures = f / (1 - f);
@@ -49,15 +49,16 @@
       = latency_us (set, t) * (1 + busy + expected_failures * per_failure);
   const double backup
       = t->config.is_backup ? 1 + set->backup_cost_percent / 100.0 : 1;
-  return cost_us * backup / target_state_warmth (t, now_us);
+  return cost_us * backup / target_state_warm_up_factor (t, now_us);
 }
 
 double
-chooser_answer_us (const struct target_set *set, const struct target_state *t)
+chooser_expected_response_us (const struct target_set *set,
+                              const struct target_state *t)
 {
-  if (t->failure > hopeless_failure)
+  if (t->failure_rate > hopeless_failure)
     return INFINITY;
-  return latency_us (set, t) / (1 - t->failure);
+  return latency_us (set, t) / (1 - t->failure_rate);
 }
 
 static void
@@ -88,8 +89,8 @@
       uint32_t before = 0;
       for (unsigned tier = 0; tier < (unsigned)t->tier; tier++)
         if (c->tiers & (1u << tier))
-          before += set->listed[tier][c->part].count;
-      leave_out (c, before + t->tier_at);
+          before += set->tiers[tier][c->part].count;
+      leave_out (c, before + t->tier_index);
     }
 }
 
@@ -100,7 +101,7 @@
   struct candidates c = { .set = set, .part = part, .tiers = tiers };
   for (unsigned tier = 0; tier < TIER_COUNT; tier++)
     if (tiers & (1u << tier))
-      c.count += set->listed[tier][part].count;
+      c.count += set->tiers[tier][part].count;
   leave_out_tried (&c, r);
   c.count -= c.tried_count;
   return c;
@@ -115,7 +116,7 @@
     {
       if (!(c->tiers & (1u << tier)))
         continue;
-      const struct target_list *list = &c->set->listed[tier][c->part];
+      const struct target_list *list = &c->set->tiers[tier][c->part];
       if (n < list->count)
         return list->numbers[n];
       n -= list->count;
@@ -159,7 +160,7 @@
   if (c->count == 0)
     return;
   const uint32_t looked_at
-      = c->count < CHOOSER_LOOKS_AT ? c->count : CHOOSER_LOOKS_AT;
+      = c->count < CHOOSER_CANDIDATES_MAX ? c->count : CHOOSER_CANDIDATES_MAX;
   const uint32_t first = (uint32_t)rng_below (rng, c->count);
   for (uint32_t i = 0; i < looked_at; i++)
     {
@@ -183,7 +184,7 @@
       count += c.count;
       find_cheaper (&c, rng, r, now_us, &best);
     }
-  return (struct chooser_pick){ .target = best.target, .only = count == 1 };
+  return (struct chooser_pick){ .target = best.target, .is_only = count == 1 };
 }
 
 bool
--- a/policy/choice/chooser.h
+++ b/policy/choice/chooser.h
@@ -21,13 +21,13 @@
 enum
 {
   /** Candidates that are compared of each part: all of a small service. */
-  CHOOSER_LOOKS_AT = 16,
+  CHOOSER_CANDIDATES_MAX = 16,
 };
 
 /** Tiers from which to choose, as a set of bits. */
 enum chooser_tiers
 {
-  CHOOSE_CLEAR = 1 << TIER_CLEAR,
+  CHOOSE_HEALTHY = 1 << TIER_HEALTHY,
   CHOOSE_WARMING = 1 << TIER_WARMING,
   CHOOSE_SUSPECT = 1 << TIER_SUSPECT,
 };
@@ -36,7 +36,7 @@
 struct chooser_pick
 {
   uint32_t target; /**< POLICY_NO_TARGET: there is no candidate */
-  bool only;       /**< there was but one candidate */
+  bool is_only;    /**< there was but one candidate */
 };
 
 /** The expected cost of the request at target T, in microseconds: latency
@@ -47,8 +47,8 @@
 
 /** Time until an answer, attempts that fail included; INFINITY when T is
  * close to never answering. */
-double chooser_answer_us (const struct target_set *set,
-                          const struct target_state *t);
+double chooser_expected_response_us (const struct target_set *set,
+                                     const struct target_state *t);
 
 /** Choose for R among the targets of TIERS, all of which have a free slot.
  * Those that R has tried are left out. */
--- a/policy/choice/demand_peak.c
+++ b/policy/choice/demand_peak.c
@@ -7,14 +7,14 @@
   struct demand_peak moved = *peak;
   if (window <= peak->window)
     return moved;
-  moved.before = window == peak->window + 1 ? peak->current : 0;
+  moved.previous = window == peak->window + 1 ? peak->current : 0;
   moved.current = 0;
   moved.window = window;
   return moved;
 }
 
 void
-demand_peak_note (struct demand_peak *peak, int64_t now_us, uint32_t wanted)
+demand_peak_add (struct demand_peak *peak, int64_t now_us, uint32_t wanted)
 {
   *peak = advance (peak, now_us);
   if (wanted > peak->current)
@@ -25,5 +25,5 @@
 demand_peak_value (const struct demand_peak *peak, int64_t now_us)
 {
   const struct demand_peak moved = advance (peak, now_us);
-  return moved.current > moved.before ? moved.current : moved.before;
+  return moved.current > moved.previous ? moved.current : moved.previous;
 }
--- a/policy/choice/demand_peak.h
+++ b/policy/choice/demand_peak.h
@@ -17,12 +17,12 @@
 {
   int64_t window; /**< number of the window that CURRENT is of */
   uint32_t current;
-  uint32_t before; /**< of the window before */
+  uint32_t previous; /**< of the window before */
 };
 
 /** At NOW_US as many as WANTED were in flight or waiting. */
-void demand_peak_note (struct demand_peak *peak, int64_t now_us,
-                       uint32_t wanted);
+void demand_peak_add (struct demand_peak *peak, int64_t now_us,
+                      uint32_t wanted);
 
 /** The peak as of NOW_US. */
 uint32_t demand_peak_value (const struct demand_peak *peak, int64_t now_us);
--- a/policy/choice/open_attempts.c
+++ b/policy/choice/open_attempts.c
@@ -15,7 +15,7 @@
 open_attempts_add (struct open_attempts *open, int64_t now_us)
 {
   if (open->count < OPEN_ATTEMPTS_MAX)
-    open->begun_us[open->count++] = now_us;
+    open->started_us[open->count++] = now_us;
 }
 
 void
@@ -25,7 +25,7 @@
   int64_t least_us = INT64_MAX;
   for (uint32_t i = 0; i < open->count; i++)
     {
-      const int64_t off_us = llabs (open->begun_us[i] - begun_us);
+      const int64_t off_us = llabs (open->started_us[i] - begun_us);
       if (off_us < least_us)
         {
           least_us = off_us;
@@ -38,7 +38,7 @@
     return;
   open->count--;
   for (uint32_t i = nearest; i < open->count; i++)
-    open->begun_us[i] = open->begun_us[i + 1];
+    open->started_us[i] = open->started_us[i + 1];
 }
 
 /* How likely an attempt has no answer after its time: it hangs, or LONGER. */
@@ -49,21 +49,23 @@
 }
 
 double
-open_attempts_odds (const struct open_attempts *open,
-                    const struct open_evidence *evidence, int64_t now_us)
+open_attempts_odds_factor (const struct open_attempts *open,
+                           const struct open_attempts_context *evidence,
+                           int64_t now_us)
 {
   double odds = 1;
   for (uint32_t i = 0; i < open->count; i++)
     {
-      const int64_t age_us = now_us - open->begun_us[i];
-      const double longer = answer_times_longer (
-          evidence->times, (int64_t)((double)age_us / evidence->slower));
-      const double ratio
-          = stays_open (ESTIMATE_ILL_FAILS, evidence->hung, longer)
-            / stays_open (ESTIMATE_WELL_FAILS, evidence->hung, longer);
+      const int64_t age_us = now_us - open->started_us[i];
+      const double longer = latency_histogram_survival (
+          evidence->latencies, (int64_t)((double)age_us / evidence->slowdown));
+      const double ratio = stays_open (ESTIMATE_UNHEALTHY_FAILURE_RATE,
+                                       evidence->hang_share, longer)
+                           / stays_open (ESTIMATE_HEALTHY_FAILURE_RATE,
+                                         evidence->hang_share, longer);
       /* A young one says nothing: failures that don't hang take a while. */
       if (ratio > 1)
-        odds *= pow (ratio, exp (-(double)age_us / evidence->fades_us));
+        odds *= pow (ratio, exp (-(double)age_us / evidence->decay_us));
     }
   return odds;
 }
--- a/policy/choice/open_attempts.h
+++ b/policy/choice/open_attempts.h
@@ -12,7 +12,7 @@
 
 #include <stdint.h>
 
-#include "policy/choice/answer_times.h"
+#include "policy/choice/latency_histogram.h"
 
 enum
 {
@@ -22,17 +22,18 @@
 
 struct open_attempts
 {
-  int64_t begun_us[OPEN_ATTEMPTS_MAX]; /**< ascending */
+  int64_t started_us[OPEN_ATTEMPTS_MAX]; /**< ascending */
   uint32_t count;
 };
 
 /** What is known of the service's targets. */
-struct open_evidence
+struct open_attempts_context
 {
-  const struct answer_times *times;
-  double hung;   /**< share of failures that hang */
-  double slower; /**< how much longer this target's answers take; 1 or more */
-  int64_t fades_us; /**< time in which a target's state fades to 1/e */
+  const struct latency_histogram *latencies;
+  double hang_share; /**< share of failures that hang */
+  double
+      slowdown; /**< how much longer this target's answers take; 1 or more */
+  int64_t decay_us; /**< time in which a target's state fades to 1/e */
 };
 
 /** An attempt begins. */
@@ -43,8 +44,8 @@
 
 /** By what factor the odds that the target is ill are greater for what is open
  * at NOW_US: 1 or more. */
-double open_attempts_odds (const struct open_attempts *open,
-                           const struct open_evidence *evidence,
-                           int64_t now_us);
+double open_attempts_odds_factor (const struct open_attempts *open,
+                                  const struct open_attempts_context *evidence,
+                                  int64_t now_us);
 
 #endif
--- a/policy/choice/placement.c
+++ b/policy/choice/placement.c
@@ -36,7 +36,7 @@
 };
 
 double
-service_state_interval_us (const struct service_policy *policy)
+service_state_mean_interval_us (const struct service_policy *policy)
 {
   return service_rate_interval_us (&policy->rate, policy->now_us,
                                    policy->set.in_flight,
@@ -56,7 +56,7 @@
   if (reason == POLICY_REASON_NO_TARGET)
     return d;
   const double wait_us
-      = (policy->queue.count + 1) * service_state_interval_us (policy);
+      = (policy->queue.count + 1) * service_state_mean_interval_us (policy);
   const double wait_ms = ceil (wait_us / 1000);
   d.expected_wait_us = (int64_t)wait_us;
   d.retry_after_ms = (uint32_t)fmin (fmax (wait_ms, 1), RETRY_AFTER_MOST_MS);
@@ -67,7 +67,7 @@
 send_to (struct service_policy *policy, const struct policy_request *r,
          uint32_t target, enum policy_reason reason)
 {
-  target_set_take (&policy->set, policy->now_us, target);
+  target_set_acquire (&policy->set, policy->now_us, target);
   return (struct policy_decision){
     .verdict = POLICY_SEND,
     .reason = reason,
@@ -85,8 +85,8 @@
   if (pick.target == POLICY_NO_TARGET)
     return false;
   *d = send_to (policy, r, pick.target,
-                pick.only ? POLICY_REASON_ONLY_CHOICE
-                          : POLICY_REASON_BEST_OF_TWO);
+                pick.is_only ? POLICY_REASON_ONLY_CHOICE
+                             : POLICY_REASON_BEST_OF_TWO);
   return true;
 }
 
@@ -95,8 +95,8 @@
 good_tiers (const struct service_policy *policy)
 {
   return target_set_avoids_suspects (&policy->set)
-             ? CHOOSE_CLEAR
-             : CHOOSE_CLEAR | CHOOSE_SUSPECT;
+             ? CHOOSE_HEALTHY
+             : CHOOSE_HEALTHY | CHOOSE_SUSPECT;
 }
 
 static bool
@@ -128,7 +128,7 @@
              const struct wait_outlook *outlook)
 {
   const double left_us = (double)(r->deadline_us - policy->now_us);
-  const double answer_us = chooser_answer_us (&policy->set, t);
+  const double answer_us = chooser_expected_response_us (&policy->set, t);
   if (!r->repeatable)
     return !outlook->fits && !t->failing && !t->avoided
            && 2 * answer_us <= left_us;
@@ -152,8 +152,8 @@
   if (!is_worth_it (policy, r, t, outlook))
     return false;
   *d = send_to (policy, r, pick.target,
-                pick.only ? POLICY_REASON_ONLY_CHOICE
-                          : POLICY_REASON_BEST_OF_TWO);
+                pick.is_only ? POLICY_REASON_ONLY_CHOICE
+                             : POLICY_REASON_BEST_OF_TWO);
   return true;
 }
 
@@ -161,8 +161,8 @@
 static const struct target_list *
 own_first (const struct target_set *set, enum target_tier tier)
 {
-  const struct target_list *own = &set->listed[tier][PART_SUBSET];
-  return own->count > 0 ? own : &set->listed[tier][PART_BACKUP];
+  const struct target_list *own = &set->tiers[tier][PART_SUBSET];
+  return own->count > 0 ? own : &set->tiers[tier][PART_BACKUP];
 }
 
 /* A suspect without attempts under way, one of those that nobody used for
@@ -174,7 +174,7 @@
   const struct target_set *set = &policy->set;
   const uint64_t n = rng_below (&policy->rng, suspects + neglected);
   if (n >= suspects)
-    return target_set_neglected (set, policy->now_us, (uint32_t)n - suspects);
+    return target_set_idle (set, policy->now_us, (uint32_t)n - suspects);
   const struct target_list *listed = own_first (set, TIER_SUSPECT);
   const uint32_t target = listed->numbers[n];
   return set->targets[target].in_flight > 0 ? POLICY_NO_TARGET : target;
@@ -192,20 +192,20 @@
 {
   const struct target_set *set = &policy->set;
   const bool avoids = target_set_avoids_suspects (set);
-  const uint32_t untested = (avoids ? set->suspects : 0) + set->neglected;
+  const uint32_t untested = (avoids ? set->suspects : 0) + set->idle;
   if (!r->repeatable || r->attempt > 1 || untested == 0)
     return false;
-  policy->trickle += (double)untested / set->eligible / TRICKLE_DIVISOR;
-  policy->trickle = fmin (policy->trickle, TRICKLE_MOST);
-  if (policy->trickle < 1)
+  policy->probe_tokens += (double)untested / set->eligible / TRICKLE_DIVISOR;
+  policy->probe_tokens = fmin (policy->probe_tokens, TRICKLE_MOST);
+  if (policy->probe_tokens < 1)
     return false;
   const uint32_t suspects = avoids ? own_first (set, TIER_SUSPECT)->count : 0;
-  if (suspects + set->neglected == 0)
+  if (suspects + set->idle == 0)
     return false;
-  const uint32_t target = draw_untested (policy, suspects, set->neglected);
+  const uint32_t target = draw_untested (policy, suspects, set->idle);
   if (target == POLICY_NO_TARGET)
     return false;
-  policy->trickle -= 1;
+  policy->probe_tokens -= 1;
   *d = send_to (policy, r, target, POLICY_REASON_TRICKLE);
   return true;
 }
@@ -228,15 +228,16 @@
   const struct target_state *state = &set->targets[t];
   const bool is_elsewhere
       = state->config.is_backup
-        && !target_state_needs_cover (state, policy->now_us);
+        && !target_state_needs_backup (state, policy->now_us);
   const int64_t unused_us = is_elsewhere ? wanted->elsewhere_us : UNUSED_US;
   if (state->tier == TIER_NONE || (is_elsewhere && !wanted->all)
-      || state->used_us >= policy->now_us - unused_us)
+      || state->last_used_us >= policy->now_us - unused_us)
     return false;
   for (uint32_t i = 0; i < r->tried_count; i++)
     if (r->tried[i] == t)
       return false;
-  return than == POLICY_NO_TARGET || state->ill < set->targets[than].ill;
+  return than == POLICY_NO_TARGET
+         || state->p_unhealthy < set->targets[than].p_unhealthy;
 }
 
 /* Is a subset so small a part of all targets that the others' subsets are
@@ -272,8 +273,8 @@
 {
   return r->repeatable && r->attempt == 1
          && service_state_attempts_max (policy, r) > 1
-         && retry_budget_has (&policy->budget, &policy->options.retries,
-                              policy->now_us);
+         && retry_budget_is_available (
+             &policy->budget, &policy->options.retries, policy->now_us);
 }
 
 static struct wanted_use
@@ -311,7 +312,7 @@
   const uint32_t rest = 100 - percent;
   const uint32_t spread = percent + rest * SPREAD_WANTED / SPREAD_PARTS;
   const bool fails_much
-      = served_share_missing (&policy->set.served, policy->options.set_hosts)
+      = unserved_share_value (&policy->set.unserved, policy->options.set_hosts)
         >= failing_much;
   if (can_fail_once (policy, r))
     {
@@ -335,8 +336,8 @@
 {
   if (wanted->percent == 0)
     return false;
-  const struct target_use use
-      = target_set_use (&policy->set, policy->now_us - UNUSED_US, wanted->all);
+  const struct target_use use = target_set_count_used (
+      &policy->set, policy->now_us - UNUSED_US, wanted->all);
   return use.used < (use.eligible * wanted->percent + 99) / 100;
 }
 
@@ -353,14 +354,14 @@
   const struct target_set *set = &policy->set;
   const struct wanted_use wanted = wanted_in_use (policy, r);
   const bool needs_cover
-      = wanted.percent > 0 && target_set_needs_cover (set, policy->now_us);
+      = wanted.percent > 0 && target_set_needs_backup (set, policy->now_us);
   const bool too_few = are_too_few_used (policy, &wanted);
   if (!too_few && !needs_cover)
     return false;
   uint32_t best = POLICY_NO_TARGET;
   for (uint32_t t = 0; t < set->count; t++)
     if ((too_few
-         || target_state_needs_cover (&set->targets[t], policy->now_us))
+         || target_state_needs_backup (&set->targets[t], policy->now_us))
         && is_better_chance (policy, r, &wanted, t, best))
       best = t;
   if (best == POLICY_NO_TARGET)
@@ -375,7 +376,7 @@
 {
   const double left_us = (double)(r->deadline_us - policy->now_us);
   const double wait_us
-      = (policy->queue.count + 1) * service_state_interval_us (policy);
+      = (policy->queue.count + 1) * service_state_mean_interval_us (policy);
   /* At most half the time is kept for the answer: an estimate gone wrong
    * must not refuse everything and so never be corrected. */
   const double answer_us = fmin (policy->set.baseline.latency_us, left_us / 2);
@@ -391,8 +392,8 @@
 static bool
 has_free_good_slot (const struct service_policy *policy)
 {
-  return target_set_listed (&policy->set, TIER_CLEAR) > 0
-         || target_set_listed (&policy->set, TIER_WARMING) > 0;
+  return target_set_available (&policy->set, TIER_HEALTHY) > 0
+         || target_set_available (&policy->set, TIER_WARMING) > 0;
 }
 
 static struct policy_decision
@@ -407,10 +408,10 @@
   wait_queue_push (&policy->queue, r, outlook->give_up_us,
                    policy->now_us + left_us / 2);
   if (has_free_good_slot (policy))
-    policy->asked_us = INT64_MIN;
+    policy->polled_us = INT64_MIN;
   const bool avoids = !r->repeatable
                       && target_set_avoids_suspects (&policy->set)
-                      && target_set_listed (&policy->set, TIER_SUSPECT) > 0;
+                      && target_set_available (&policy->set, TIER_SUSPECT) > 0;
   return (struct policy_decision){
     .verdict = POLICY_QUEUE,
     .reason
@@ -422,8 +423,7 @@
 }
 
 struct policy_decision
-placement_request (struct service_policy *policy,
-                   const struct policy_request *r)
+placement_admit (struct service_policy *policy, const struct policy_request *r)
 {
   struct policy_decision d;
   if (try_trickle (policy, r, &d))
@@ -443,8 +443,8 @@
 }
 
 bool
-placement_elsewhere (struct service_policy *policy,
-                     const struct policy_request *r, struct policy_decision *d)
+placement_failover (struct service_policy *policy,
+                    const struct policy_request *r, struct policy_decision *d)
 {
   return policy->queue.count == 0 && try_good (policy, r, d);
 }
@@ -454,17 +454,17 @@
 static bool
 may_try_again (const struct service_policy *policy, const struct wait_entry *e)
 {
-  return policy->now_us >= e->again_us
+  return policy->now_us >= e->reuse_tried_us
          || chooser_all_tried (&policy->set, &e->request);
 }
 
 bool
-placement_entry (struct service_policy *policy, const struct wait_entry *e,
-                 struct policy_decision *d)
+placement_send_queued (struct service_policy *policy,
+                       const struct wait_entry *e, struct policy_decision *d)
 {
   const struct wait_outlook outlook = {
-    .wait_us = service_state_interval_us (policy),
-    .give_up_us = e->give_up_us,
+    .wait_us = service_state_mean_interval_us (policy),
+    .give_up_us = e->expires_us,
     .fits = true,
   };
   return try_good (policy, &e->request, d)
--- a/policy/choice/placement.h
+++ b/policy/choice/placement.h
@@ -12,20 +12,21 @@
 
 /** Place a request that just came; a slot is taken or the queue joined
  * accordingly. */
-struct policy_decision placement_request (struct service_policy *policy,
-                                          const struct policy_request *r);
+struct policy_decision placement_admit (struct service_policy *policy,
+                                        const struct policy_request *r);
 
 /** Send R to a target that it hasn't tried, if one in good standing has a free
  * slot that nobody waits for.
  * @return false: there is none, and nothing is changed */
-bool placement_elsewhere (struct service_policy *policy,
-                          const struct policy_request *r,
-                          struct policy_decision *d);
+bool placement_failover (struct service_policy *policy,
+                         const struct policy_request *r,
+                         struct policy_decision *d);
 
 /** Send a request that waits, if it can be sent now; the entry stays.
  * @return false: it has to wait on. */
-bool placement_entry (struct service_policy *policy,
-                      const struct wait_entry *e, struct policy_decision *d);
+bool placement_send_queued (struct service_policy *policy,
+                            const struct wait_entry *e,
+                            struct policy_decision *d);
 
 /** The refusal of R, with a time to come back from the queue and the rate. */
 struct policy_decision placement_refuse (const struct service_policy *policy,
--- a/policy/choice/service_rate.c
+++ b/policy/choice/service_rate.c
@@ -17,12 +17,13 @@
 }
 
 void
-service_rate_end (struct service_rate *rate, int64_t now_us, bool waiting)
+service_rate_note_release (struct service_rate *rate, int64_t now_us,
+                           bool waiting)
 {
   const int64_t passed_us = now_us - rate->last_end_us;
   if (passed_us >= RATE_STALE_US)
     rate->samples = 0;
-  if (rate->busy && waiting)
+  if (rate->had_waiting && waiting)
     {
       if (rate->samples == 0)
         rate->interval_us = (double)passed_us;
@@ -31,7 +32,7 @@
             += rate_gain * ((double)passed_us - rate->interval_us);
       rate->samples++;
     }
-  rate->busy = waiting;
+  rate->had_waiting = waiting;
   rate->last_end_us = now_us;
 }
 
@@ -41,7 +42,7 @@
 {
   const double since_us = (double)(now_us - rate->last_end_us);
   const bool stale = since_us >= RATE_STALE_US;
-  const double gap_us = rate->busy ? since_us / STANDSTILL : 0;
+  const double gap_us = rate->had_waiting ? since_us / STANDSTILL : 0;
   if (rate->samples >= RATE_MIN_SAMPLES && !stale)
     return gap_us > rate->interval_us ? gap_us : rate->interval_us;
   const double known_us = latency_us > 0 ? latency_us : UNKNOWN_LATENCY_US;
--- a/policy/choice/service_rate.h
+++ b/policy/choice/service_rate.h
@@ -17,14 +17,14 @@
   double interval_us;
   int64_t last_end_us;
   uint32_t samples;
-  bool busy; /**< requests waited since the last end */
+  bool had_waiting; /**< requests waited since the last end */
 };
 
 void service_rate_init (struct service_rate *rate);
 
 /** A slot came back; WAITING: requests wait for one. */
-void service_rate_end (struct service_rate *rate, int64_t now_us,
-                       bool waiting);
+void service_rate_note_release (struct service_rate *rate, int64_t now_us,
+                                bool waiting);
 
 /** Mean time between two ends, in microseconds; longer when the last one is
  * so long ago that it can't be chance, so that a standstill shows before it
--- a/policy/choice/service_state.h
+++ b/policy/choice/service_state.h
@@ -21,14 +21,14 @@
   struct wait_queue queue;
   struct service_rate rate;
   struct retry_budget budget;
-  double trickle;   /**< requests that suspects may get */
-  int64_t now_us;   /**< of the last event */
-  int64_t asked_us; /**< when nothing queued could be decided, until an event
+  double probe_tokens; /**< requests that suspects may get */
+  int64_t now_us;      /**< of the last event */
+  int64_t polled_us; /**< when nothing queued could be decided, until an event
                          that may change that; INT64_MIN: ask */
 };
 
 /** Mean time between two ends of attempts while requests wait. */
-double service_state_interval_us (const struct service_policy *policy);
+double service_state_mean_interval_us (const struct service_policy *policy);
 
 /** Most targets that R may be sent to. */
 uint32_t service_state_attempts_max (const struct service_policy *policy,
--- a/policy/choice/target_estimate.c
+++ b/policy/choice/target_estimate.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <stdbool.h>
 
-static const double latency_gain = 1.0 / (1 << ESTIMATE_LATENCY_SHIFT);
+static const double latency_gain = 1.0 / (1 << ESTIMATE_LATENCY_EWMA_SHIFT);
 
 /* Nothing is ever certain, else no outcome could change it any more. */
 static const double ill_least = 0.02;
@@ -16,23 +16,24 @@
 }
 
 double
-target_estimate_failure (double ill)
+target_estimate_failure_rate (double ill)
 {
-  return ill * ESTIMATE_ILL_FAILS + (1 - ill) * ESTIMATE_WELL_FAILS;
+  return ill * ESTIMATE_UNHEALTHY_FAILURE_RATE
+         + (1 - ill) * ESTIMATE_HEALTHY_FAILURE_RATE;
 }
 
 double
-target_estimate_ill (const struct target_estimate *e, double odds)
+target_estimate_p_unhealthy (const struct target_estimate *e, double odds)
 {
-  const double ill = e->ill * odds;
-  return bounded (ill / (ill + 1 - e->ill));
+  const double ill = e->p_unhealthy * odds;
+  return bounded (ill / (ill + 1 - e->p_unhealthy));
 }
 
 static void
 set_ill (struct target_estimate *e, double ill)
 {
-  e->ill = bounded (ill);
-  e->failure = target_estimate_failure (e->ill);
+  e->p_unhealthy = bounded (ill);
+  e->failure_rate = target_estimate_failure_rate (e->p_unhealthy);
 }
 
 void
@@ -50,8 +51,8 @@
   if (passed_us <= 0)
     return;
   e->updated_us = now_us;
-  const double known = exp (-(double)passed_us / ESTIMATE_SPELL_US);
-  set_ill (e, ill + (e->ill - ill) * known);
+  const double known = exp (-(double)passed_us / ESTIMATE_STATE_DECAY_US);
+  set_ill (e, ill + (e->p_unhealthy - ill) * known);
   if (e->latency_samples == 0 || peers_latency_us <= 0)
     return;
   const double kept = exp2 (-(double)passed_us / ESTIMATE_HALF_LIFE_US);
@@ -73,12 +74,13 @@
   switch (end)
     {
     case ATTEMPT_ANSWERED:
-      return (struct likelihood){ 1 - ESTIMATE_WELL_FAILS,
-                                  1 - ESTIMATE_ILL_FAILS };
+      return (struct likelihood){ 1 - ESTIMATE_HEALTHY_FAILURE_RATE,
+                                  1 - ESTIMATE_UNHEALTHY_FAILURE_RATE };
     case ATTEMPT_SHED:
       return (struct likelihood){ 0.1, 0.25 };
     default:
-      return (struct likelihood){ ESTIMATE_WELL_FAILS, ESTIMATE_ILL_FAILS };
+      return (struct likelihood){ ESTIMATE_HEALTHY_FAILURE_RATE,
+                                  ESTIMATE_UNHEALTHY_FAILURE_RATE };
     }
 }
 
@@ -95,13 +97,14 @@
 static void
 learn (struct target_estimate *e, struct likelihood l)
 {
-  const double ill = e->ill * l.ill;
+  const double ill = e->p_unhealthy * l.ill;
   e->samples++;
-  set_ill (e, ill / (ill + (1 - e->ill) * l.well));
+  set_ill (e, ill / (ill + (1 - e->p_unhealthy) * l.well));
 }
 
 void
-target_estimate_hear (struct target_estimate *e, enum attempt_end end)
+target_estimate_observe_remote (struct target_estimate *e,
+                                enum attempt_end end)
 {
   if (end != ATTEMPT_CANCELLED)
     learn (e, likelihood_heard (end));
--- a/policy/choice/target_estimate.h
+++ b/policy/choice/target_estimate.h
@@ -22,20 +22,21 @@
   ESTIMATE_HALF_LIFE_US = 10000000, /**< of a latency that isn't confirmed */
   /** Time in which what is known of a target's state fades to 1/e.  Spells
    * of some seconds, ill or well, fade about so. */
-  ESTIMATE_SPELL_US = 6000000,
-  ESTIMATE_LATENCY_SHIFT = 4, /**< an outcome weighs 1/16: its tail is long */
+  ESTIMATE_STATE_DECAY_US = 6000000,
+  ESTIMATE_LATENCY_EWMA_SHIFT
+  = 4, /**< an outcome weighs 1/16: its tail is long */
 };
 
 /** Share of requests that fail at a target that is well, and ill. */
-#define ESTIMATE_WELL_FAILS 0.01
-#define ESTIMATE_ILL_FAILS 0.75
+#define ESTIMATE_HEALTHY_FAILURE_RATE 0.01
+#define ESTIMATE_UNHEALTHY_FAILURE_RATE 0.75
 
 /** What the outcomes of one target say. */
 struct target_estimate
 {
-  double latency_us; /**< mean time from send to end; 0 before any sample */
-  double failure;    /**< expected share of attempts that fail, 0 to 1 */
-  double ill;        /**< probability that it is ill now */
+  double latency_us;   /**< mean time from send to end; 0 before any sample */
+  double failure_rate; /**< expected share of attempts that fail, 0 to 1 */
+  double p_unhealthy;  /**< probability that it is ill now */
   int64_t updated_us;
   uint32_t latency_samples;
   uint32_t samples;
@@ -56,14 +57,16 @@
                               int64_t latency_us);
 
 /** The share of attempts that fail at a target that is ill with ILL. */
-double target_estimate_failure (double ill);
+double target_estimate_failure_rate (double ill);
 
 /** The probability that it is ill when the odds of it are ODDS times as high
  * as E says. */
-double target_estimate_ill (const struct target_estimate *e, double odds);
+double target_estimate_p_unhealthy (const struct target_estimate *e,
+                                    double odds);
 
 /** Learn how an attempt of another host ended, whose latency says nothing
  * here. */
-void target_estimate_hear (struct target_estimate *e, enum attempt_end end);
+void target_estimate_observe_remote (struct target_estimate *e,
+                                     enum attempt_end end);
 
 #endif
--- a/policy/choice/target_standing.c
+++ b/policy/choice/target_outlier.c
@@ -1,4 +1,4 @@
-#include "policy/choice/target_standing.h"
+#include "policy/choice/target_outlier.h"
 
 #include <math.h>
 
@@ -27,7 +27,7 @@
 
 /* Hoare's selection: what is left of MIDDLE is no greater than it. */
 double
-standing_median (double *values, uint32_t count)
+target_outlier_median (double *values, uint32_t count)
 {
   if (count == 0)
     return 0;
@@ -59,14 +59,15 @@
 }
 
 bool
-standing_is_failing (double ill, bool was, bool faster)
+target_outlier_is_failing (double ill, bool was, bool faster)
 {
   const double enter = faster ? failing_enter_faster : failing_enter;
   return ill > (was ? failing_leave : enter);
 }
 
 double
-standing_learn_ill (double ill, double share, int64_t passed_us)
+target_outlier_learn_unhealthy_share (double ill, double share,
+                                      int64_t passed_us)
 {
   const double kept = exp (-(double)passed_us / ILL_LEARNED_US);
   const double learned = share + (ill - share) * kept;
@@ -74,20 +75,21 @@
 }
 
 double
-standing_own_latency_us (const struct target_estimate *e, uint32_t distance_us)
+target_outlier_own_latency_us (const struct target_estimate *e,
+                               uint32_t distance_us)
 {
   const double own = e->latency_us - 2.0 * distance_us;
   return own > 0 ? own : 0;
 }
 
 bool
-standing_is_slow (const struct target_estimate *e,
-                  const struct standing_baseline *baseline, bool was,
-                  uint32_t distance_us)
+target_outlier_is_slow (const struct target_estimate *e,
+                        const struct peer_baseline *baseline, bool was,
+                        uint32_t distance_us)
 {
   if (e->latency_samples < SLOW_MIN_SAMPLES || baseline->latency_us <= 0)
     return false;
-  const double own = standing_own_latency_us (e, distance_us);
+  const double own = target_outlier_own_latency_us (e, distance_us);
   const double ratio = was ? slow_leave : slow_enter;
   return own > ratio * baseline->latency_us + SLOW_SLACK_US;
 }
--- a/policy/choice/target_set.c
+++ b/policy/choice/target_set.c
@@ -19,10 +19,10 @@
 {
   if (t->tier == TIER_NONE)
     return;
-  struct target_list *list = &set->listed[t->tier][target_state_part (t)];
+  struct target_list *list = &set->tiers[t->tier][target_state_part (t)];
   const uint32_t last = list->numbers[--list->count];
-  list->numbers[t->tier_at] = last;
-  set->targets[last].tier_at = t->tier_at;
+  list->numbers[t->tier_index] = last;
+  set->targets[last].tier_index = t->tier_index;
   t->tier = TIER_NONE;
 }
 
@@ -37,9 +37,9 @@
   if (tier == TIER_NONE)
     return;
   t->tier = tier;
-  struct target_list *list = &set->listed[tier][target_state_part (t)];
-  t->tier_at = list->count++;
-  list->numbers[t->tier_at] = number;
+  struct target_list *list = &set->tiers[tier][target_state_part (t)];
+  t->tier_index = list->count++;
+  list->numbers[t->tier_index] = number;
 }
 
 static void
@@ -47,13 +47,13 @@
 {
   const struct target_peers peers = {
     .baseline = &set->baseline,
-    .times = &set->times,
-    .hung = set->hung,
+    .latencies = &set->latencies,
+    .hang_share = set->hang_share,
     .prefer_faster_detection = set->prefer_faster_detection,
   };
   const bool counted
       = target_state_is_eligible (t) && target_state_is_suspect (t);
-  target_state_judge (t, &peers, now_us);
+  target_state_evaluate (t, &peers, now_us);
   const bool counts
       = target_state_is_eligible (t) && target_state_is_suspect (t);
   set->suspects += (uint32_t)counts;
@@ -72,12 +72,12 @@
       const struct target_state *t = &set->targets[i];
       if (!target_state_is_eligible (t) || t->estimate.samples == 0)
         continue;
-      sum += t->estimate.ill;
+      sum += t->estimate.p_unhealthy;
       used++;
     }
   if (used > 0)
-    set->baseline.ill
-        = standing_learn_ill (set->baseline.ill, sum / used, passed_us);
+    set->baseline.unhealthy_share = target_outlier_learn_unhealthy_share (
+        set->baseline.unhealthy_share, sum / used, passed_us);
 }
 
 static void
@@ -88,10 +88,10 @@
     {
       const struct target_state *t = &set->targets[i];
       if (target_state_is_eligible (t) && t->estimate.latency_samples > 0)
-        set->scratch[used++]
-            = standing_own_latency_us (&t->estimate, t->config.distance_us);
+        set->scratch[used++] = target_outlier_own_latency_us (
+            &t->estimate, t->config.distance_us);
     }
-  set->baseline.latency_us = standing_median (set->scratch, used);
+  set->baseline.latency_us = target_outlier_median (set->scratch, used);
 }
 
 static bool
@@ -99,17 +99,17 @@
               int64_t now_us)
 {
   const bool may_be_chosen
-      = t->tier == TIER_CLEAR
+      = t->tier == TIER_HEALTHY
         || (t->tier == TIER_SUSPECT && !target_set_avoids_suspects (set));
   return may_be_chosen && !t->config.is_backup
-         && now_us - t->used_us >= TARGET_NEGLECTED_US;
+         && now_us - t->last_used_us >= TARGET_IDLE_US;
 }
 
 static void
 refresh_all (struct target_set *set, int64_t now_us)
 {
-  const int64_t passed_us = now_us - set->learned_us;
-  set->learned_us = now_us;
+  const int64_t passed_us = now_us - set->unhealthy_share_learned_us;
+  set->unhealthy_share_learned_us = now_us;
   set->refreshed_us = now_us;
   set->outcomes = 0;
   for (uint32_t i = 0; i < set->count; i++)
@@ -121,9 +121,9 @@
       judge (set, &set->targets[i], now_us);
       place (set, now_us, i);
     }
-  set->neglected = 0;
+  set->idle = 0;
   for (uint32_t i = 0; i < set->count; i++)
-    set->neglected += (uint32_t)is_neglected (set, &set->targets[i], now_us);
+    set->idle += (uint32_t)is_neglected (set, &set->targets[i], now_us);
 }
 
 void
@@ -141,10 +141,10 @@
 target_set_init (struct target_set *set)
 {
   *set = (struct target_set){ .refreshed_us = INT64_MIN / 2,
-                              .cover_us = INT64_MIN / 2,
-                              .baseline = { .ill = ILL_AT_FIRST },
-                              .hung = HUNG_AT_FIRST };
-  answer_times_init (&set->times);
+                              .unreachable_us = INT64_MIN / 2,
+                              .baseline = { .unhealthy_share = ILL_AT_FIRST },
+                              .hang_share = HUNG_AT_FIRST };
+  latency_histogram_init (&set->latencies);
 }
 
 void
@@ -155,7 +155,7 @@
   key_index_clear (&set->index);
   for (int tier = 0; tier < TIER_COUNT; tier++)
     for (int part = 0; part < PART_COUNT; part++)
-      free (set->listed[tier][part].numbers);
+      free (set->tiers[tier][part].numbers);
   target_set_init (set);
 }
 
@@ -182,7 +182,7 @@
   set->scratch = xcalloc (count + 1, sizeof *set->scratch);
   for (int tier = 0; tier < TIER_COUNT; tier++)
     for (int part = 0; part < PART_COUNT; part++)
-      set->listed[tier][part].numbers = xcalloc (count + 1, sizeof (uint32_t));
+      set->tiers[tier][part].numbers = xcalloc (count + 1, sizeof (uint32_t));
   key_index_init (&set->index, count);
 }
 
@@ -196,10 +196,11 @@
   set->prefer_faster_detection = old.prefer_faster_detection;
   set->backup_cost_percent = old.backup_cost_percent;
   set->baseline = old.baseline;
-  set->learned_us = old.count > 0 ? old.learned_us : now_us;
-  set->times = old.times;
-  set->hung = old.hung;
-  set->served = old.served;
+  set->unhealthy_share_learned_us
+      = old.count > 0 ? old.unhealthy_share_learned_us : now_us;
+  set->latencies = old.latencies;
+  set->hang_share = old.hang_share;
+  set->unserved = old.unserved;
   allocate (set, count);
   uint32_t *numbers = xcalloc (old.count + 1, sizeof *numbers);
   for (uint32_t i = 0; i < old.count; i++)
@@ -209,11 +210,12 @@
   for (uint32_t i = 0; i < count; i++)
     {
       const uint32_t before = key_index_find (&old.index, targets[i].key);
-      struct target_state t = target_state_begin (&targets[i], warm_from_us,
-                                                  now_us, set->baseline.ill);
+      struct target_state t = target_state_initial (
+          &targets[i], warm_from_us, now_us, set->baseline.unhealthy_share);
       if (before != POLICY_NO_TARGET)
         {
-          t = target_state_follow (&old.targets[before], &targets[i], now_us);
+          t = target_state_with_config (&old.targets[before], &targets[i],
+                                        now_us);
           numbers[before] = i;
         }
       add (set, &t, i);
@@ -236,7 +238,7 @@
   const uint32_t was = target_state_is_eligible (t);
   t->ejected = ejected;
   if (!ejected)
-    t->warm_from_us = now_us;
+    t->warm_up_start_us = now_us;
   const uint32_t is = target_state_is_eligible (t);
   set->eligible += is - was;
   if (target_state_is_suspect (t))
@@ -267,14 +269,14 @@
 }
 
 void
-target_set_take (struct target_set *set, int64_t now_us, uint32_t number)
+target_set_acquire (struct target_set *set, int64_t now_us, uint32_t number)
 {
   struct target_state *t = &set->targets[number];
   assert (target_state_is_eligible (t) && t->in_flight < t->config.slots);
   t->in_flight++;
-  target_state_note_sent (t);
+  target_state_consume_token (t);
   open_attempts_add (&t->open, now_us);
-  t->used_us = now_us;
+  t->last_used_us = now_us;
   set->in_flight++;
   place (set, now_us, number);
 }
@@ -293,26 +295,26 @@
 learn_hung (struct target_set *set, enum attempt_end end)
 {
   if (end == ATTEMPT_TIMED_OUT)
-    set->hung += hung_gain * (1 - set->hung);
+    set->hang_share += hung_gain * (1 - set->hang_share);
   else if (end == ATTEMPT_CUT || end == ATTEMPT_FAILED)
-    set->hung -= hung_gain * set->hung;
+    set->hang_share -= hung_gain * set->hang_share;
 }
 
 double
-target_set_hangs (const struct target_set *set, double ill)
+target_set_hang_probability (const struct target_set *set, double ill)
 {
-  return ill * ESTIMATE_ILL_FAILS * set->hung;
+  return ill * ESTIMATE_UNHEALTHY_FAILURE_RATE * set->hang_share;
 }
 
 uint32_t
-target_set_listed (const struct target_set *set, enum target_tier tier)
+target_set_available (const struct target_set *set, enum target_tier tier)
 {
-  return set->listed[tier][PART_SUBSET].count
-         + set->listed[tier][PART_BACKUP].count;
+  return set->tiers[tier][PART_SUBSET].count
+         + set->tiers[tier][PART_BACKUP].count;
 }
 
 uint32_t
-target_set_neglected (const struct target_set *set, int64_t now_us, uint32_t n)
+target_set_idle (const struct target_set *set, int64_t now_us, uint32_t n)
 {
   for (uint32_t i = 0; i < set->count; i++)
     if (is_neglected (set, &set->targets[i], now_us) && n-- == 0)
@@ -321,7 +323,8 @@
 }
 
 struct target_use
-target_set_use (const struct target_set *set, int64_t since_us, bool all)
+target_set_count_used (const struct target_set *set, int64_t since_us,
+                       bool all)
 {
   struct target_use use = { 0 };
   for (uint32_t i = 0; i < set->count; i++)
@@ -330,7 +333,7 @@
       if (!target_state_is_eligible (t) || (t->config.is_backup && !all))
         continue;
       use.eligible++;
-      use.used += (uint32_t)(t->used_us >= since_us);
+      use.used += (uint32_t)(t->last_used_us >= since_us);
     }
   return use;
 }
@@ -352,38 +355,39 @@
   target_estimate_observe (&t->estimate, outcome->end, outcome->latency_us);
   t->is_new = t->is_new && t->estimate.samples == 0;
   count_outcome (t, outcome->end);
-  served_share_add (&set->served, now_us, outcome);
+  unserved_share_add (&set->unserved, now_us, outcome);
   learn_hung (set, outcome->end);
   if (outcome->end == ATTEMPT_ANSWERED)
-    answer_times_add (&set->times, outcome->latency_us);
+    latency_histogram_add (&set->latencies, outcome->latency_us);
   set->outcomes++;
   judge (set, t, now_us);
   place (set, now_us, outcome->target);
 }
 
 bool
-target_set_needs_cover (const struct target_set *set, int64_t now_us)
+target_set_needs_backup (const struct target_set *set, int64_t now_us)
 {
-  return now_us - set->cover_us < TARGET_COVER_US;
+  return now_us - set->unreachable_us < TARGET_UNREACHABLE_TTL_US;
 }
 
 void
-target_set_cover (struct target_set *set, int64_t now_us, uint32_t number)
+target_set_note_unreachable (struct target_set *set, int64_t now_us,
+                             uint32_t number)
 {
-  set->targets[number].cover_us = now_us;
-  set->cover_us = now_us;
+  set->targets[number].unreachable_us = now_us;
+  set->unreachable_us = now_us;
 }
 
 void
-target_set_hear (struct target_set *set, int64_t now_us, uint32_t number,
-                 enum attempt_end end)
+target_set_observe_remote (struct target_set *set, int64_t now_us,
+                           uint32_t number, enum attempt_end end)
 {
   struct target_state *t = &set->targets[number];
   target_state_advance (t, &set->baseline, now_us);
-  target_estimate_hear (&t->estimate, end);
-  served_share_hear (&set->served, now_us, end);
-  target_state_note_heard_use (t, now_us, end,
-                               (int64_t)set->baseline.latency_us);
+  target_estimate_observe_remote (&t->estimate, end);
+  unserved_share_add_remote (&set->unserved, now_us, end);
+  target_state_note_remote_use (t, now_us, end,
+                                (int64_t)set->baseline.latency_us);
   t->is_new = t->is_new && t->estimate.samples == 0;
   judge (set, t, now_us);
   place (set, now_us, number);
--- a/policy/choice/target_set.h
+++ b/policy/choice/target_set.h
@@ -10,18 +10,18 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "policy/choice/answer_times.h"
+#include "policy/choice/latency_histogram.h"
 #include "policy/choice/key_index.h"
-#include "policy/choice/served_share.h"
-#include "policy/choice/target_standing.h"
+#include "policy/choice/unserved_share.h"
+#include "policy/choice/target_outlier.h"
 #include "policy/choice/target_state.h"
 #include "policy/service_policy.h"
 
 enum
 {
-  TARGET_REFRESH_US = 100000,    /**< most time between two looks at all */
-  TARGET_REFRESH_OUTCOMES = 32,  /**< or so many outcomes, or one a target */
-  TARGET_NEGLECTED_US = 3000000, /**< without use, though it has room */
+  TARGET_REFRESH_US = 100000,   /**< most time between two looks at all */
+  TARGET_REFRESH_OUTCOMES = 32, /**< or so many outcomes, or one a target */
+  TARGET_IDLE_US = 3000000,     /**< without use, though it has room */
 };
 
 /** Numbers of targets in no order. */
@@ -37,21 +37,22 @@
   struct target_state *targets;
   uint32_t count;
   struct key_index index;
-  struct target_list listed[TIER_COUNT][PART_COUNT];
+  struct target_list tiers[TIER_COUNT][PART_COUNT];
   uint32_t eligible;
-  uint32_t suspects;  /**< among the eligible, with or without room */
-  uint32_t neglected; /**< at the refresh, see target_set_neglected() */
+  uint32_t suspects; /**< among the eligible, with or without room */
+  uint32_t idle;     /**< at the refresh, see target_set_idle() */
   uint32_t in_flight;
   bool prefer_faster_detection;
   uint32_t backup_cost_percent; /**< of a target outside the subset */
-  struct standing_baseline baseline;
+  struct peer_baseline baseline;
   int64_t refreshed_us;
-  int64_t learned_us; /**< when baseline.ill was, a refresh forced or not */
-  int64_t cover_us;   /**< the latest of the targets' */
-  uint32_t outcomes;  /**< since the refresh */
-  struct answer_times times; /**< of good answers */
-  double hung; /**< share of failed attempts that hung, as learned */
-  struct served_share served;
+  int64_t unhealthy_share_learned_us; /**< when baseline.ill was, a refresh
+                                         forced or not */
+  int64_t unreachable_us;             /**< the latest of the targets' */
+  uint32_t outcomes;                  /**< since the refresh */
+  struct latency_histogram latencies; /**< of good answers */
+  double hang_share; /**< share of failed attempts that hung, as learned */
+  struct unserved_share unserved;
   double *scratch;
 };
 
@@ -78,29 +79,30 @@
                             uint32_t number, uint32_t rate_millis);
 
 /** Take a free slot of the target. */
-void target_set_take (struct target_set *set, int64_t now_us, uint32_t number);
+void target_set_acquire (struct target_set *set, int64_t now_us,
+                         uint32_t number);
 
 /** Give the slot back and learn from the outcome. */
 void target_set_release (struct target_set *set, int64_t now_us,
                          const struct policy_outcome *outcome);
 
-/** Another host can't reach a target: see target_state_needs_cover(). */
-void target_set_cover (struct target_set *set, int64_t now_us,
-                       uint32_t number);
+/** Another host can't reach a target: see target_state_needs_backup(). */
+void target_set_note_unreachable (struct target_set *set, int64_t now_us,
+                                  uint32_t number);
 
 /** Learn from an attempt of another host. */
-void target_set_hear (struct target_set *set, int64_t now_us, uint32_t number,
-                      enum attempt_end end);
+void target_set_observe_remote (struct target_set *set, int64_t now_us,
+                                uint32_t number, enum attempt_end end);
 
 /** Judge all targets anew when it is time; cheap otherwise. */
 void target_set_refresh (struct target_set *set, int64_t now_us);
 
 /** How likely a target that is ill with ILL never answers an attempt. */
-double target_set_hangs (const struct target_set *set, double ill);
+double target_set_hang_probability (const struct target_set *set, double ill);
 
 /** How many targets of TIER have a free slot, in both parts. */
-uint32_t target_set_listed (const struct target_set *set,
-                            enum target_tier tier);
+uint32_t target_set_available (const struct target_set *set,
+                               enum target_tier tier);
 
 /** Eligible targets, and those of them that were used lately. */
 struct target_use
@@ -111,16 +113,17 @@
 
 /** The use since SINCE_US of the targets of the subset, or with ALL of those
  * outside it as well. */
-struct target_use target_set_use (const struct target_set *set,
-                                  int64_t since_us, bool all);
+struct target_use target_set_count_used (const struct target_set *set,
+                                         int64_t since_us, bool all);
 
 /** The N-th of the targets of the subset that aren't avoided, have room and
- * weren't used for TARGET_NEGLECTED_US, or POLICY_NO_TARGET. */
-uint32_t target_set_neglected (const struct target_set *set, int64_t now_us,
-                               uint32_t n);
+ * weren't used for TARGET_IDLE_US, or POLICY_NO_TARGET. */
+uint32_t target_set_idle (const struct target_set *set, int64_t now_us,
+                          uint32_t n);
 
-/** Does any target need this host's visits, see target_state_needs_cover()? */
-bool target_set_needs_cover (const struct target_set *set, int64_t now_us);
+/** Does any target need this host's visits, see target_state_needs_backup()?
+ */
+bool target_set_needs_backup (const struct target_set *set, int64_t now_us);
 
 /** Are suspects avoided?  Not when they are most of the eligible. */
 bool target_set_avoids_suspects (const struct target_set *set);
--- a/policy/choice/target_state.c
+++ b/policy/choice/target_state.c
@@ -15,35 +15,35 @@
 #define ILL_WHEN_NEW 0.0
 
 struct target_state
-target_state_begin (const struct policy_target *config, int64_t warm_from_us,
-                    int64_t now_us, double ill)
+target_state_initial (const struct policy_target *config, int64_t warm_from_us,
+                      int64_t now_us, double ill)
 {
   struct target_state t = {
     .config = *config,
-    .warm_from_us = warm_from_us,
-    .cover_us = now_us - TARGET_COVER_US,
-    .tokens_us = now_us,
+    .warm_up_start_us = warm_from_us,
+    .unreachable_us = now_us - TARGET_UNREACHABLE_TTL_US,
+    .refilled_us = now_us,
   };
   t.is_new = warm_from_us != INT64_MIN;
   target_estimate_init (&t.estimate, now_us, t.is_new ? ILL_WHEN_NEW : ill);
-  t.ill = t.estimate.ill;
-  t.failure = t.estimate.failure;
+  t.p_unhealthy = t.estimate.p_unhealthy;
+  t.failure_rate = t.estimate.failure_rate;
   return t;
 }
 
 struct target_state
-target_state_follow (const struct target_state *old,
-                     const struct policy_target *config, int64_t now_us)
+target_state_with_config (const struct target_state *old,
+                          const struct policy_target *config, int64_t now_us)
 {
   struct target_state t = *old;
-  if (target_state_warmth (&t, now_us) >= 1)
-    t.warm_from_us = INT64_MIN;
+  if (target_state_warm_up_factor (&t, now_us) >= 1)
+    t.warm_up_start_us = INT64_MIN;
   if (config->accepts_work && !old->config.accepts_work)
-    t.warm_from_us = now_us;
+    t.warm_up_start_us = now_us;
   const int64_t warm_up_us = t.config.warm_up_us;
   t.config = *config;
   /* What is left of it was told when it joined, and counts from then. */
-  if (t.warm_from_us != INT64_MIN && warm_up_us >= 0)
+  if (t.warm_up_start_us != INT64_MIN && warm_up_us >= 0)
     t.config.warm_up_us = warm_up_us;
   return t;
 }
@@ -73,12 +73,12 @@
 }
 
 double
-target_state_warmth (const struct target_state *t, int64_t now_us)
+target_state_warm_up_factor (const struct target_state *t, int64_t now_us)
 {
-  if (t->warm_from_us == INT64_MIN || warm_up_us (t) == 0)
+  if (t->warm_up_start_us == INT64_MIN || warm_up_us (t) == 0)
     return 1;
   const double least = t->config.warm_up_us < 0 ? coldest : coldest_told;
-  const double share = (double)(now_us - t->warm_from_us) / warm_up_us (t);
+  const double share = (double)(now_us - t->warm_up_start_us) / warm_up_us (t);
   if (share >= 1)
     return 1;
   return share > least ? share : least;
@@ -87,7 +87,8 @@
 static uint32_t
 slow_start_slots (const struct target_state *t, int64_t now_us)
 {
-  return (uint32_t)ceil (t->config.slots * target_state_warmth (t, now_us));
+  return (uint32_t)ceil (t->config.slots
+                         * target_state_warm_up_factor (t, now_us));
 }
 
 /* Refills the token bucket.
@@ -97,10 +98,10 @@
 {
   if (t->rate_millis == 0)
     return true;
-  const double elapsed_us = (double)(now_us - t->tokens_us);
+  const double elapsed_us = (double)(now_us - t->refilled_us);
   t->tokens = fmin (t->tokens + elapsed_us * t->rate_millis / 1e9,
                     limit_burst (t->rate_millis));
-  t->tokens_us = now_us;
+  t->refilled_us = now_us;
   return t->tokens >= 1;
 }
 
@@ -111,13 +112,13 @@
   if (t->rate_millis == 0)
     {
       t->tokens = 0;
-      t->tokens_us = now_us;
+      t->refilled_us = now_us;
     }
   t->rate_millis = rate_millis;
 }
 
 void
-target_state_note_sent (struct target_state *t)
+target_state_consume_token (struct target_state *t)
 {
   if (t->rate_millis > 0)
     t->tokens -= 1;
@@ -126,9 +127,9 @@
 enum target_tier
 target_state_tier (struct target_state *t, int64_t now_us)
 {
-  if (t->warm_from_us != INT64_MIN
-      && now_us - t->warm_from_us >= warm_up_us (t))
-    t->warm_from_us = INT64_MIN;
+  if (t->warm_up_start_us != INT64_MIN
+      && now_us - t->warm_up_start_us >= warm_up_us (t))
+    t->warm_up_start_us = INT64_MIN;
   if (!target_state_is_eligible (t) || t->in_flight >= t->config.slots
       || !rate_allows (t, now_us))
     return TIER_NONE;
@@ -136,17 +137,17 @@
     return TIER_SUSPECT;
   if (t->in_flight >= slow_start_slots (t, now_us))
     return TIER_WARMING;
-  return TIER_CLEAR;
+  return TIER_HEALTHY;
 }
 
 void
 target_state_advance (struct target_state *t,
-                      const struct standing_baseline *baseline, int64_t now_us)
+                      const struct peer_baseline *baseline, int64_t now_us)
 {
   double peers_us = baseline->latency_us;
   if (peers_us > 0)
     peers_us += 2.0 * t->config.distance_us;
-  const double ill = t->is_new ? ILL_WHEN_NEW : baseline->ill;
+  const double ill = t->is_new ? ILL_WHEN_NEW : baseline->unhealthy_share;
   target_estimate_advance (&t->estimate, now_us, peers_us, ill);
 }
 
@@ -158,44 +159,44 @@
   const double usual_us
       = peers->baseline->latency_us + 2.0 * t->config.distance_us;
   const double slower = usual_us > 0 ? t->estimate.latency_us / usual_us : 1;
-  const struct open_evidence evidence = {
-    .times = peers->times,
-    .hung = peers->hung,
-    .slower = slower > 1 ? slower : 1,
-    .fades_us = ESTIMATE_SPELL_US,
+  const struct open_attempts_context evidence = {
+    .latencies = peers->latencies,
+    .hang_share = peers->hang_share,
+    .slowdown = slower > 1 ? slower : 1,
+    .decay_us = ESTIMATE_STATE_DECAY_US,
   };
-  const double odds = open_attempts_odds (&t->open, &evidence, now_us);
-  t->ill = target_estimate_ill (&t->estimate, odds);
-  t->failure = target_estimate_failure (t->ill);
+  const double odds = open_attempts_odds_factor (&t->open, &evidence, now_us);
+  t->p_unhealthy = target_estimate_p_unhealthy (&t->estimate, odds);
+  t->failure_rate = target_estimate_failure_rate (t->p_unhealthy);
 }
 
 void
-target_state_judge (struct target_state *t, const struct target_peers *peers,
-                    int64_t now_us)
+target_state_evaluate (struct target_state *t,
+                       const struct target_peers *peers, int64_t now_us)
 {
   weigh_open (t, peers, now_us);
-  t->failing = standing_is_failing (t->ill, t->failing,
-                                    peers->prefer_faster_detection);
+  t->failing = target_outlier_is_failing (t->p_unhealthy, t->failing,
+                                          peers->prefer_faster_detection);
   /* A cold target is slow for a while; slow start bounds what it gets. */
-  t->slow = target_state_warmth (t, now_us) >= 1
-            && standing_is_slow (&t->estimate, peers->baseline, t->slow,
-                                 t->config.distance_us);
+  t->slow = target_state_warm_up_factor (t, now_us) >= 1
+            && target_outlier_is_slow (&t->estimate, peers->baseline, t->slow,
+                                       t->config.distance_us);
 }
 
 void
-target_state_note_heard_use (struct target_state *t, int64_t now_us,
-                             enum attempt_end end, int64_t usual_us)
+target_state_note_remote_use (struct target_state *t, int64_t now_us,
+                              enum attempt_end end, int64_t usual_us)
 {
   if (end == ATTEMPT_TIMED_OUT)
     return;
   const int64_t begun_us = now_us - usual_us;
-  if (begun_us > t->used_us)
-    t->used_us = begun_us;
+  if (begun_us > t->last_used_us)
+    t->last_used_us = begun_us;
 }
 
 bool
-target_state_needs_cover (const struct target_state *t, int64_t now_us)
+target_state_needs_backup (const struct target_state *t, int64_t now_us)
 {
   return t->config.is_backup && !target_state_is_suspect (t)
-         && now_us - t->cover_us < TARGET_COVER_US;
+         && now_us - t->unreachable_us < TARGET_UNREACHABLE_TTL_US;
 }
--- a/policy/choice/tests/attempt_rules_test.cc
+++ b/policy/choice/tests/attempt_rules_test.cc
@@ -33,7 +33,7 @@
     {
       EXPECT_EQ (service_policy_may_retry (r.end, false), r.unrepeatable);
       EXPECT_EQ (service_policy_may_retry (r.end, true), r.repeatable);
-      EXPECT_EQ (attempt_may_say_not_run (r.end), r.not_run);
+      EXPECT_EQ (attempt_may_report_not_run (r.end), r.not_run);
     }
 }
 
--- a/policy/choice/tests/chooser_test.cc
+++ b/policy/choice/tests/chooser_test.cc
@@ -29,7 +29,7 @@
     for (uint32_t i = 0; i < count; i++)
       {
         set.targets[i].estimate = { 10000, 0, 0, 0, 100, 100 };
-        set.targets[i].failure = 0;
+        set.targets[i].failure_rate = 0;
       }
     got.assign (count, 0);
   }
@@ -47,7 +47,7 @@
     for (uint32_t t : tried)
       r.tried[r.tried_count++] = t;
     for (int i = 0; i < times; i++)
-      got[chooser_choose (&set, &random, CHOOSE_CLEAR, &r, 0).target]++;
+      got[chooser_choose (&set, &random, CHOOSE_HEALTHY, &r, 0).target]++;
   }
 };
 
@@ -100,7 +100,7 @@
   set.targets[0].estimate.latency_us = 500000;
   choose (1000);
   EXPECT_EQ (got[0], 1000);
-  set.targets[0].failure = 0.5;
+  set.targets[0].failure_rate = 0.5;
   choose (1000);
   EXPECT_EQ (got[0], 1000);
 }
@@ -122,7 +122,7 @@
   EXPECT_EQ (own, 1000);
   /* All of the subset fail: any other is better. */
   for (uint32_t i = 0; i < 300; i += 30)
-    set.targets[i].failure = 0.75;
+    set.targets[i].failure_rate = 0.75;
   got.assign (300, 0);
   choose (1000);
   for (uint32_t i = 0; i < 300; i += 30)
@@ -134,16 +134,16 @@
   start (2);
   const target_state *t = &set.targets[0];
   const double plain = chooser_cost_us (&set, t, 0, true);
-  set.targets[0].failure = 0.5;
+  set.targets[0].failure_rate = 0.5;
   const double failing = chooser_cost_us (&set, t, 0, true);
   EXPECT_GT (failing, plain);
   EXPECT_GT (chooser_cost_us (&set, t, 0, false), failing);
-  EXPECT_EQ (chooser_answer_us (&set, t), 20000);
-  set.targets[0].warm_from_us = 0;
+  EXPECT_EQ (chooser_expected_response_us (&set, t), 20000);
+  set.targets[0].warm_up_start_us = 0;
   EXPECT_NEAR (chooser_cost_us (&set, t, TARGET_WARM_UP_US / 2, true),
                2 * failing, 1);
   set.targets[0].estimate = {};
-  set.targets[0].failure = 0;
+  set.targets[0].failure_rate = 0;
   set.targets[0].config.distance_us = 1500;
   EXPECT_NEAR (chooser_cost_us (&set, t, TARGET_WARM_UP_US, true),
                1000 + 2 * 1500, 1);
--- a/policy/choice/tests/answer_times_test.cc
+++ b/policy/choice/tests/latency_histogram_test.cc
@@ -8,7 +8,7 @@
 extern "C"
 {
 #include "base/rng.h"
-#include "policy/choice/answer_times.h"
+#include "policy/choice/latency_histogram.h"
 }
 
 namespace
@@ -25,13 +25,13 @@
 
 TEST (AnswerTimes, NothingMeansAnythingAtFirst)
 {
-  answer_times times;
-  answer_times_init (&times);
-  EXPECT_FALSE (answer_times_known (&times));
-  EXPECT_EQ (answer_times_longer (&times, 60000000), 1);
+  latency_histogram times;
+  latency_histogram_init (&times);
+  EXPECT_FALSE (latency_histogram_has_enough (&times));
+  EXPECT_EQ (latency_histogram_survival (&times, 60000000), 1);
   for (int i = 0; i < 5; i++)
-    answer_times_add (&times, 1000);
-  EXPECT_EQ (answer_times_longer (&times, 60000000), 1);
+    latency_histogram_add (&times, 1000);
+  EXPECT_EQ (latency_histogram_survival (&times, 60000000), 1);
 }
 
 TEST (AnswerTimes, AgreesWithAList)
@@ -41,13 +41,13 @@
       {
         rng random;
         rng_seed (&random, 5);
-        answer_times times;
-        answer_times_init (&times);
+        latency_histogram times;
+        latency_histogram_init (&times);
         std::vector<int64_t> list;
         for (int i = 0; i < 3000; i++)
           {
             const int64_t us = some_time (&random, median_us, spread);
-            answer_times_add (&times, us);
+            latency_histogram_add (&times, us);
             list.push_back (us);
           }
         std::sort (list.begin (), list.end ());
@@ -55,7 +55,7 @@
           {
             const int64_t at
                 = list[(size_t)((double)list.size () * (1 - share))];
-            EXPECT_NEAR (answer_times_longer (&times, at), share, 0.06)
+            EXPECT_NEAR (latency_histogram_survival (&times, at), share, 0.06)
                 << median_us << " " << spread;
           }
       }
@@ -67,26 +67,26 @@
 {
   rng random;
   rng_seed (&random, 6);
-  answer_times times;
-  answer_times_init (&times);
+  latency_histogram times;
+  latency_histogram_init (&times);
   for (int i = 0; i < 3000; i++)
-    answer_times_add (&times, some_time (&random, 100000, 0.3));
-  EXPECT_LE (answer_times_longer (&times, 500000), 0.02);
+    latency_histogram_add (&times, some_time (&random, 100000, 0.3));
+  EXPECT_LE (latency_histogram_survival (&times, 500000), 0.02);
   for (int i = 0; i < 300; i++)
-    answer_times_add (&times, some_time (&random, 500000, 0.3));
-  EXPECT_GE (answer_times_longer (&times, 500000), 0.25);
+    latency_histogram_add (&times, some_time (&random, 500000, 0.3));
+  EXPECT_GE (latency_histogram_survival (&times, 500000), 0.25);
 }
 
 TEST (AnswerTimes, NeverSaysThatNoAnswerCanCome)
 {
-  answer_times times;
-  answer_times_init (&times);
+  latency_histogram times;
+  latency_histogram_init (&times);
   for (int i = 0; i < 100000; i++)
-    answer_times_add (&times, 1000 + i % 7);
-  EXPECT_GE (answer_times_longer (&times, INT64_MAX), 0.01);
-  EXPECT_EQ (answer_times_longer (&times, 0), 1);
-  EXPECT_EQ (answer_times_longer (&times, -5), 1);
-  answer_times_add (&times, INT64_MAX);
-  answer_times_add (&times, -1);
+    latency_histogram_add (&times, 1000 + i % 7);
+  EXPECT_GE (latency_histogram_survival (&times, INT64_MAX), 0.01);
+  EXPECT_EQ (latency_histogram_survival (&times, 0), 1);
+  EXPECT_EQ (latency_histogram_survival (&times, -5), 1);
+  latency_histogram_add (&times, INT64_MAX);
+  latency_histogram_add (&times, -1);
 }
 } // namespace
--- a/policy/choice/tests/open_attempts_test.cc
+++ b/policy/choice/tests/open_attempts_test.cc
@@ -13,27 +13,27 @@
 namespace
 {
 /* Answers take 400 to 800 ms. */
-answer_times
+latency_histogram
 usual ()
 {
-  answer_times times;
-  answer_times_init (&times);
+  latency_histogram times;
+  latency_histogram_init (&times);
   for (int i = 0; i < 400; i++)
-    answer_times_add (&times, 400000 + (i * 37 % 400) * 1000);
+    latency_histogram_add (&times, 400000 + (i * 37 % 400) * 1000);
   return times;
 }
 
 double
-odds (const open_attempts &open, const answer_times &times, int64_t now_us,
-      double hung = 0.8, double slower = 1)
+odds (const open_attempts &open, const latency_histogram &times,
+      int64_t now_us, double hung = 0.8, double slower = 1)
 {
-  const open_evidence evidence = { &times, hung, slower, 6000000 };
-  return open_attempts_odds (&open, &evidence, now_us);
+  const open_attempts_context evidence = { &times, hung, slower, 6000000 };
+  return open_attempts_odds_factor (&open, &evidence, now_us);
 }
 
 TEST (OpenAttempts, SayNothingWhileAnswersMayCome)
 {
-  const answer_times times = usual ();
+  const latency_histogram times = usual ();
   open_attempts open = {};
   EXPECT_EQ (odds (open, times, 5000000), 1);
   open_attempts_add (&open, 0);
@@ -45,7 +45,7 @@
 
 TEST (OpenAttempts, SeveralSayMoreThanOneAndAllAreForgottenInTime)
 {
-  const answer_times times = usual ();
+  const latency_histogram times = usual ();
   open_attempts one = {};
   open_attempts_add (&one, 0);
   open_attempts two = one;
@@ -57,7 +57,7 @@
 /* All targets answer five times as slowly as a moment ago: they aren't ill. */
 TEST (OpenAttempts, OfATargetKnownToBeSlowSayLess)
 {
-  const answer_times times = usual ();
+  const latency_histogram times = usual ();
   open_attempts open = {};
   open_attempts_add (&open, 0);
   EXPECT_EQ (odds (open, times, 1500000, 0.8, 5), 1);
@@ -66,7 +66,7 @@
 /* Failures at once don't make an attempt that takes longer suspicious. */
 TEST (OpenAttempts, SayLittleWhereNothingHangs)
 {
-  const answer_times times = usual ();
+  const latency_histogram times = usual ();
   open_attempts open = {};
   open_attempts_add (&open, 0);
   EXPECT_EQ (odds (open, times, 1000000, 0), 1);
@@ -79,8 +79,8 @@
     open_attempts_add (&open, begun_us);
   open_attempts_remove (&open, 203000);
   ASSERT_EQ (open.count, 2u);
-  EXPECT_EQ (open.begun_us[0], 100000);
-  EXPECT_EQ (open.begun_us[1], 300000);
+  EXPECT_EQ (open.started_us[0], 100000);
+  EXPECT_EQ (open.started_us[1], 300000);
   open_attempts_remove (&open, 0);
   open_attempts_remove (&open, 0);
   open_attempts_remove (&open, 0);
@@ -191,7 +191,7 @@
     const policy_decision d = service_policy_admit (policy, now, &r);
     if (d.verdict != POLICY_SEND)
       {
-        service_policy_forget (policy, r.id);
+        service_policy_cancel_queued (policy, r.id);
         return;
       }
     const bool hangs = now < ill_until[d.target];
--- a/policy/choice/tests/avoided_test.cc
+++ b/policy/choice/tests/path_fault_test.cc
@@ -69,7 +69,7 @@
   start (4);
   EXPECT_GT (traffic (400, true), 50);
   service_policy_set_avoided (policy, now, 0, true);
-  EXPECT_TRUE (service_policy_belief (policy, 0).suspect);
+  EXPECT_TRUE (service_policy_target_status (policy, 0).suspect);
   const int got = traffic (400, true);
   EXPECT_GT (got, 0);
   EXPECT_LT (got, 20);
--- a/policy/choice/tests/naive_judge.h
+++ b/policy/choice/tests/reference_checker.h
@@ -2,10 +2,10 @@
  * Whether a decision of the service's policy was allowed, by the naive
  * version.  An empty string means yes, else it says what was wrong.
  */
-#ifndef POLICY_CHOICE_TESTS_NAIVE_JUDGE_H
-#define POLICY_CHOICE_TESTS_NAIVE_JUDGE_H
+#ifndef POLICY_CHOICE_TESTS_REFERENCE_CHECKER_H
+#define POLICY_CHOICE_TESTS_REFERENCE_CHECKER_H
 
-#include "policy/choice/tests/naive_choice.h"
+#include "policy/choice/tests/reference_model.h"
 
 struct naive_judge : naive_choice
 {
@@ -263,7 +263,7 @@
     if (o.end == ATTEMPT_CUT || o.end == ATTEMPT_FAILED)
       hung -= 0.05 * hung;
     if (o.end == ATTEMPT_ANSWERED)
-      answer_times_add (&times, o.latency_us);
+      latency_histogram_add (&times, o.latency_us);
     outcomes++;
     judge (t);
     t.placed = now;
--- a/policy/choice/tests/naive_choice.h
+++ b/policy/choice/tests/reference_model.h
@@ -5,8 +5,8 @@
  * It makes no choice of its own.  It says of each decision whether it was
  * allowed, since which two targets are drawn is chance.
  */
-#ifndef POLICY_CHOICE_TESTS_NAIVE_CHOICE_H
-#define POLICY_CHOICE_TESTS_NAIVE_CHOICE_H
+#ifndef POLICY_CHOICE_TESTS_REFERENCE_MODEL_H
+#define POLICY_CHOICE_TESTS_REFERENCE_MODEL_H
 
 #include <algorithm>
 #include <cmath>
@@ -19,7 +19,7 @@
 
 extern "C"
 {
-#include "policy/choice/answer_times.h"
+#include "policy/choice/latency_histogram.h"
 #include "policy/service_policy.h"
 }
 
@@ -79,7 +79,7 @@
 {
   int64_t at;
   double change;
-  retry_bound bound;
+  retry_limits bound;
 };
 
 struct naive_choice
@@ -88,7 +88,7 @@
   std::vector<naive_target> targets;
   std::vector<naive_waiting> queue;
   double base_latency = 0, base_ill = 0.05, hung = 0.5;
-  answer_times times;
+  latency_histogram times;
   int64_t refreshed = INT64_MIN / 2, learned = 0, now = 0;
   uint32_t outcomes = 0;
   double trickle = 0;
@@ -126,7 +126,7 @@
   }
   naive_choice ()
   {
-    answer_times_init (&times);
+    latency_histogram_init (&times);
   }
   static double
   bounded (double ill)
@@ -149,7 +149,7 @@
       {
         const double age = now - begun;
         const double late
-            = answer_times_longer (&times, (int64_t)(age / slower));
+            = latency_histogram_survival (&times, (int64_t)(age / slower));
         const double ratio
             = (0.75 * hung + 0.25 * late) / (0.01 * hung + 0.99 * late);
         if (ratio > 1)
@@ -380,10 +380,10 @@
     for (const naive_budget_event &e : budget_events)
       {
         saved = last == INT64_MIN
-                    ? e.bound.first
-                    : saved + (e.at - last) / 1e6 * e.bound.per_second;
-        saved = std::min (saved, e.bound.most);
-        saved = std::min (saved + e.change, e.bound.most);
+                    ? e.bound.initial_tokens
+                    : saved + (e.at - last) / 1e6 * e.bound.tokens_per_second;
+        saved = std::min (saved, e.bound.max_tokens);
+        saved = std::min (saved + e.change, e.bound.max_tokens);
         last = e.at;
       }
     return saved >= 1 - 1e-6;
--- a/policy/choice/tests/retry_budget_test.cc
+++ b/policy/choice/tests/retry_budget_test.cc
@@ -24,7 +24,7 @@
 }
 
 int
-take_all (retry_budget &b, const retry_bound &bound, int64_t now)
+take_all (retry_budget &b, const retry_limits &bound, int64_t now)
 {
   int granted = 0;
   while (retry_budget_take (&b, &bound, now))
@@ -36,12 +36,12 @@
  * targets get a multiple of the load just when they can't take it. */
 TEST (retry_budget, a_storm_of_failures_gets_its_share_and_no_more)
 {
-  const retry_bound bound = { 20, 3, 0, 0 };
+  const retry_limits bound = { 20, 3, 0, 0 };
   retry_budget b = empty ();
   int granted = 0;
   for (int i = 0; i < 10000; i++)
     {
-      retry_budget_request (&b, &bound, i * 100);
+      retry_budget_add_request (&b, &bound, i * 100);
       granted += retry_budget_take (&b, &bound, i * 100);
     }
   EXPECT_EQ (granted, 2000);
@@ -49,7 +49,7 @@
 
 TEST (retry_budget, a_quiet_service_can_retry)
 {
-  const retry_bound bound = { 0, 3, 0.3, 0 };
+  const retry_limits bound = { 0, 3, 0.3, 0 };
   retry_budget b = empty ();
   EXPECT_EQ (take_all (b, bound, 0), 0);
   EXPECT_EQ (take_all (b, bound, window_us), 3);
@@ -61,10 +61,10 @@
  * bound goes out at once. */
 TEST (retry_budget, no_more_is_saved_than_the_bound)
 {
-  const retry_bound bound = { 20, 5, 1, 0 };
+  const retry_limits bound = { 20, 5, 1, 0 };
   retry_budget b = empty ();
   for (int i = 0; i < 1000; i++)
-    retry_budget_request (&b, &bound, i * second_us);
+    retry_budget_add_request (&b, &bound, i * second_us);
   EXPECT_EQ (take_all (b, bound, 1000 * second_us), 5);
 }
 
@@ -72,11 +72,11 @@
  * since another has a part for it now. */
 TEST (retry_budget, a_narrower_bound_takes_back_what_was_saved)
 {
-  const retry_bound member = { 20, 8, 1, 0 };
-  const retry_bound outside = { 20, 1, 0, 0 };
+  const retry_limits member = { 20, 8, 1, 0 };
+  const retry_limits outside = { 20, 1, 0, 0 };
   retry_budget b = empty ();
   take_all (b, member, 0);
-  EXPECT_TRUE (retry_budget_has (&b, &member, window_us));
+  EXPECT_TRUE (retry_budget_is_available (&b, &member, window_us));
   EXPECT_EQ (take_all (b, outside, window_us), 1);
 }
 
@@ -87,9 +87,10 @@
   for (int i = 0; i < 32; i++)
     {
       const retry_fleet fleet = { 32, 3, i < 3 };
-      const retry_bound bound = retry_bound_of (&grant, &fleet);
-      EXPECT_GE (bound.most, 1);
-      sum += bound.most + bound.per_second * window_us / second_us;
+      const retry_limits bound = retry_limits_of_host (&grant, &fleet);
+      EXPECT_GE (bound.max_tokens, 1);
+      sum += bound.max_tokens
+             + bound.tokens_per_second * window_us / second_us;
     }
   EXPECT_LE (sum, 56);
   EXPECT_GT (sum, 50);
@@ -100,9 +101,12 @@
 {
   const retry_grant grant = { window_us, 20, 10 };
   const retry_fleet fleet = { 3, 3, true };
-  const retry_bound bound = retry_bound_of (&grant, &fleet);
-  EXPECT_GE (bound.first, 1);
-  EXPECT_LE (3 * (bound.most + bound.first + bound.per_second * 10), 10);
+  const retry_limits bound = retry_limits_of_host (&grant, &fleet);
+  EXPECT_GE (bound.initial_tokens, 1);
+  EXPECT_LE (3
+                 * (bound.max_tokens + bound.initial_tokens
+                    + bound.tokens_per_second * 10),
+             10);
   retry_budget b = empty ();
   EXPECT_GE (take_all (b, bound, 0), 1);
 }
@@ -111,10 +115,10 @@
 {
   const retry_grant grant = { window_us, 20, 10 };
   const retry_fleet fleet = { 36, 3, true };
-  const retry_bound bound = retry_bound_of (&grant, &fleet);
-  EXPECT_EQ (bound.most, 1);
-  EXPECT_EQ (bound.per_second, 0);
-  EXPECT_EQ (bound.first, 0);
+  const retry_limits bound = retry_limits_of_host (&grant, &fleet);
+  EXPECT_EQ (bound.max_tokens, 1);
+  EXPECT_EQ (bound.tokens_per_second, 0);
+  EXPECT_EQ (bound.initial_tokens, 0);
 }
 
 /* A fleet of hosts that are killed and started again. */
@@ -174,8 +178,8 @@
   {
     const uint32_t host = host_of_request ();
     const retry_fleet fleet = { hosts, set, in_set (host) };
-    const retry_bound bound = retry_bound_of (&grant, &fleet);
-    retry_budget_request (&budgets[host], &bound, now);
+    const retry_limits bound = retry_limits_of_host (&grant, &fleet);
+    retry_budget_add_request (&budgets[host], &bound, now);
     requests.push_back (now);
     for (int tries = 0; tries < 3; tries++)
       {
--- a/policy/choice/tests/service_policy_differential_test.cc
+++ b/policy/choice/tests/service_policy_differential_test.cc
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "policy/choice/tests/naive_judge.h"
+#include "policy/choice/tests/reference_checker.h"
 
 extern "C"
 {
@@ -220,7 +220,7 @@
     std::advance (at, below (waiting.size ()));
     const uint64_t id = at->first;
     waiting.erase (at);
-    service_policy_forget (policy, id);
+    service_policy_cancel_queued (policy, id);
     auto &q = naive.queue;
     q.erase (std::find_if (q.begin (), q.end (),
                            [&] (auto &w) { return w.r.id == id; }));
@@ -293,7 +293,8 @@
     for (uint32_t i = 0; i < naive.targets.size (); i++)
       {
         const naive_target &t = naive.targets[i];
-        const policy_belief b = service_policy_belief (policy, i);
+        const policy_target_status b
+            = service_policy_target_status (policy, i);
         if (b.in_flight != t.in_flight)
           return "slots counted wrong";
         if (b.suspect != (t.suspect () && naive.avoids ()))
--- a/policy/choice/tests/service_policy_test.cc
+++ b/policy/choice/tests/service_policy_test.cc
@@ -9,7 +9,7 @@
 {
   start (10, 5);
   traffic (100, 3, true);
-  ASSERT_TRUE (service_policy_belief (policy, 3).suspect);
+  ASSERT_TRUE (service_policy_target_status (policy, 3).suspect);
   const int got = traffic (200, 3, true);
   EXPECT_GT (got, 0);
   EXPECT_LT (got, 20);
@@ -23,13 +23,14 @@
   for (int i = 0; i < 8; i++)
     for (uint32_t t = 0; t < 3; t++)
       end (t, ATTEMPT_ANSWERED, t == 1 ? 4000 : 1000);
-  for (int i = 0; i < 3000 && !service_policy_belief (policy, 1).suspect; i++)
+  for (int i = 0;
+       i < 3000 && !service_policy_target_status (policy, 1).suspect; i++)
     {
       now += 5000;
       const uint32_t t = ask (true).target;
       end (t, t == 1 ? ATTEMPT_FAILED : ATTEMPT_ANSWERED, 1000);
     }
-  EXPECT_TRUE (service_policy_belief (policy, 1).suspect);
+  EXPECT_TRUE (service_policy_target_status (policy, 1).suspect);
 }
 
 /* Guards against a failing target that nobody tests while as many others are
@@ -60,7 +61,7 @@
 {
   start (10, 5);
   traffic (100, 3, true);
-  ASSERT_TRUE (service_policy_belief (policy, 3).suspect);
+  ASSERT_TRUE (service_policy_target_status (policy, 3).suspect);
   EXPECT_EQ (traffic (50, 3, false), 0);
 }
 
@@ -77,7 +78,7 @@
       end (d.target, d.target == 0 ? ATTEMPT_ANSWERED : ATTEMPT_FAILED);
     }
   for (uint32_t i = 0; i < 4; i++)
-    EXPECT_FALSE (service_policy_belief (policy, i).suspect) << i;
+    EXPECT_FALSE (service_policy_target_status (policy, i).suspect) << i;
 }
 
 TEST_F (service_policy_test, a_suspect_gets_real_work_when_the_rest_is_full)
@@ -92,7 +93,7 @@
       end (b.target, ATTEMPT_ANSWERED, b.target == 0 ? 50000 : 1000);
       now += 100000;
     }
-  ASSERT_TRUE (service_policy_belief (policy, 0).suspect);
+  ASSERT_TRUE (service_policy_target_status (policy, 0).suspect);
   EXPECT_EQ (ask (true).target, 1u);
   const policy_decision d = ask (true);
   EXPECT_EQ (d.verdict, POLICY_SEND);
@@ -151,10 +152,10 @@
   service_policy_set_ejected (policy, now, 0, true);
   traffic (10, POLICY_NO_TARGET, true);
   service_policy_set_ejected (policy, now, 0, false);
-  EXPECT_TRUE (service_policy_belief (policy, 0).warming);
+  EXPECT_TRUE (service_policy_target_status (policy, 0).warming);
   for (int i = 0; i < 30; i++)
     ask (true);
-  EXPECT_LE (service_policy_belief (policy, 0).in_flight, 1u);
+  EXPECT_LE (service_policy_target_status (policy, 0).in_flight, 1u);
   for (int i = 0; i < 9; i++)
     EXPECT_EQ (ask (true).verdict, POLICY_SEND);
 }
@@ -260,23 +261,23 @@
   policy_decision d = {};
   const policy_decision busy = ask (true);
   for (int i = 0; i < 100; i++)
-    EXPECT_FALSE (service_policy_admit_elsewhere (policy, now, &r, &d));
+    EXPECT_FALSE (service_policy_admit_failover (policy, now, &r, &d));
   EXPECT_EQ (service_policy_in_flight (policy), 2u);
   end (busy.target, ATTEMPT_ANSWERED);
   r.repeatable = false;
-  EXPECT_FALSE (service_policy_admit_elsewhere (policy, now, &r, &d));
+  EXPECT_FALSE (service_policy_admit_failover (policy, now, &r, &d));
   r.repeatable = true;
   r.attempt = 4;
-  EXPECT_FALSE (service_policy_admit_elsewhere (policy, now, &r, &d));
+  EXPECT_FALSE (service_policy_admit_failover (policy, now, &r, &d));
   r.attempt = 2;
   for (int i = 0; i < 3; i++)
     {
-      EXPECT_TRUE (service_policy_admit_elsewhere (policy, now, &r, &d)) << i;
+      EXPECT_TRUE (service_policy_admit_failover (policy, now, &r, &d)) << i;
       EXPECT_EQ (d.verdict, POLICY_SEND);
       EXPECT_EQ (d.target, busy.target);
       end (busy.target, ATTEMPT_ANSWERED);
     }
-  EXPECT_FALSE (service_policy_admit_elsewhere (policy, now, &r, &d));
+  EXPECT_FALSE (service_policy_admit_failover (policy, now, &r, &d));
   EXPECT_EQ (service_policy_in_flight (policy), 1u);
 }
 
--- a/policy/choice/tests/service_rate_test.cc
+++ b/policy/choice/tests/service_rate_test.cc
@@ -14,7 +14,7 @@
   struct service_rate rate;
   service_rate_init (&rate);
   for (int i = 1; i <= ends; i++)
-    service_rate_end (&rate, i * 1000, true);
+    service_rate_note_release (&rate, i * 1000, true);
   return rate;
 }
 
@@ -41,7 +41,7 @@
 TEST (service_rate, idle_time_is_not_a_standstill)
 {
   struct service_rate rate = busy_rate (100);
-  service_rate_end (&rate, 101000, false);
+  service_rate_note_release (&rate, 101000, false);
   EXPECT_NEAR (service_rate_interval_us (&rate, 1100000, 5, 10000), 1000, 1);
 }
 
--- a/policy/choice/tests/slot_shares_test.cc
+++ b/policy/choice/tests/slot_shares_test.cc
@@ -90,10 +90,10 @@
 {
   demand_peak peak = {};
   const int64_t from_us = (int64_t)1000 * DEMAND_WINDOW_US;
-  demand_peak_note (&peak, from_us + 10, 7);
-  demand_peak_note (&peak, from_us + 20, 3);
+  demand_peak_add (&peak, from_us + 10, 7);
+  demand_peak_add (&peak, from_us + 20, 3);
   EXPECT_EQ (demand_peak_value (&peak, from_us + 20), 7u);
-  demand_peak_note (&peak, from_us + DEMAND_WINDOW_US, 2);
+  demand_peak_add (&peak, from_us + DEMAND_WINDOW_US, 2);
   EXPECT_EQ (demand_peak_value (&peak, from_us + DEMAND_WINDOW_US), 7u);
   EXPECT_EQ (demand_peak_value (&peak, from_us + 2 * DEMAND_WINDOW_US), 2u);
   EXPECT_EQ (demand_peak_value (&peak, from_us + 3 * DEMAND_WINDOW_US), 0u);
--- a/policy/choice/tests/subset_load_test.cc
+++ b/policy/choice/tests/subset_load_test.cc
@@ -90,7 +90,7 @@
     options.queue_requests = 100;
     options.queue_bytes = 1000000;
     options.retries.percent = 20;
-    options.retries.most = 10;
+    options.retries.max_tokens = 10;
     options.attempts = 2;
     options.backup_cost_percent = 50;
     options.used_percent = used_percent;
--- a/policy/choice/tests/target_estimate_test.cc
+++ b/policy/choice/tests/target_estimate_test.cc
@@ -34,12 +34,14 @@
         {
           const int64_t passed = (int64_t)rng_below (&rng, 2000000);
           now += passed;
-          stays.push_back (std::exp (-(double)passed / ESTIMATE_SPELL_US));
+          stays.push_back (
+              std::exp (-(double)passed / ESTIMATE_STATE_DECAY_US));
           failed.push_back (rng_below (&rng, 3) == 0);
           target_estimate_advance (&e, now, 0, share);
           target_estimate_observe (
               &e, failed.back () ? ATTEMPT_CUT : ATTEMPT_ANSWERED, 1000);
-          was_bounded = was_bounded || e.ill <= 0.02 || e.ill >= 0.999;
+          was_bounded
+              = was_bounded || e.p_unhealthy <= 0.02 || e.p_unhealthy >= 0.999;
         }
       if (was_bounded)
         continue;
@@ -53,8 +55,8 @@
             {
               const bool is = path >> (i + 1) & 1;
               const double anew = is ? share : 1 - share;
-              const double fails
-                  = is ? ESTIMATE_ILL_FAILS : ESTIMATE_WELL_FAILS;
+              const double fails = is ? ESTIMATE_UNHEALTHY_FAILURE_RATE
+                                      : ESTIMATE_HEALTHY_FAILURE_RATE;
               p *= (1 - stays[i]) * anew + (is == was ? stays[i] : 0);
               p *= failed[i] ? fails : 1 - fails;
               was = is;
@@ -62,10 +64,11 @@
           all += p;
           ill += was ? p : 0;
         }
-      ASSERT_NEAR (e.ill, ill / all, 1e-9) << "seed 3, round " << round;
-      EXPECT_NEAR (e.failure,
-                   e.ill * ESTIMATE_ILL_FAILS
-                       + (1 - e.ill) * ESTIMATE_WELL_FAILS,
+      ASSERT_NEAR (e.p_unhealthy, ill / all, 1e-9)
+          << "seed 3, round " << round;
+      EXPECT_NEAR (e.failure_rate,
+                   e.p_unhealthy * ESTIMATE_UNHEALTHY_FAILURE_RATE
+                       + (1 - e.p_unhealthy) * ESTIMATE_HEALTHY_FAILURE_RATE,
                    1e-12);
     }
   EXPECT_GT (compared, 100);
@@ -79,20 +82,20 @@
   struct target_estimate e;
   target_estimate_init (&e, 0, 0.2);
   target_estimate_observe (&e, ATTEMPT_ANSWERED, 1000);
-  EXPECT_LT (e.ill, 0.1);
+  EXPECT_LT (e.p_unhealthy, 0.1);
   target_estimate_advance (&e, 500000, 0, 0.2);
   target_estimate_observe (&e, ATTEMPT_FAILED, 1000);
-  EXPECT_GT (e.ill, 0.7);
-  target_estimate_advance (&e, 500000 + 3 * ESTIMATE_SPELL_US, 0, 0.2);
-  EXPECT_LT (e.ill, 0.25);
+  EXPECT_GT (e.p_unhealthy, 0.7);
+  target_estimate_advance (&e, 500000 + 3 * ESTIMATE_STATE_DECAY_US, 0, 0.2);
+  EXPECT_LT (e.p_unhealthy, 0.25);
 }
 
 TEST (target_estimate, what_others_saw_counts_but_their_latency_does_not)
 {
   struct target_estimate e;
   target_estimate_init (&e, 0, 0.1);
-  target_estimate_hear (&e, ATTEMPT_FAILED);
-  EXPECT_GT (e.ill, 0.7);
+  target_estimate_observe_remote (&e, ATTEMPT_FAILED);
+  EXPECT_GT (e.p_unhealthy, 0.7);
   EXPECT_EQ (e.latency_samples, 0u);
 }
 
@@ -129,7 +132,7 @@
   target_estimate_observe (&e, ATTEMPT_CANCELLED, 900000);
   EXPECT_EQ (e.samples, 0u);
   EXPECT_EQ (e.latency_samples, 0u);
-  EXPECT_LT (e.failure, 0.03);
+  EXPECT_LT (e.failure_rate, 0.03);
 }
 
 TEST (target_estimate, drifts_to_its_peers_without_traffic)
--- a/policy/choice/tests/served_share_test.cc
+++ b/policy/choice/tests/unserved_share_test.cc
@@ -3,65 +3,65 @@
 
 extern "C"
 {
-#include "policy/choice/served_share.h"
+#include "policy/choice/unserved_share.h"
 }
 
 namespace
 {
 void
-add (served_share *share, int64_t now_us, attempt_end end, bool repeatable)
+add (unserved_share *share, int64_t now_us, attempt_end end, bool repeatable)
 {
   const policy_outcome outcome = { 0, end, 1000, repeatable };
-  served_share_add (share, now_us, &outcome);
+  unserved_share_add (share, now_us, &outcome);
 }
 
 TEST (ServedShare, SaysNothingOfAFew)
 {
-  served_share share = {};
+  unserved_share share = {};
   for (int i = 0; i < 4; i++)
     add (&share, 0, ATTEMPT_CUT, false);
-  EXPECT_EQ (served_share_missing (&share, 0), 0);
+  EXPECT_EQ (unserved_share_value (&share, 0), 0);
   add (&share, 0, ATTEMPT_CUT, false);
-  EXPECT_EQ (served_share_missing (&share, 0), 1);
+  EXPECT_EQ (unserved_share_value (&share, 0), 1);
 }
 
 TEST (ServedShare, WhatMayBeRepeatedIsMostlyServedInTheEnd)
 {
-  served_share once = {};
-  served_share often = {};
+  unserved_share once = {};
+  unserved_share often = {};
   for (int i = 0; i < 10; i++)
     {
       add (&once, 0, ATTEMPT_CUT, false);
       add (&often, 0, ATTEMPT_CUT, true);
     }
-  EXPECT_LT (served_share_missing (&often, 0),
-             served_share_missing (&once, 0));
-  EXPECT_GT (served_share_missing (&often, 0), 0.5);
+  EXPECT_LT (unserved_share_value (&often, 0),
+             unserved_share_value (&once, 0));
+  EXPECT_GT (unserved_share_value (&often, 0), 0.5);
 }
 
 /* A third of a service's requests is over a quota: no attempt fails. */
 TEST (ServedShare, RefusalsCount)
 {
-  served_share share = {};
+  unserved_share share = {};
   for (int i = 0; i < 30; i++)
     if (i % 3 == 0)
-      served_share_add_refused (&share, 0);
+      unserved_share_add_refused (&share, 0);
     else
       add (&share, 0, ATTEMPT_ANSWERED, true);
-  EXPECT_NEAR (served_share_missing (&share, 0), 1.0 / 3, 0.001);
+  EXPECT_NEAR (unserved_share_value (&share, 0), 1.0 / 3, 0.001);
 }
 
 TEST (ServedShare, ACallerThatLeavesSaysNothingAndAllFades)
 {
-  served_share share = {};
+  unserved_share share = {};
   for (int i = 0; i < 20; i++)
     add (&share, 0, ATTEMPT_CUT, false);
   for (int i = 0; i < 100; i++)
     add (&share, 0, ATTEMPT_CANCELLED, false);
-  EXPECT_EQ (served_share_missing (&share, 0), 1);
+  EXPECT_EQ (unserved_share_value (&share, 0), 1);
   for (int i = 0; i < 20; i++)
     add (&share, 10000000, ATTEMPT_ANSWERED, false);
-  EXPECT_LT (served_share_missing (&share, 0), 0.01);
+  EXPECT_LT (unserved_share_value (&share, 0), 0.01);
 }
 
 /* One of six hosts has lost its ways to most targets, and a tenth of the
@@ -69,37 +69,37 @@
    it but what it tells. */
 TEST (ServedShare, WhatFailsAtOthersCounts)
 {
-  served_share share = {};
+  unserved_share share = {};
   for (int i = 0; i < 100; i++)
     {
       add (&share, 0, ATTEMPT_ANSWERED, false);
       if (i % 10 < 6)
-        served_share_hear (&share, 0, ATTEMPT_TIMED_OUT);
+        unserved_share_add_remote (&share, 0, ATTEMPT_TIMED_OUT);
     }
-  EXPECT_EQ (served_share_missing (&share, 0), 0);
-  EXPECT_NEAR (served_share_missing (&share, 6), 0.1, 0.001);
+  EXPECT_EQ (unserved_share_value (&share, 0), 0);
+  EXPECT_NEAR (unserved_share_value (&share, 6), 0.1, 0.001);
 }
 
 /* All targets shed half of what they get, which hosts don't tell each other.
  */
 TEST (ServedShare, WhatIsShedHereIsShedElsewhere)
 {
-  served_share share = {};
+  unserved_share share = {};
   for (int i = 0; i < 100; i++)
     add (&share, 0, i % 2 == 0 ? ATTEMPT_SHED : ATTEMPT_ANSWERED, false);
-  EXPECT_NEAR (served_share_missing (&share, 6), 0.5, 0.001);
-  EXPECT_NEAR (served_share_missing (&share, 0), 0.5, 0.001);
+  EXPECT_NEAR (unserved_share_value (&share, 6), 0.5, 0.001);
+  EXPECT_NEAR (unserved_share_value (&share, 0), 0.5, 0.001);
 }
 
 /* What this host refuses for quotas, the others refuse as well. */
 TEST (ServedShare, RefusalsAreTakenForThoseOfAll)
 {
-  served_share share = {};
+  unserved_share share = {};
   for (int i = 0; i < 100; i++)
     if (i % 5 == 0)
-      served_share_add_refused (&share, 0);
+      unserved_share_add_refused (&share, 0);
     else
       add (&share, 0, ATTEMPT_ANSWERED, false);
-  EXPECT_NEAR (served_share_missing (&share, 6), 0.2, 0.001);
+  EXPECT_NEAR (unserved_share_value (&share, 6), 0.2, 0.001);
 }
 }
--- a/policy/choice/tests/wanted_share_test.cc
+++ b/policy/choice/tests/used_targets_test.cc
@@ -17,8 +17,8 @@
     {
       start (3, 3, 100, wanted);
       const int64_t begun = now;
-      service_policy_hear (policy, now, 2, ATTEMPT_FAILED);
-      service_policy_hear (policy, now, 2, ATTEMPT_FAILED);
+      service_policy_remote_outcome (policy, now, 2, ATTEMPT_FAILED);
+      service_policy_remote_outcome (policy, now, 2, ATTEMPT_FAILED);
       bool had_turn = false;
       for (int i = 0; now < begun + 1800000; i++)
         {
@@ -47,7 +47,7 @@
     {
       start (10, 3, 100, wanted);
       for (uint32_t t = 0; t < 5; t++)
-        service_policy_hear (policy, now, t, ATTEMPT_FAILED);
+        service_policy_remote_outcome (policy, now, t, ATTEMPT_FAILED);
       const int64_t begun = now;
       std::vector<bool> used (10, false);
       while (now < begun + 5000000)
@@ -81,7 +81,7 @@
       now += 10000;
       if (i % 50 == 0)
         for (uint32_t t = 0; t < 5; t++)
-          service_policy_hear (policy, now, t, ATTEMPT_TIMED_OUT);
+          service_policy_remote_outcome (policy, now, t, ATTEMPT_TIMED_OUT);
       const uint32_t t = ask (false).target;
       if (i >= 300)
         used.insert (t);
@@ -109,7 +109,7 @@
       now += 10000;
       for (int host = 1; host < 6; host++)
         if (i >= 200 && i < 400 && i % 100 == 0)
-          service_policy_hear (policy, now, 5, ATTEMPT_NOT_SENT);
+          service_policy_remote_outcome (policy, now, 5, ATTEMPT_NOT_SENT);
       const uint32_t t = ask (false).target;
       used[i / 200].insert (t);
       end (t, ATTEMPT_ANSWERED);
@@ -128,7 +128,7 @@
       start (20, 3, 100, 70);
       for (uint32_t t = 0; t < 14; t++)
         for (int i = 0; i < 3; i++)
-          service_policy_hear (policy, now, t, ATTEMPT_FAILED);
+          service_policy_remote_outcome (policy, now, t, ATTEMPT_FAILED);
       std::set<uint32_t> used;
       for (int i = 0; i < 175; i++)
         {
@@ -138,7 +138,7 @@
             used.insert (t);
           end (t, ATTEMPT_ANSWERED);
           if (refused && i % 2 == 0)
-            service_policy_refused (policy, now);
+            service_policy_note_refusal (policy, now);
         }
       EXPECT_EQ (used.size () >= 17, refused) << used.size ();
       service_policy_destroy (policy);
@@ -154,7 +154,7 @@
     {
       start (20, 3, 100, wanted);
       for (uint32_t t = 0; t < 14; t++)
-        service_policy_hear (policy, now, t, ATTEMPT_FAILED);
+        service_policy_remote_outcome (policy, now, t, ATTEMPT_FAILED);
       std::vector<uint32_t> got;
       for (int i = 0; i < 300; i++)
         {
@@ -180,7 +180,7 @@
   start (20, 3, 100, 70);
   for (uint32_t t = 0; t < 19; t++)
     for (int i = 0; i < 3; i++)
-      service_policy_hear (policy, now, t, ATTEMPT_FAILED);
+      service_policy_remote_outcome (policy, now, t, ATTEMPT_FAILED);
   now += 1600000;
   policy_request r = {};
   r.id = 1000;
@@ -219,7 +219,7 @@
       /* The other hosts tell for six seconds of what they send. */
       for (uint32_t t = 4; t < 12 && i < 600; t++)
         if (i % 100 == 0)
-          service_policy_hear (policy, now, t, ATTEMPT_ANSWERED);
+          service_policy_remote_outcome (policy, now, t, ATTEMPT_ANSWERED);
       const bool is_visit = d.reason == POLICY_REASON_TRICKLE;
       EXPECT_FALSE (i < 600 && is_visit && d.target >= 4) << i;
       if (i >= 900)
@@ -236,7 +236,7 @@
 {
   start (20, 3, 100, 70);
   for (uint32_t t = 0; t < 14; t++)
-    service_policy_hear (policy, now, t, ATTEMPT_FAILED);
+    service_policy_remote_outcome (policy, now, t, ATTEMPT_FAILED);
   std::vector<uint32_t> got;
   for (int i = 0; i < 300; i++)
     {
--- a/policy/choice/tests/wait_queue_test.cc
+++ b/policy/choice/tests/wait_queue_test.cc
@@ -27,7 +27,7 @@
   rng_seed (&rng, 11);
   struct wait_queue q;
   wait_queue_init (&q);
-  wait_queue_bound (&q, 8, 500);
+  wait_queue_set_limits (&q, 8, 500);
   uint32_t count_bound = 8;
   uint32_t bytes_bound = 500;
   std::vector<listed> list;
@@ -60,17 +60,17 @@
         {
           count_bound = (uint32_t)rng_below (&rng, 30);
           bytes_bound = (uint32_t)rng_below (&rng, 1500);
-          wait_queue_bound (&q, count_bound, bytes_bound);
+          wait_queue_set_limits (&q, count_bound, bytes_bound);
         }
       ASSERT_EQ (q.count, list.size ());
       int64_t first = INT64_MAX;
       for (auto &l : list)
         first = std::min (first, l.give_up);
-      const uint32_t top = wait_queue_first_given_up (&q);
+      const uint32_t top = wait_queue_next_expiring (&q);
       ASSERT_EQ (top == WAIT_QUEUE_NONE, list.empty ());
       if (top == WAIT_QUEUE_NONE)
         continue;
-      ASSERT_EQ (q.entries[top].give_up_us, first) << "step " << id;
+      ASSERT_EQ (q.entries[top].expires_us, first) << "step " << id;
       ASSERT_EQ (q.entries[wait_queue_newest (&q)].request.id,
                  list.back ().id);
       for (bool repeatable : { true, false })
--- a/policy/choice/wait_queue.c
+++ b/policy/choice/wait_queue.c
@@ -14,7 +14,7 @@
 void
 wait_queue_init (struct wait_queue *queue)
 {
-  *queue = (struct wait_queue){ .unused = WAIT_QUEUE_NONE };
+  *queue = (struct wait_queue){ .free_head = WAIT_QUEUE_NONE };
   for (int i = 0; i < LANE_COUNT; i++)
     {
       queue->oldest[i] = WAIT_QUEUE_NONE;
@@ -31,48 +31,49 @@
 }
 
 void
-wait_queue_bound (struct wait_queue *queue, uint32_t requests, uint32_t bytes)
+wait_queue_set_limits (struct wait_queue *queue, uint32_t requests,
+                       uint32_t bytes)
 {
-  queue->requests_bound = requests;
-  queue->bytes_bound = bytes;
-  if (requests <= queue->size)
+  queue->max_requests = requests;
+  queue->max_bytes = bytes;
+  if (requests <= queue->capacity)
     return;
   queue->entries
       = xreallocarray (queue->entries, requests, sizeof *queue->entries);
   queue->heap = xreallocarray (queue->heap, requests, sizeof *queue->heap);
-  for (uint32_t i = queue->size; i < requests; i++)
+  for (uint32_t i = queue->capacity; i < requests; i++)
     {
-      queue->entries[i].newer = queue->unused;
-      queue->unused = i;
+      queue->entries[i].next = queue->free_head;
+      queue->free_head = i;
     }
-  queue->size = requests;
+  queue->capacity = requests;
 }
 
 bool
 wait_queue_has_room (const struct wait_queue *queue, uint32_t bytes)
 {
-  return queue->count < queue->requests_bound
-         && queue->bytes + bytes <= queue->bytes_bound;
+  return queue->count < queue->max_requests
+         && queue->bytes + bytes <= queue->max_bytes;
 }
 
 static void
 heap_put (struct wait_queue *queue, uint32_t at, uint32_t entry)
 {
   queue->heap[at] = entry;
-  queue->entries[entry].heap_at = at;
+  queue->entries[entry].heap_index = at;
 }
 
 static int64_t
 heap_time (const struct wait_queue *queue, uint32_t at)
 {
-  return queue->entries[queue->heap[at]].give_up_us;
+  return queue->entries[queue->heap[at]].expires_us;
 }
 
 static void
 heap_up (struct wait_queue *queue, uint32_t at)
 {
   const uint32_t entry = queue->heap[at];
-  const int64_t time_us = queue->entries[entry].give_up_us;
+  const int64_t time_us = queue->entries[entry].expires_us;
   while (at > 0 && heap_time (queue, (at - 1) / 2) > time_us)
     {
       heap_put (queue, at, queue->heap[(at - 1) / 2]);
@@ -85,7 +86,7 @@
 heap_down (struct wait_queue *queue, uint32_t at)
 {
   const uint32_t entry = queue->heap[at];
-  const int64_t time_us = queue->entries[entry].give_up_us;
+  const int64_t time_us = queue->entries[entry].expires_us;
   for (;;)
     {
       uint32_t child = 2 * at + 1;
@@ -106,21 +107,21 @@
 wait_queue_push (struct wait_queue *queue, const struct policy_request *r,
                  int64_t give_up_us, int64_t again_us)
 {
-  assert (queue->unused != WAIT_QUEUE_NONE);
-  const uint32_t at = queue->unused;
+  assert (queue->free_head != WAIT_QUEUE_NONE);
+  const uint32_t at = queue->free_head;
   struct wait_entry *e = &queue->entries[at];
-  queue->unused = e->newer;
+  queue->free_head = e->next;
   const enum wait_lane lane = wait_lane_of (r);
   *e = (struct wait_entry){
     .request = *r,
-    .give_up_us = give_up_us,
-    .again_us = again_us,
-    .order = queue->next_order++,
-    .newer = WAIT_QUEUE_NONE,
-    .older = queue->newest[lane],
+    .expires_us = give_up_us,
+    .reuse_tried_us = again_us,
+    .seq = queue->next_seq++,
+    .next = WAIT_QUEUE_NONE,
+    .prev = queue->newest[lane],
   };
-  if (e->older != WAIT_QUEUE_NONE)
-    queue->entries[e->older].newer = at;
+  if (e->prev != WAIT_QUEUE_NONE)
+    queue->entries[e->prev].next = at;
   else
     queue->oldest[lane] = at;
   queue->newest[lane] = at;
@@ -142,7 +143,7 @@
   const uint32_t b = queue->newest[LANE_UNREPEATABLE];
   if (a == WAIT_QUEUE_NONE || b == WAIT_QUEUE_NONE)
     return a == WAIT_QUEUE_NONE ? b : a;
-  return queue->entries[a].order > queue->entries[b].order ? a : b;
+  return queue->entries[a].seq > queue->entries[b].seq ? a : b;
 }
 
 enum wait_lane
@@ -154,12 +155,12 @@
     return LANE_UNREPEATABLE;
   if (b == WAIT_QUEUE_NONE)
     return LANE_REPEATABLE;
-  return queue->entries[a].order < queue->entries[b].order ? LANE_REPEATABLE
-                                                           : LANE_UNREPEATABLE;
+  return queue->entries[a].seq < queue->entries[b].seq ? LANE_REPEATABLE
+                                                       : LANE_UNREPEATABLE;
 }
 
 uint32_t
-wait_queue_first_given_up (const struct wait_queue *queue)
+wait_queue_next_expiring (const struct wait_queue *queue)
 {
   return queue->count > 0 ? queue->heap[0] : WAIT_QUEUE_NONE;
 }
@@ -181,7 +182,7 @@
     return;
   heap_put (queue, at, last);
   heap_up (queue, at);
-  heap_down (queue, queue->entries[last].heap_at);
+  heap_down (queue, queue->entries[last].heap_index);
 }
 
 void
@@ -189,18 +190,18 @@
 {
   struct wait_entry *e = &queue->entries[entry];
   const enum wait_lane lane = wait_lane_of (&e->request);
-  if (e->older != WAIT_QUEUE_NONE)
-    queue->entries[e->older].newer = e->newer;
+  if (e->prev != WAIT_QUEUE_NONE)
+    queue->entries[e->prev].next = e->next;
   else
-    queue->oldest[lane] = e->newer;
-  if (e->newer != WAIT_QUEUE_NONE)
-    queue->entries[e->newer].older = e->older;
+    queue->oldest[lane] = e->next;
+  if (e->next != WAIT_QUEUE_NONE)
+    queue->entries[e->next].prev = e->prev;
   else
-    queue->newest[lane] = e->older;
+    queue->newest[lane] = e->prev;
   queue->bytes -= e->request.queued_bytes;
-  heap_remove (queue, e->heap_at);
-  e->newer = queue->unused;
-  queue->unused = entry;
+  heap_remove (queue, e->heap_index);
+  e->next = queue->free_head;
+  queue->free_head = entry;
 }
 
 static void
--- a/policy/choice/wait_queue.h
+++ b/policy/choice/wait_queue.h
@@ -27,26 +27,26 @@
 struct wait_entry
 {
   struct policy_request request;
-  int64_t give_up_us;
-  int64_t again_us; /**< from when targets tried before will do */
-  uint64_t order;   /**< of arrival, over both lanes */
-  uint32_t newer;   /**< in its lane, or among the unused */
-  uint32_t older;
-  uint32_t heap_at;
+  int64_t expires_us;
+  int64_t reuse_tried_us; /**< from when targets tried before will do */
+  uint64_t seq;           /**< of arrival, over both lanes */
+  uint32_t next;          /**< in its lane, or among the unused */
+  uint32_t prev;
+  uint32_t heap_index;
 };
 
 /** The queue; memory is taken when its bound is set, not when it fills. */
 struct wait_queue
 {
   struct wait_entry *entries;
-  uint32_t *heap; /**< entries by the time they are given up */
-  uint32_t size;  /**< entries there is memory for */
-  uint32_t requests_bound;
-  uint32_t bytes_bound;
+  uint32_t *heap;    /**< entries by the time they are given up */
+  uint32_t capacity; /**< entries there is memory for */
+  uint32_t max_requests;
+  uint32_t max_bytes;
   uint32_t count;
   uint64_t bytes;
-  uint64_t next_order;
-  uint32_t unused;
+  uint64_t next_seq;
+  uint32_t free_head;
   uint32_t oldest[LANE_COUNT];
   uint32_t newest[LANE_COUNT];
 };
@@ -55,8 +55,8 @@
 void wait_queue_clear (struct wait_queue *queue);
 
 /** Set the bounds; entries above a lowered bound stay. */
-void wait_queue_bound (struct wait_queue *queue, uint32_t requests,
-                       uint32_t bytes);
+void wait_queue_set_limits (struct wait_queue *queue, uint32_t requests,
+                            uint32_t bytes);
 
 bool wait_queue_has_room (const struct wait_queue *queue, uint32_t bytes);
 
@@ -75,7 +75,7 @@
 enum wait_lane wait_queue_older_lane (const struct wait_queue *queue);
 
 /** The entry to be given up first, or WAIT_QUEUE_NONE. */
-uint32_t wait_queue_first_given_up (const struct wait_queue *queue);
+uint32_t wait_queue_next_expiring (const struct wait_queue *queue);
 
 /** The entry of the request, or WAIT_QUEUE_NONE. */
 uint32_t wait_queue_find (const struct wait_queue *queue, uint64_t request_id);
--- a/policy/detection/baseline.c
+++ b/policy/detection/baseline.c
@@ -76,24 +76,24 @@
 baseline_target_add (struct baseline_target *target,
                      const struct detection_evidence *evidence)
 {
-  counts_add (&target->recent, evidence);
-  counts_add (&target->longer, evidence);
+  counts_add (&target->short_term, evidence);
+  counts_add (&target->long_term, evidence);
 }
 
 void
-baseline_target_fade (struct baseline_target *target, int64_t elapsed_us)
+baseline_target_decay (struct baseline_target *target, int64_t elapsed_us)
 {
   if (elapsed_us <= 0)
     return;
-  counts_scale (&target->recent, exp (-(double)elapsed_us / RECENT_US));
-  counts_scale (&target->longer, exp (-(double)elapsed_us / LONGER_US));
+  counts_scale (&target->short_term, exp (-(double)elapsed_us / RECENT_US));
+  counts_scale (&target->long_term, exp (-(double)elapsed_us / LONGER_US));
 }
 
 static struct pool
 measure_target (const struct baseline_target *target, struct measure m)
 {
   const struct baseline_counts *counts
-      = m.recent ? &target->recent : &target->longer;
+      = m.recent ? &target->short_term : &target->long_term;
   if (!m.slow)
     return (struct pool){ counts->failures, counts->requests };
   struct pool pool = { 0 };
@@ -233,8 +233,8 @@
   for (size_t t = 0; t < quick; t++)
     for (uint32_t i = 0; i < DETECTION_LATENCY_BUCKETS; i++)
       {
-        latency[i] += targets[order[t].target]->longer.latency[i];
-        total += targets[order[t].target]->longer.latency[i];
+        latency[i] += targets[order[t].target]->long_term.latency[i];
+        total += targets[order[t].target]->long_term.latency[i];
       }
   uint32_t median = 0;
   double below = latency[0];
--- a/policy/detection/baseline.h
+++ b/policy/detection/baseline.h
@@ -30,8 +30,8 @@
 /** The memory kept for one target. */
 struct baseline_target
 {
-  struct baseline_counts recent; /**< over some ten seconds */
-  struct baseline_counts longer; /**< over some minutes */
+  struct baseline_counts short_term; /**< over some ten seconds */
+  struct baseline_counts long_term;  /**< over some minutes */
 };
 
 /** A target's place among the others; working memory of baseline_learn(). */
@@ -60,7 +60,8 @@
                           const struct detection_evidence *evidence);
 
 /** Let ELAPSED_US pass for TARGET. */
-void baseline_target_fade (struct baseline_target *target, int64_t elapsed_us);
+void baseline_target_decay (struct baseline_target *target,
+                            int64_t elapsed_us);
 
 /** Learn from TARGETS (those in service).
  * @param order scratch room for COUNT elements */
--- a/policy/detection/detector.c
+++ b/policy/detection/detector.c
@@ -70,7 +70,7 @@
     .backoff_max_us = or_default (options->backoff_max_us, BACKOFF_MAX_US),
     .backoff_decay_us
     = or_default (options->backoff_decay_us, BACKOFF_DECAY_US),
-    .warm_us = or_default (options->warm_us, WARM_US),
+    .warm_up_us = or_default (options->warm_up_us, WARM_US),
   };
   detection_detector_set_tests (detector);
 }
@@ -101,7 +101,7 @@
   struct detection_target *next;
   HASH_ITER (hh, detector->targets, target, next)
   remove_target (detector, target);
-  free (detector->learned_from);
+  free (detector->baseline_targets);
   free (detector->order);
   free (detector->eject);
   free (detector->probe);
@@ -122,11 +122,12 @@
 static void
 make_room (struct detection_detector *d, size_t count)
 {
-  if (count <= d->room)
+  if (count <= d->capacity)
     return;
-  d->room = count;
+  d->capacity = count;
   /* NOLINTNEXTLINE(bugprone-sizeof-expression): it holds pointers */
-  d->learned_from = xreallocarray (d->learned_from, count, sizeof (void *));
+  d->baseline_targets
+      = xreallocarray (d->baseline_targets, count, sizeof (void *));
   d->order = xreallocarray (d->order, count, sizeof *d->order);
   d->eject = xreallocarray (d->eject, count, sizeof *d->eject);
   d->probe = xreallocarray (d->probe, count, sizeof *d->probe);
@@ -142,7 +143,7 @@
   struct detection_target *target;
   struct detection_target *next;
   for (target = detector->targets; target != NULL; target = target->hh.next)
-    target->place = SIZE_MAX;
+    target->index = SIZE_MAX;
   for (size_t i = 0; i < count; i++)
     {
       target = find (detector, keys[i]);
@@ -151,10 +152,10 @@
           target = detection_target_create (keys[i], now_us);
           HASH_ADD (hh, detector->targets, key, sizeof target->key, target);
         }
-      target->place = i;
+      target->index = i;
     }
   HASH_ITER (hh, detector->targets, target, next)
-  if (target->place == SIZE_MAX)
+  if (target->index == SIZE_MAX)
     remove_target (detector, target);
   make_room (detector, count);
 }
@@ -164,12 +165,12 @@
             struct detection_target *target,
             const struct detection_evidence *evidence)
 {
-  struct detection_weighed weighed
-      = detection_target_weigh (target, now_us, &detector->tests, evidence);
+  struct detection_likelihood weighed = detection_target_likelihood (
+      target, now_us, &detector->tests, evidence);
   uint32_t bad = weighed.failures + weighed.slow;
   uint32_t good = weighed.requests > bad ? weighed.requests - bad : 0;
-  readmission_trial (&target->readmission, &detector->readmission, now_us,
-                     good, weighed.ratios);
+  readmission_trial_update (&target->readmission, &detector->readmission,
+                            now_us, good, weighed.ratios);
 }
 
 void
@@ -185,7 +186,7 @@
       if (target == NULL || evidence->failures > evidence->requests)
         continue;
       if (target->seen_us == 0)
-        target->cold_until_us = now_us + detector->readmission.warm_us;
+        target->cold_until_us = now_us + detector->readmission.warm_up_us;
       if (detection_target_serving (target))
         detection_target_add (target, now_us, host_key, dc_key,
                               &detector->tests, evidence);
@@ -212,13 +213,13 @@
 }
 
 void
-detection_detector_probed (struct detection_detector *detector, int64_t now_us,
-                           uint64_t target_key, bool ok)
+detection_detector_probe_result (struct detection_detector *detector,
+                                 int64_t now_us, uint64_t target_key, bool ok)
 {
   struct detection_target *target = find (detector, target_key);
   if (target != NULL)
-    readmission_probed (&target->readmission, &detector->readmission, now_us,
-                        ok);
+    readmission_probe_result (&target->readmission, &detector->readmission,
+                              now_us, ok);
 }
 
 void
@@ -229,7 +230,7 @@
   if (target == NULL || !detection_target_serving (target))
     return;
   if (target->verdict == DETECTION_BAD)
-    target->convicted_us = now_us;
+    target->bad_ejected_us = now_us;
   readmission_eject (&target->readmission, &detector->readmission, now_us);
   detection_target_reset (target);
 }
@@ -243,8 +244,8 @@
     return;
   readmission_reinstate (&target->readmission, &detector->readmission, now_us);
   detection_target_reset (target);
-  target->cold_until_us = now_us + detector->readmission.warm_us;
-  target->convicted_us = 0;
+  target->cold_until_us = now_us + detector->readmission.warm_up_us;
+  target->bad_ejected_us = 0;
 }
 
 static void
@@ -288,7 +289,8 @@
     .score = target->score,
     .threshold = detector->tests.threshold,
     .baseline_failures = detector->baseline.failures,
-    .slow_us = detection_evidence_bucket_us (detector->baseline.slow_bucket),
+    .slow_us
+    = detection_evidence_bucket_min_us (detector->baseline.slow_bucket),
     .baseline_slow = detector->baseline.slow,
     .hints_bad = target->hints_bad,
     .flaps = r->flaps,
--- a/policy/detection/detector.h
+++ b/policy/detection/detector.h
@@ -31,7 +31,7 @@
   int64_t backoff_us;           /**< first ejection's length [10 s] */
   int64_t backoff_max_us;       /**< longest [10 min] */
   int64_t backoff_decay_us; /**< good time that forgives one flap [5 min] */
-  int64_t warm_us;          /**< slow start after a return [10 s] */
+  int64_t warm_up_us;       /**< slow start after a return [10 s] */
 };
 
 /** What a health or load endpoint said.  Endpoints lag and mislead: a hint
@@ -117,8 +117,9 @@
                               enum detection_hint hint);
 
 /** A probe of an ejected target ended. */
-void detection_detector_probed (struct detection_detector *detector,
-                                int64_t now_us, uint64_t target_key, bool ok);
+void detection_detector_probe_result (struct detection_detector *detector,
+                                      int64_t now_us, uint64_t target_key,
+                                      bool ok);
 
 /** Decide.  Call every second or so and after reports; the decisions repeat
  * until they are carried out. */
--- a/policy/detection/detector_state.h
+++ b/policy/detection/detector_state.h
@@ -14,17 +14,17 @@
   struct detection_target *targets; /* by key */
   struct baseline baseline;
   struct detection_tests tests;
-  int64_t faded_us;
+  int64_t decayed_us;
   int64_t upstream_until_us;
-  size_t room; /* elements of each array below */
-  const struct baseline_target **learned_from;
+  size_t capacity; /* elements of each array below */
+  const struct baseline_target **baseline_targets;
   struct baseline_rank *order;
   struct detection_ejection *eject;
   uint64_t *probe;
   struct detection_share *shares;
   uint64_t *reinstate;
   struct detection_path *paths;
-  size_t path_room;
+  size_t path_capacity;
 };
 
 /** Set the tests by the baseline and the preference as they stand. */
--- a/policy/detection/detector_step.c
+++ b/policy/detection/detector_step.c
@@ -4,7 +4,7 @@
 
 #include "base/xmalloc.h"
 #include "policy/detection/detector_state.h"
-#include "policy/detection/judge.h"
+#include "policy/detection/evaluation.h"
 
 enum
 {
@@ -18,8 +18,8 @@
 static void
 learn (struct detection_detector *detector, int64_t now_us)
 {
-  int64_t elapsed_us = now_us - detector->faded_us;
-  if (detector->faded_us != 0 && elapsed_us < LEARN_EVERY_US)
+  int64_t elapsed_us = now_us - detector->decayed_us;
+  if (detector->decayed_us != 0 && elapsed_us < LEARN_EVERY_US)
     return;
   size_t count = 0;
   for (struct detection_target *target = detector->targets; target != NULL;
@@ -27,16 +27,16 @@
     {
       if (!detection_target_serving (target))
         continue;
-      detector->learned_from[count++] = &target->memory;
+      detector->baseline_targets[count++] = &target->history;
     }
   if (count > 0)
-    baseline_learn (&detector->baseline, now_us, detector->learned_from, count,
-                    detector->order);
-  if (detector->faded_us != 0)
+    baseline_learn (&detector->baseline, now_us, detector->baseline_targets,
+                    count, detector->order);
+  if (detector->decayed_us != 0)
     for (struct detection_target *target = detector->targets; target != NULL;
          target = target->hh.next)
-      baseline_target_fade (&target->memory, elapsed_us);
-  detector->faded_us = now_us;
+      baseline_target_decay (&target->history, elapsed_us);
+  detector->decayed_us = now_us;
   detection_detector_set_tests (detector);
 }
 
@@ -63,7 +63,7 @@
     {
       readmission_tick (&target->readmission, &detector->readmission, now_us);
       if (detection_target_serving (target))
-        detection_judge (target, now_us, &detector->tests);
+        detection_evaluate (target, now_us, &detector->tests);
     }
 }
 
@@ -77,16 +77,17 @@
     {
       if (!detection_target_serving (target))
         {
-          bool late = is_late (target->convicted_us, now_us);
+          bool late = is_late (target->bad_ejected_us, now_us);
           census.heard += late;
           census.raised += late;
           continue;
         }
-      bool raised = detection_judge_raised (target, &detector->tests);
+      bool raised = detection_evaluation_elevated (target, &detector->tests);
       census.heard += is_late (target->seen_us, now_us);
       census.raised += raised;
-      census.cleared += !detection_judge_touched (target, &detector->tests)
-                        && detection_target_fresh (target, then_us);
+      census.cleared
+          += !detection_evaluation_residual (target, &detector->tests)
+             && detection_target_reported_since (target, then_us);
       census.bad += target->verdict == DETECTION_BAD;
     }
   return census;
@@ -103,7 +104,7 @@
 compare_with_others (const struct detection_detector *detector, int64_t now_us,
                      struct detection_target *target)
 {
-  int64_t began_us = detection_judge_began_us (target, &detector->tests);
+  int64_t began_us = detection_evaluation_onset_us (target, &detector->tests);
   struct census census = count_targets (detector, now_us, began_us);
   size_t others = census.heard > 0 ? census.heard - 1 : 0;
   size_t raised = census.raised > 0 ? census.raised - 1 : 0;
@@ -146,7 +147,7 @@
         if (target->scores[t] > most)
           target->scores[t] = most;
       target->crossed_us = 0;
-      if (detection_judge_raised (target, &detector->tests))
+      if (detection_evaluation_elevated (target, &detector->tests))
         target->verdict = DETECTION_UPSTREAM_FAULT;
     }
 }
@@ -166,11 +167,11 @@
           struct detection_decisions *decisions,
           const struct detection_path *path)
 {
-  if (decisions->path_count == detector->path_room)
+  if (decisions->path_count == detector->path_capacity)
     {
-      detector->path_room = 2 * detector->path_room + 8;
-      detector->paths = xreallocarray (detector->paths, detector->path_room,
-                                       sizeof *detector->paths);
+      detector->path_capacity = 2 * detector->path_capacity + 8;
+      detector->paths = xreallocarray (
+          detector->paths, detector->path_capacity, sizeof *detector->paths);
     }
   detector->paths[decisions->path_count++] = *path;
 }
@@ -216,7 +217,7 @@
       .share_permille
       = readmission_share_permille (r, &detector->readmission, now_us),
     };
-  if (readmission_fit (r))
+  if (readmission_trial_passed (r))
     detector->reinstate[decisions->reinstate_count++] = target->key;
   collect_paths (detector, target, decisions);
 }
--- a/policy/detection/judge.c
+++ b/policy/detection/evaluation.c
@@ -1,4 +1,4 @@
-#include "policy/detection/judge.h"
+#include "policy/detection/evaluation.h"
 
 #include <string.h>
 
@@ -90,7 +90,7 @@
     return AGREEMENT_FAULT;
   if (poll.others >= CONFIRM_SHARE * threshold)
     return AGREEMENT_FAULT;
-  struct detection_weighed others
+  struct detection_likelihood others
       = detection_observer_others (poll.highest, test, &target->totals);
   if (others.ratios[test] <= OTHERS_SAW_IT_WELL)
     {
@@ -188,8 +188,8 @@
 }
 
 bool
-detection_judge_touched (const struct detection_target *target,
-                         const struct detection_tests *tests)
+detection_evaluation_residual (const struct detection_target *target,
+                               const struct detection_tests *tests)
 {
   enum detection_reason reason;
   return detection_target_score (target, &reason)
@@ -197,8 +197,8 @@
 }
 
 bool
-detection_judge_raised (const struct detection_target *target,
-                        const struct detection_tests *tests)
+detection_evaluation_elevated (const struct detection_target *target,
+                               const struct detection_tests *tests)
 {
   enum detection_reason reason;
   return detection_target_score (target, &reason)
@@ -206,14 +206,14 @@
 }
 
 int64_t
-detection_judge_began_us (const struct detection_target *target,
-                          const struct detection_tests *tests)
+detection_evaluation_onset_us (const struct detection_target *target,
+                               const struct detection_tests *tests)
 {
   int64_t began_us = 0;
   for (int t = 0; t < DETECTION_TESTS; t++)
     if (target->scores[t] >= (1 - HINT_SHARE) * tests->threshold
-        && target->runs_us[t] > began_us)
-      began_us = target->runs_us[t];
+        && target->run_start_us[t] > began_us)
+      began_us = target->run_start_us[t];
   return began_us;
 }
 
@@ -224,8 +224,8 @@
 }
 
 void
-detection_judge (struct detection_target *target, int64_t now_us,
-                 const struct detection_tests *tests)
+detection_evaluate (struct detection_target *target, int64_t now_us,
+                    const struct detection_tests *tests)
 {
   bool path_fault = review_excluded (target, now_us, tests);
   target->score = detection_target_score (target, &target->reason);
--- a/policy/detection/evidence.c
+++ b/policy/detection/evidence.c
@@ -20,7 +20,7 @@
 }
 
 int64_t
-detection_evidence_bucket_us (uint32_t bucket)
+detection_evidence_bucket_min_us (uint32_t bucket)
 {
   if (bucket == 0)
     return 0;
--- a/policy/detection/evidence.h
+++ b/policy/detection/evidence.h
@@ -34,7 +34,7 @@
 uint32_t detection_evidence_bucket (int64_t latency_us);
 
 /** The lowest latency of BUCKET; 0 for the first. */
-int64_t detection_evidence_bucket_us (uint32_t bucket);
+int64_t detection_evidence_bucket_min_us (uint32_t bucket);
 
 /** Count one outcome.  A cancelled attempt is counted only if it had taken
  * SLOW_US or longer: its latency is then known to be at least that. */
--- a/policy/detection/observer.c
+++ b/policy/detection/observer.c
@@ -20,7 +20,7 @@
 
 void
 detection_observer_add (struct detection_observer *observer, int64_t now_us,
-                        const struct detection_weighed *weighed,
+                        const struct detection_likelihood *weighed,
                         const struct detection_totals *all, double most)
 {
   fade (observer, now_us);
@@ -51,14 +51,14 @@
   observer->excluded = false;
 }
 
-struct detection_weighed
+struct detection_likelihood
 detection_observer_others (const struct detection_observer *observer, int test,
                            const struct detection_totals *all)
 {
   const struct detection_run *run = &observer->runs[test];
   uint64_t seen = all->requests - run->all_requests;
   uint64_t own = observer->totals.requests - run->own_requests;
-  struct detection_weighed others = { 0 };
+  struct detection_likelihood others = { 0 };
   others.requests = seen > own ? (uint32_t)(seen - own) : 0;
   others.ratios[test] = (all->ratios[test] - run->all_ratio)
                         - (observer->totals.ratios[test] - run->own_ratio);
--- a/policy/detection/observer.h
+++ b/policy/detection/observer.h
@@ -45,7 +45,7 @@
 };
 
 /** Evidence as the tests see it. */
-struct detection_weighed
+struct detection_likelihood
 {
   uint32_t requests;
   uint32_t failures;
@@ -58,14 +58,14 @@
  * @param most the highest score kept */
 void detection_observer_add (struct detection_observer *observer,
                              int64_t now_us,
-                             const struct detection_weighed *weighed,
+                             const struct detection_likelihood *weighed,
                              const struct detection_totals *all, double most);
 
 /** Forget the scores. */
 void detection_observer_reset (struct detection_observer *observer);
 
 /** What all others saw since this observer's run on TEST began. */
-struct detection_weighed
+struct detection_likelihood
 detection_observer_others (const struct detection_observer *observer, int test,
                            const struct detection_totals *all);
 
--- a/policy/detection/readmission.c
+++ b/policy/detection/readmission.c
@@ -24,7 +24,7 @@
   *r = (struct readmission){
     .state = DETECTION_IN_SERVICE,
     .since_us = now_us,
-    .forgiven_us = now_us,
+    .flap_decay_us = now_us,
   };
 }
 
@@ -66,8 +66,8 @@
   if (r->state == DETECTION_IN_SERVICE || r->state == DETECTION_WARMING)
     return;
   enter (r, DETECTION_WARMING, now_us);
-  r->until_us = now_us + options->warm_us;
-  r->forgiven_us = now_us;
+  r->until_us = now_us + options->warm_up_us;
+  r->flap_decay_us = now_us;
 }
 
 static void
@@ -97,10 +97,11 @@
 forgive (struct readmission *r, const struct readmission_options *options,
          int64_t now_us)
 {
-  while (r->flaps > 0 && now_us - r->forgiven_us >= options->backoff_decay_us)
+  while (r->flaps > 0
+         && now_us - r->flap_decay_us >= options->backoff_decay_us)
     {
       r->flaps--;
-      r->forgiven_us += options->backoff_decay_us;
+      r->flap_decay_us += options->backoff_decay_us;
     }
 }
 
@@ -117,9 +118,9 @@
 }
 
 void
-readmission_probed (struct readmission *r,
-                    const struct readmission_options *options, int64_t now_us,
-                    bool ok)
+readmission_probe_result (struct readmission *r,
+                          const struct readmission_options *options,
+                          int64_t now_us, bool ok)
 {
   if (r->state != DETECTION_PROBING)
     return;
@@ -139,9 +140,10 @@
 }
 
 bool
-readmission_trial (struct readmission *r,
-                   const struct readmission_options *options, int64_t now_us,
-                   uint32_t good, const double ratios[DETECTION_TESTS])
+readmission_trial_update (struct readmission *r,
+                          const struct readmission_options *options,
+                          int64_t now_us, uint32_t good,
+                          const double ratios[DETECTION_TESTS])
 {
   if (r->state != DETECTION_ON_TRIAL)
     return false;
@@ -159,7 +161,7 @@
 }
 
 bool
-readmission_fit (const struct readmission *r)
+readmission_trial_passed (const struct readmission *r)
 {
   if (r->state != DETECTION_ON_TRIAL || r->trial_good < r->trial_needed)
     return false;
--- a/policy/detection/readmission.h
+++ b/policy/detection/readmission.h
@@ -22,15 +22,15 @@
   int64_t backoff_us;
   int64_t backoff_max_us;
   int64_t backoff_decay_us;
-  int64_t warm_us;
+  int64_t warm_up_us;
 };
 
 struct readmission
 {
   enum detection_state state;
   int64_t since_us;
-  int64_t until_us;    /**< end of back-off or of warming */
-  int64_t forgiven_us; /**< when a flap was last forgiven */
+  int64_t until_us;      /**< end of back-off or of warming */
+  int64_t flap_decay_us; /**< when a flap was last forgiven */
   uint32_t flaps;
   uint32_t probes_good;  /**< in a row */
   uint32_t trial_good;   /**< good outcomes on this trial */
@@ -57,21 +57,21 @@
                        int64_t now_us);
 
 /** A probe ended. */
-void readmission_probed (struct readmission *r,
-                         const struct readmission_options *options,
-                         int64_t now_us, bool ok);
+void readmission_probe_result (struct readmission *r,
+                               const struct readmission_options *options,
+                               int64_t now_us, bool ok);
 
 /** Real requests on trial ended, GOOD of them well, with the log-likelihood
  * RATIOS of a fault by each test.  A trial that fails ejects again, for
  * longer.
  * @return true when it failed */
-bool readmission_trial (struct readmission *r,
-                        const struct readmission_options *options,
-                        int64_t now_us, uint32_t good,
-                        const double ratios[DETECTION_TESTS]);
+bool readmission_trial_update (struct readmission *r,
+                               const struct readmission_options *options,
+                               int64_t now_us, uint32_t good,
+                               const double ratios[DETECTION_TESTS]);
 
 /** Has the trial been passed? */
-bool readmission_fit (const struct readmission *r);
+bool readmission_trial_passed (const struct readmission *r);
 
 /** Good outcomes still missing until the trial is passed. */
 uint32_t readmission_good_needed (const struct readmission *r);
--- a/policy/detection/recorder.c
+++ b/policy/detection/recorder.c
@@ -117,7 +117,7 @@
                 <= total * SLOW_PERCENT)
     above += recorder->latency[--bucket];
   recorder->slow_us = bucket < DETECTION_LATENCY_BUCKETS
-                          ? detection_evidence_bucket_us (bucket)
+                          ? detection_evidence_bucket_min_us (bucket)
                           : INT64_MAX;
   if (total < 100 * (uint64_t)SLOW_EVIDENCE)
     return;
@@ -126,8 +126,8 @@
 }
 
 size_t
-detection_recorder_take (struct detection_recorder *recorder,
-                         struct detection_report_item *items, size_t most)
+detection_recorder_collect (struct detection_recorder *recorder,
+                            struct detection_report_item *items, size_t most)
 {
   size_t count = 0;
   for (size_t seen = 0; seen < recorder->capacity && count < most; seen++)
--- a/policy/detection/recorder.h
+++ b/policy/detection/recorder.h
@@ -2,8 +2,8 @@
  * One host's evidence on the targets of one service.
  *
  * detection_recorder_record() is called at each outcome: a table look-up and
- * a few additions, no allocation.  detection_recorder_take() hands over what
- * came together since the last call, to be sent to the service's owner.
+ * a few additions, no allocation.  detection_recorder_collect() hands over
+ * what came together since the last call, to be sent to the service's owner.
  */
 #ifndef POLICY_DETECTION_RECORDER_H
 #define POLICY_DETECTION_RECORDER_H
@@ -42,8 +42,8 @@
 /** Hand over and clear what was seen, one item a target with evidence.
  * @param items room for MOST items; what doesn't fit stays for the next call
  * @return the number of items written */
-size_t detection_recorder_take (struct detection_recorder *recorder,
-                                struct detection_report_item *items,
-                                size_t most);
+size_t detection_recorder_collect (struct detection_recorder *recorder,
+                                   struct detection_report_item *items,
+                                   size_t most);
 
 #endif
--- a/policy/detection/target.c
+++ b/policy/detection/target.c
@@ -38,7 +38,7 @@
 detection_target_reset (struct detection_target *target)
 {
   memset (target->scores, 0, sizeof target->scores);
-  memset (&target->memory, 0, sizeof target->memory);
+  memset (&target->history, 0, sizeof target->history);
   target->crossed_us = 0;
   for (size_t i = 0; i < target->observer_count; i++)
     detection_observer_reset (&target->observers[i]);
@@ -77,12 +77,13 @@
   return target->observer_count++;
 }
 
-struct detection_weighed
-detection_target_weigh (const struct detection_target *target, int64_t now_us,
-                        const struct detection_tests *tests,
-                        const struct detection_evidence *evidence)
+struct detection_likelihood
+detection_target_likelihood (const struct detection_target *target,
+                             int64_t now_us,
+                             const struct detection_tests *tests,
+                             const struct detection_evidence *evidence)
 {
-  struct detection_weighed weighed = {
+  struct detection_likelihood weighed = {
     .requests = evidence->requests,
     .failures = evidence->failures,
     .slow = detection_evidence_slow (evidence, tests->slow_bucket),
@@ -115,7 +116,8 @@
 }
 
 bool
-detection_target_fresh (const struct detection_target *target, int64_t then_us)
+detection_target_reported_since (const struct detection_target *target,
+                                 int64_t then_us)
 {
   return target->reported_us[DETECTION_REFERENCE_REQUESTS - 1] >= then_us;
 }
@@ -132,11 +134,11 @@
       = target->observers[host].excluded || target->observers[dc].excluded;
   target->seen_us = now_us;
   if (!excluded)
-    baseline_target_add (&target->memory, evidence);
+    baseline_target_add (&target->history, evidence);
   if (!tests->ready)
     return;
-  struct detection_weighed weighed
-      = detection_target_weigh (target, now_us, tests, evidence);
+  struct detection_likelihood weighed
+      = detection_target_likelihood (target, now_us, tests, evidence);
   double most = SCORE_MOST * tests->threshold;
   detection_observer_add (&target->observers[host], now_us, &weighed,
                           &target->totals, most);
@@ -150,7 +152,7 @@
     {
       target->totals.ratios[t] += weighed.ratios[t];
       if (target->scores[t] <= 0)
-        target->runs_us[t] = now_us;
+        target->run_start_us[t] = now_us;
       target->scores[t]
           = cusum_update (target->scores[t], weighed.ratios[t], most);
     }
--- a/policy/detection/target.h
+++ b/policy/detection/target.h
@@ -34,14 +34,14 @@
 struct detection_target
 {
   uint64_t key;
-  size_t place; /**< in the caller's order */
-  struct baseline_target memory;
+  size_t index; /**< in the caller's order */
+  struct baseline_target history;
   struct readmission readmission;
   double scores[DETECTION_TESTS]; /**< without excluded observers */
   struct detection_totals totals; /**< the same */
   struct detection_observer *observers;
   size_t observer_count;
-  int64_t runs_us[DETECTION_TESTS]; /**< when each score last left 0 */
+  int64_t run_start_us[DETECTION_TESTS]; /**< when each score last left 0 */
   /** When the newest requests were reported, newest first. */
   int64_t reported_us[DETECTION_REFERENCE_REQUESTS];
   int64_t seen_us;       /**< newest evidence; 0: none */
@@ -52,7 +52,7 @@
   enum detection_verdict verdict;
   enum detection_reason reason; /**< of the highest score, or conviction */
   double score;                 /**< at the last verdict or conviction */
-  int64_t convicted_us;         /**< 0: not of late */
+  int64_t bad_ejected_us;       /**< 0: not of late */
   UT_hash_handle hh;
 };
 
@@ -73,15 +73,16 @@
                            const struct detection_evidence *evidence);
 
 /** What EVIDENCE says by TESTS; slowness of a cold target says nothing. */
-struct detection_weighed
-detection_target_weigh (const struct detection_target *target, int64_t now_us,
-                        const struct detection_tests *tests,
-                        const struct detection_evidence *evidence);
+struct detection_likelihood
+detection_target_likelihood (const struct detection_target *target,
+                             int64_t now_us,
+                             const struct detection_tests *tests,
+                             const struct detection_evidence *evidence);
 
 /** Have enough requests been reported since THEN_US to tell whether the target
  * shares in a fault that began then? */
-bool detection_target_fresh (const struct detection_target *target,
-                             int64_t then_us);
+bool detection_target_reported_since (const struct detection_target *target,
+                                      int64_t then_us);
 
 /** The highest score and its test. */
 double detection_target_score (const struct detection_target *target,
--- a/policy/detection/tests/baseline_test.cc
+++ b/policy/detection/tests/baseline_test.cc
@@ -33,7 +33,7 @@
         }
       baseline_learn (&learned, second * 1000000, pointers, 10, order);
       for (baseline_target &target : targets)
-        baseline_target_fade (&target, 1000000);
+        baseline_target_decay (&target, 1000000);
     }
   return learned;
 }
--- a/policy/detection/tests/detection_differential_test.cc
+++ b/policy/detection/tests/detection_differential_test.cc
@@ -120,7 +120,7 @@
         continue;
       uint32_t bucket = DETECTION_LATENCY_BUCKETS - 1;
       while (bucket > 0
-             && detection_evidence_bucket_us (bucket) > o.latency_us)
+             && detection_evidence_bucket_min_us (bucket) > o.latency_us)
         bucket--;
       e.latency[bucket]++;
     }
@@ -181,7 +181,7 @@
           size_t most = 1 + rng_below (&rng, 60);
           std::vector<detection_report_item> items (most);
           size_t count
-              = detection_recorder_take (recorder, items.data (), most);
+              = detection_recorder_collect (recorder, items.data (), most);
           for (size_t i = 0; i < count; i++)
             {
               uint64_t key = items[i].target_key;
@@ -249,8 +249,8 @@
                                        (detection_hint)rng_below (&rng, 3));
               break;
             case 1:
-              detection_detector_probed (detector, now_us, key,
-                                         rng_below (&rng, 4) != 0);
+              detection_detector_probe_result (detector, now_us, key,
+                                               rng_below (&rng, 4) != 0);
               break;
             case 2:
               if (rng_below (&rng, 20) == 0)
@@ -329,11 +329,11 @@
   detection_report_item items[2];
   for (int i = 0; i < 200; i++)
     detection_recorder_record (recorder, 1, ATTEMPT_ANSWERED, 20000);
-  ASSERT_EQ (detection_recorder_take (recorder, items, 2), 1u);
+  ASSERT_EQ (detection_recorder_collect (recorder, items, 2), 1u);
   detection_recorder_record (recorder, 2, ATTEMPT_CANCELLED, 1000);
-  EXPECT_EQ (detection_recorder_take (recorder, items, 2), 0u);
+  EXPECT_EQ (detection_recorder_collect (recorder, items, 2), 0u);
   detection_recorder_record (recorder, 2, ATTEMPT_CANCELLED, 900000);
-  ASSERT_EQ (detection_recorder_take (recorder, items, 2), 1u);
+  ASSERT_EQ (detection_recorder_collect (recorder, items, 2), 1u);
   EXPECT_EQ (items[0].target_key, 2u);
   EXPECT_EQ (detection_evidence_latencies (&items[0].evidence), 1u);
   detection_recorder_destroy (recorder);
--- a/policy/detection/tests/detector_test.cc
+++ b/policy/detection/tests/detector_test.cc
@@ -81,8 +81,8 @@
       pool.shares[fake_fleet_target (&fleet, decisions.shares[i].target_key)]
           = decisions.shares[i].share_permille;
     for (size_t i = 0; i < decisions.probe_count; i++)
-      detection_detector_probed (fleet.detector, pool.now_us,
-                                 decisions.probe[i], probes_ok);
+      detection_detector_probe_result (fleet.detector, pool.now_us,
+                                       decisions.probe[i], probes_ok);
     for (size_t i = 0; i < decisions.reinstate_count; i++)
       {
         detection_detector_reinstated (fleet.detector, pool.now_us,
--- a/policy/detection/tests/fake_pool.c
+++ b/policy/detection/tests/fake_pool.c
@@ -150,8 +150,8 @@
 report (struct fake_fleet *fleet, int64_t now_us, uint32_t host)
 {
   struct detection_report_item items[FAKE_TARGETS_MAX];
-  size_t count = detection_recorder_take (fleet->recorders[host], items,
-                                          FAKE_TARGETS_MAX);
+  size_t count = detection_recorder_collect (fleet->recorders[host], items,
+                                             FAKE_TARGETS_MAX);
   fleet->reported_us[host] = now_us;
   detection_detector_report (fleet->detector, now_us, fake_host_key (host),
                              fake_dc_key (host % fleet->dcs), items, count);
--- a/policy/detection/tests/readmission_test.cc
+++ b/policy/detection/tests/readmission_test.cc
@@ -17,7 +17,7 @@
   options.backoff_us = 10 * second_us;
   options.backoff_max_us = 60 * second_us;
   options.backoff_decay_us = 300 * second_us;
-  options.warm_us = 10 * second_us;
+  options.warm_up_us = 10 * second_us;
   return options;
 }
 
@@ -56,10 +56,10 @@
   readmission_tick (&r, &options, r.until_us);
   const double bad[DETECTION_TESTS] = { 2, 7, 0 };
   int64_t now_us = 15 * second_us;
-  EXPECT_TRUE (readmission_trial (&r, &options, now_us, 0, bad));
+  EXPECT_TRUE (readmission_trial_update (&r, &options, now_us, 0, bad));
   EXPECT_EQ (r.state, DETECTION_EJECTED);
   EXPECT_EQ (r.until_us, now_us + 20 * second_us);
-  EXPECT_FALSE (readmission_fit (&r));
+  EXPECT_FALSE (readmission_trial_passed (&r));
 }
 
 /* The trickle grows with good answers and the slow start with time. */
@@ -74,14 +74,14 @@
   readmission_tick (&r, &options, now_us);
   const double good[DETECTION_TESTS] = { -0.1, -0.5, -0.5 };
   uint32_t last = 0;
-  while (!readmission_fit (&r))
+  while (!readmission_trial_passed (&r))
     {
       uint32_t share = readmission_share_permille (&r, &options, now_us);
       EXPECT_GE (share, last);
       EXPECT_LE (share, 400u);
       last = share;
       ASSERT_LE (r.trial_good, 30u);
-      readmission_trial (&r, &options, now_us, 1, good);
+      readmission_trial_update (&r, &options, now_us, 1, good);
     }
   EXPECT_EQ (r.trial_good, 30u);
   readmission_reinstate (&r, &options, now_us);
--- a/policy/fleet/fleet_host.h
+++ b/policy/fleet/fleet_host.h
@@ -1,8 +1,8 @@
 /** @file
  * A host as placement sees it.
  */
-#ifndef POLICY_FLEET_HOST_H
-#define POLICY_FLEET_HOST_H
+#ifndef POLICY_FLEET_FLEET_HOST_H
+#define POLICY_FLEET_FLEET_HOST_H
 
 #include <stdint.h>
 
@@ -10,7 +10,7 @@
 #define FLEET_DCS_MAX 32
 /** Most hosts chosen per data centre: beyond it each would see too few of a
  * service's requests to know its targets. */
-#define FLEET_PER_DC_MAX 32
+#define FLEET_HOSTS_PER_DC_MAX 32
 
 struct fleet_host
 {
@@ -22,7 +22,7 @@
 /** Hosts chosen from an array, by index, best placed first. */
 struct fleet_choice
 {
-  uint32_t hosts[FLEET_DCS_MAX * FLEET_PER_DC_MAX];
+  uint32_t hosts[FLEET_DCS_MAX * FLEET_HOSTS_PER_DC_MAX];
   uint32_t count;
 };
 
