--- a/policy/fleet/host_strength.c
+++ b/policy/fleet/host_capacity.c
@@ -1,4 +1,4 @@
-#include "policy/fleet/host_strength.h"
+#include "policy/fleet/host_capacity.h"
 
 #include <stdbool.h>
 
@@ -23,7 +23,7 @@
 };
 
 uint32_t
-host_strength (const struct host_resources *resources)
+host_capacity (const struct host_resources *resources)
 {
   uint64_t rate = UINT32_MAX / PREFERENCE;
   const uint64_t by_cpu
@@ -31,13 +31,13 @@
   const uint64_t by_link
       = (uint64_t)resources->link_mbps * BYTES_PER_MBIT / REQUEST_LINK_BYTES;
   if (resources->cpu_percent == 0 && resources->link_mbps == 0)
-    return HOST_STRENGTH_UNKNOWN;
+    return HOST_CAPACITY_UNKNOWN;
   if (resources->cpu_percent > 0 && by_cpu < rate)
     rate = by_cpu;
   if (resources->link_mbps > 0 && by_link < rate)
     rate = by_link;
-  return rate > HOST_STRENGTH_UNKNOWN ? (uint32_t)rate
-                                      : HOST_STRENGTH_UNKNOWN + 1;
+  return rate > HOST_CAPACITY_UNKNOWN ? (uint32_t)rate
+                                      : HOST_CAPACITY_UNKNOWN + 1;
 }
 
 /** The weights of one data centre. */
@@ -82,7 +82,8 @@
 }
 
 void
-host_strength_prefer (struct fleet_host *hosts, size_t count, uint64_t rate)
+host_capacity_prefer_strong (struct fleet_host *hosts, size_t count,
+                             uint64_t rate)
 {
   struct strengths strengths = { 0 };
   struct dc_strength *dc;
--- a/policy/fleet/host_strength.h
+++ b/policy/fleet/host_capacity.h
@@ -1,8 +1,8 @@
 /** @file
  * How much a host can carry, and whom that makes first choice.
  */
-#ifndef POLICY_FLEET_HOST_STRENGTH_H
-#define POLICY_FLEET_HOST_STRENGTH_H
+#ifndef POLICY_FLEET_HOST_CAPACITY_H
+#define POLICY_FLEET_HOST_CAPACITY_H
 
 #include <stddef.h>
 #include <stdint.h>
@@ -21,19 +21,19 @@
 enum
 {
   /** Strength of a host whose resources nobody told. */
-  HOST_STRENGTH_UNKNOWN = 1,
+  HOST_CAPACITY_UNKNOWN = 1,
 };
 
 /** Requests a second that a host with RESOURCES can carry, above
- * HOST_STRENGTH_UNKNOWN; or that, when nothing is known of it. */
-uint32_t host_strength (const struct host_resources *resources);
+ * HOST_CAPACITY_UNKNOWN; or that, when nothing is known of it. */
+uint32_t host_capacity (const struct host_resources *resources);
 
 /** In data centres where few hosts are much stronger than the others, make
  * them first choice: the others are chosen when none of them is left.  That is
  * so where the strong ones carry RATE requests a second together, or hold a
  * good part of all strength; else weights stay.  RATE 0: it isn't known what
  * they must carry. */
-void host_strength_prefer (struct fleet_host *hosts, size_t count,
-                           uint64_t rate);
+void host_capacity_prefer_strong (struct fleet_host *hosts, size_t count,
+                                  uint64_t rate);
 
 #endif
--- a/policy/fleet/host_cleanup.c
+++ b/policy/fleet/host_cleanup.c
@@ -3,9 +3,9 @@
 #include "policy/fleet/rendezvous.h"
 
 bool
-host_cleanup_is_ours (uint64_t subject, uint64_t self,
-                      const struct fleet_host *hosts,
-                      const struct fleet_choice *relays)
+host_cleanup_is_responsible (uint64_t subject, uint64_t self,
+                             const struct fleet_host *hosts,
+                             const struct fleet_choice *relays)
 {
   const struct fleet_host *best = NULL;
   for (uint32_t i = 0; i < relays->count; i++)
--- a/policy/fleet/host_cleanup.h
+++ b/policy/fleet/host_cleanup.h
@@ -15,9 +15,9 @@
 /** Is SELF the relay that ranks first for SUBJECT among RELAYS, a choice from
  * HOSTS?  Hosts whose beliefs differ may both say so: the removal must be
  * conditional. */
-bool host_cleanup_is_ours (uint64_t subject, uint64_t self,
-                           const struct fleet_host *hosts,
-                           const struct fleet_choice *relays);
+bool host_cleanup_is_responsible (uint64_t subject, uint64_t self,
+                                  const struct fleet_host *hosts,
+                                  const struct fleet_choice *relays);
 
 /** Has a host been gone since GONE_MS (0: it isn't) for AFTER_MS? */
 bool host_cleanup_is_due (int64_t now_ms, int64_t gone_ms, uint32_t after_ms);
--- a/policy/fleet/host_set.c
+++ b/policy/fleet/host_set.c
@@ -7,7 +7,7 @@
 
 #include "base/hash.h"
 #include "base/xmalloc.h"
-#include "policy/fleet/host_strength.h"
+#include "policy/fleet/host_capacity.h"
 #include "policy/fleet/rendezvous.h"
 
 /** Subjects that no service name hashes to by design: they keep relays and
@@ -16,7 +16,7 @@
 {
   SUBJECT_RELAYS = 1,
   SUBJECT_NEIGHBOURS = 2,
-  SUBJECT_KEEPERS = 3,
+  SUBJECT_COORDINATORS = 3,
 };
 
 enum
@@ -38,14 +38,14 @@
 };
 
 uint64_t
-host_set_rate (uint64_t slots, uint32_t goal_ms)
+host_set_required_rate (uint64_t slots, uint32_t goal_ms)
 {
   const uint64_t in_ms = goal_ms > 0 ? goal_ms : GOAL_UNKNOWN_MS;
   return (slots * REQUESTS_PER_GOAL * MS_PER_SECOND + in_ms - 1) / in_ms;
 }
 
 uint64_t
-host_set_round (uint64_t rate)
+host_set_round_rate (uint64_t rate)
 {
   uint64_t unit = 1;
   while (rate / unit >= 1u << RATE_DIGITS)
@@ -112,7 +112,7 @@
         continue;
       part->hosts++;
       /* One whose strength isn't known is taken as strong enough. */
-      part->rate += host->weight > HOST_STRENGTH_UNKNOWN ? host->weight : rate;
+      part->rate += host->weight > HOST_CAPACITY_UNKNOWN ? host->weight : rate;
       choice->hosts[kept++] = choice->hosts[i];
     }
   choice->count = kept;
@@ -125,17 +125,17 @@
   struct fleet_host *copy = xcalloc (count + 1, sizeof *copy);
   if (count > 0)
     memcpy (copy, hosts, count * sizeof *copy);
-  host_strength_prefer (copy, count, rate);
+  host_capacity_prefer_strong (copy, count, rate);
   return copy;
 }
 
 void
 host_set_choose (uint64_t service, const struct fleet_host *hosts,
-                 size_t count, const struct host_set_need *need,
+                 size_t count, const struct host_set_requirement *need,
                  struct fleet_choice *choice)
 {
   const uint64_t rate = rate_per_dc (hosts, count, need->rate);
-  const uint32_t most = need->rate > 0 ? FLEET_PER_DC_MAX : need->per_dc;
+  const uint32_t most = need->rate > 0 ? FLEET_HOSTS_PER_DC_MAX : need->per_dc;
   struct fleet_host *copy = preferred (hosts, count, rate);
   rendezvous_choose (service, copy, count, most, NO_HOST, choice);
   free (copy);
@@ -160,16 +160,17 @@
 }
 
 void
-keepers_choose (const struct fleet_host *hosts, size_t count,
-                struct fleet_choice *choice)
+quota_coordinators_choose (const struct fleet_host *hosts, size_t count,
+                           struct fleet_choice *choice)
 {
   struct fleet_host *copy = preferred (hosts, count, RELAY_RATE);
-  rendezvous_choose (SUBJECT_KEEPERS, copy, count, 1, NO_HOST, choice);
+  rendezvous_choose (SUBJECT_COORDINATORS, copy, count, 1, NO_HOST, choice);
   free (copy);
 }
 
 uint32_t
-relays_leading (const struct fleet_host *hosts, size_t count, uint32_t per_dc)
+relays_leading_count (const struct fleet_host *hosts, size_t count,
+                      uint32_t per_dc)
 {
   const uint32_t half = count_dcs (hosts, count) / 2 + 1;
   return per_dc * (half > LEADING_DCS_LEAST ? half : LEADING_DCS_LEAST);
@@ -183,7 +184,7 @@
   struct fleet_choice all;
   struct fleet_host *copy = preferred (hosts, count, 0);
   rendezvous_choose (hash_pair (SUBJECT_NEIGHBOURS, self->key), copy, count,
-                     NEIGHBOURS_LOCAL, self->key, &all);
+                     NEIGHBOURS_IN_OWN_DC, self->key, &all);
   free (copy);
   uint64_t remote[FLEET_DCS_MAX];
   uint32_t remote_count = 0;
--- a/policy/fleet/host_set.h
+++ b/policy/fleet/host_set.h
@@ -14,11 +14,11 @@
  * data centres stay bounded. */
 enum neighbour_count
 {
-  NEIGHBOURS_LOCAL = 3,
+  NEIGHBOURS_IN_OWN_DC = 3,
 };
 
 /** What the hosts of a set must do together. */
-struct host_set_need
+struct host_set_requirement
 {
   uint32_t per_dc; /**< hosts in each data centre at least, if it has them */
   uint64_t rate;   /**< requests a second in all data centres; 0: no matter */
@@ -27,17 +27,17 @@
 /** The requests a second that targets with SLOTS slots together may get when
  * callers want their answers within GOAL_MS (0: it isn't known): what their
  * hosts must be able to carry, however much callers ask. */
-uint64_t host_set_rate (uint64_t slots, uint32_t goal_ms);
+uint64_t host_set_required_rate (uint64_t slots, uint32_t goal_ms);
 
 /** RATE rounded up, so that few targets more or less leave the hosts as they
  * are. */
-uint64_t host_set_round (uint64_t rate);
+uint64_t host_set_round_rate (uint64_t rate);
 
 /** The host set of the service with key SERVICE.  Each data centre takes part
  * with as many hosts as NEED says, and with more until they carry its part of
  * the rate: strong hosts first where these are enough. */
 void host_set_choose (uint64_t service, const struct fleet_host *hosts,
-                      size_t count, const struct host_set_need *need,
+                      size_t count, const struct host_set_requirement *need,
                       struct fleet_choice *choice);
 
 /** Where the N-th address of an answer comes from in a set of COUNT: a
@@ -51,15 +51,15 @@
 
 /** The hosts that keep the quotas of workspaces: one in each data centre, a
  * strong one where there are any. */
-void keepers_choose (const struct fleet_host *hosts, size_t count,
-                     struct fleet_choice *choice);
+void quota_coordinators_choose (const struct fleet_host *hosts, size_t count,
+                                struct fleet_choice *choice);
 
 /** How many of the relays, from the best placed on, ask the platform for the
  * newest several times a second: those of more than half of the data centres.
  * The rest hear from them sooner than from the platform, through neighbours
  * that every host has in each data centre. */
-uint32_t relays_leading (const struct fleet_host *hosts, size_t count,
-                         uint32_t per_dc);
+uint32_t relays_leading_count (const struct fleet_host *hosts, size_t count,
+                               uint32_t per_dc);
 
 /** The hosts that SELF (key and data centre) sends heartbeats to. */
 void neighbours_choose (const struct fleet_host *self,
--- a/policy/fleet/member_set.c
+++ b/policy/fleet/member_set.c
@@ -38,34 +38,34 @@
   if (member->state == state)
     return;
   member->state = state;
-  if (state != MEMBER_LIVE && !member->is_bad)
-    DL_APPEND2 (set->bad, member, bad_prev, bad_next);
-  if (state == MEMBER_LIVE && member->is_bad)
-    DL_DELETE2 (set->bad, member, bad_prev, bad_next);
-  member->is_bad = state != MEMBER_LIVE;
+  if (state != MEMBER_LIVE && !member->is_listed_not_live)
+    DL_APPEND2 (set->not_live, member, not_live_prev, not_live_next);
+  if (state == MEMBER_LIVE && member->is_listed_not_live)
+    DL_DELETE2 (set->not_live, member, not_live_prev, not_live_next);
+  member->is_listed_not_live = state != MEMBER_LIVE;
   member_set_note_change (set, member);
 }
 
 void
-member_set_spread (struct member_set *set, struct member *member)
+member_set_queue_gossip (struct member_set *set, struct member *member)
 {
-  member->sends_left = GOSSIP_SENDS;
-  if (member->is_news)
+  member->sends_remaining = GOSSIP_SENDS;
+  if (member->is_queued)
     return;
-  member->is_news = true;
-  DL_APPEND2 (set->news, member, news_prev, news_next);
+  member->is_queued = true;
+  DL_APPEND2 (set->gossip_queue, member, queued_prev, queued_next);
 }
 
 void
-member_set_say (struct member_set *set, int64_t now_ms, struct member *member,
-                enum member_state state)
+member_set_announce (struct member_set *set, int64_t now_ms,
+                     struct member *member, enum member_state state)
 {
-  member->said_ms = now_ms;
-  if (member->said == state)
+  member->announced_ms = now_ms;
+  if (member->announced == state)
     return;
-  member->said = state;
+  member->announced = state;
   member->counter++;
-  member_set_spread (set, member);
+  member_set_queue_gossip (set, member);
 }
 
 struct member *
@@ -75,29 +75,29 @@
   member->key = key;
   member->incarnation = incarnation;
   member->state = MEMBER_LIVE;
-  member->said = MEMBER_LIVE;
-  member->said_ms = member_never_ms;
-  member->answered_ms = member_never_ms;
-  member->heard_ms = member_never_ms;
-  member->vouched_ms = member_never_ms;
-  member->watched_ms = member_never_ms;
-  member->wanted_ms = member_never_ms;
+  member->announced = MEMBER_LIVE;
+  member->announced_ms = member_never_ms;
+  member->last_answer_ms = member_never_ms;
+  member->last_heard_ms = member_never_ms;
+  member->last_indirect_answer_ms = member_never_ms;
+  member->monitored_since_ms = member_never_ms;
+  member->return_requested_ms = member_never_ms;
   HASH_ADD (hh, set->members, key, sizeof member->key, member);
   member_set_note_change (set, member);
   return member;
 }
 
 void
-member_set_forget (struct member_set *set, struct member *member)
+member_set_remove (struct member_set *set, struct member *member)
 {
-  if (member->is_news)
-    DL_DELETE2 (set->news, member, news_prev, news_next);
-  if (member->is_bad)
-    DL_DELETE2 (set->bad, member, bad_prev, bad_next);
+  if (member->is_queued)
+    DL_DELETE2 (set->gossip_queue, member, queued_prev, queued_next);
+  if (member->is_listed_not_live)
+    DL_DELETE2 (set->not_live, member, not_live_prev, not_live_next);
   if (member->is_changed)
     DL_DELETE2 (set->changed, member, changed_prev, changed_next);
-  if (member->watched_back)
-    set->watched_back_count--;
+  if (member->monitored_in_return)
+    set->monitored_in_return_count--;
   HASH_DEL (set->members, member);
   free (member);
 }
@@ -122,68 +122,70 @@
 {
   member->incarnation = incarnation;
   member->counter = 0;
-  member->said = MEMBER_LIVE;
-  member->said_ms = member_never_ms;
+  member->announced = MEMBER_LIVE;
+  member->announced_ms = member_never_ms;
   member->is_unlisted = false;
   member_set_change_state (set, member, MEMBER_LIVE);
   member_set_note_change (set, member);
 }
 
 void
-member_set_watch_back (struct member_set *set, int64_t now_ms,
-                       struct member *member)
+member_set_monitor_in_return (struct member_set *set, int64_t now_ms,
+                              struct member *member)
 {
-  member->wanted_ms = now_ms;
-  if (member->watched_back || set->watched_back_count == WATCHED_BACK_MAX)
+  member->return_requested_ms = now_ms;
+  if (member->monitored_in_return
+      || set->monitored_in_return_count == WATCHED_BACK_MAX)
     return;
-  member_start_watching (member, now_ms);
-  member->watched_back = true;
-  set->watched_back_count++;
+  member_start_monitoring (member, now_ms);
+  member->monitored_in_return = true;
+  set->monitored_in_return_count++;
 }
 
 void
-member_set_stop_watching_back (struct member_set *set, struct member *member)
+member_set_stop_monitoring_in_return (struct member_set *set,
+                                      struct member *member)
 {
-  member->watched_back = false;
-  set->watched_back_count--;
+  member->monitored_in_return = false;
+  set->monitored_in_return_count--;
 }
 
 size_t
-member_set_gossip (struct member_set *set, struct member_verdict *verdicts,
+member_set_gossip (struct member_set *set, struct member_update *verdicts,
                    size_t max)
 {
   size_t count = 0;
   struct member *member;
   struct member *next;
-  DL_FOREACH_SAFE2 (set->news, member, next, news_next)
+  DL_FOREACH_SAFE2 (set->gossip_queue, member, next, queued_next)
   {
     if (count == max)
       break;
-    verdicts[count++] = member_verdict_of (member);
-    if (--member->sends_left > 0)
+    verdicts[count++] = member_get_update (member);
+    if (--member->sends_remaining > 0)
       continue;
-    DL_DELETE2 (set->news, member, news_prev, news_next);
-    member->is_news = false;
+    DL_DELETE2 (set->gossip_queue, member, queued_prev, queued_next);
+    member->is_queued = false;
   }
-  member = set->bad;
+  member = set->not_live;
   if (member == NULL || count == max)
     return count;
-  DL_DELETE2 (set->bad, member, bad_prev, bad_next);
-  DL_APPEND2 (set->bad, member, bad_prev, bad_next);
-  if (member->said != MEMBER_LIVE)
-    verdicts[count++] = member_verdict_of (member);
+  DL_DELETE2 (set->not_live, member, not_live_prev, not_live_next);
+  DL_APPEND2 (set->not_live, member, not_live_prev, not_live_next);
+  if (member->announced != MEMBER_LIVE)
+    verdicts[count++] = member_get_update (member);
   return count;
 }
 
 bool
-member_set_next_change (struct member_set *set, struct member_verdict *change)
+member_set_next_change (struct member_set *set, struct member_update *change)
 {
   struct member *member = set->changed;
   if (member == NULL)
     return false;
   DL_DELETE2 (set->changed, member, changed_prev, changed_next);
   member->is_changed = false;
-  *change = member_verdict_of (member);
+  *change = member_get_update (member);
   change->state = member->state;
   return true;
 }
--- a/policy/fleet/member_verdict.h
+++ b/policy/fleet/member_update.h
@@ -1,8 +1,8 @@
 /** @file
  * The states of a host and what hosts tell one another of them.
  */
-#ifndef POLICY_FLEET_MEMBER_VERDICT_H
-#define POLICY_FLEET_MEMBER_VERDICT_H
+#ifndef POLICY_FLEET_MEMBER_UPDATE_H
+#define POLICY_FLEET_MEMBER_UPDATE_H
 
 #include <stdint.h>
 
@@ -21,7 +21,7 @@
 
 /** What is said of one host.  Of two verdicts that with the higher
  * incarnation counts, then the higher counter, then the worse state. */
-struct member_verdict
+struct member_update
 {
   uint64_t key;
   uint64_t incarnation;
--- a/policy/fleet/membership.c
+++ b/policy/fleet/membership.c
@@ -36,12 +36,12 @@
              struct member *member)
 {
   member_set_change_state (&membership->set, member, MEMBER_LEAVING);
-  member_set_say (&membership->set, now_ms, member, MEMBER_LEAVING);
+  member_set_announce (&membership->set, now_ms, member, MEMBER_LEAVING);
 }
 
 void
-membership_introduce (struct membership *membership, int64_t now_ms,
-                      uint64_t key, uint64_t incarnation, bool leaving)
+membership_add (struct membership *membership, int64_t now_ms, uint64_t key,
+                uint64_t incarnation, bool leaving)
 {
   if (key == membership->options.self)
     return;
@@ -58,14 +58,14 @@
 }
 
 void
-membership_unlisted (struct membership *membership, uint64_t key)
+membership_note_unlisted (struct membership *membership, uint64_t key)
 {
   struct member *member = member_set_find (&membership->set, key);
   if (member == NULL || key == membership->options.self)
     return;
   member->is_unlisted = true;
   if (member_is_gone (member))
-    member_set_forget (&membership->set, member);
+    member_set_remove (&membership->set, member);
 }
 
 /* Guards against a host that nobody decides on: a suspect is no neighbour to
@@ -78,23 +78,23 @@
   struct member *member;
   for (member = membership->set.members; member != NULL;
        member = member->hh.next)
-    member->watched = member->watched && member_is_in_doubt (member);
+    member->monitored = member->monitored && member_is_undecided (member);
 }
 
 void
-membership_watch (struct membership *membership, int64_t now_ms,
-                  const uint64_t *keys, size_t count)
+membership_monitor (struct membership *membership, int64_t now_ms,
+                    const uint64_t *keys, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     {
       struct member *member = member_set_find (&membership->set, keys[i]);
       if (member == NULL)
         member = member_set_add (&membership->set, keys[i], 0);
-      member_start_watching (member, now_ms);
+      member_start_monitoring (member, now_ms);
     }
   stop_watching_decided (membership);
   for (size_t i = 0; i < count; i++)
-    member_set_find (&membership->set, keys[i])->watched = true;
+    member_set_find (&membership->set, keys[i])->monitored = true;
 }
 
 /* The member that sent something with INCARNATION; NULL when the sender is
@@ -115,53 +115,54 @@
 }
 
 void
-membership_heard (struct membership *membership, int64_t now_ms, uint64_t key,
-                  uint64_t incarnation, bool leaving, bool return_wanted)
+membership_note_heartbeat (struct membership *membership, int64_t now_ms,
+                           uint64_t key, uint64_t incarnation, bool leaving,
+                           bool return_wanted)
 {
   struct member *member = sender (membership, key, incarnation);
   if (member == NULL)
     return;
   if (return_wanted || member->state == MEMBER_DEAD)
-    member_set_watch_back (&membership->set, now_ms, member);
-  member->heard_ms = now_ms;
+    member_set_monitor_in_return (&membership->set, now_ms, member);
+  member->last_heard_ms = now_ms;
   if (leaving && member->state != MEMBER_LEAVING)
     set_leaving (membership, now_ms, member);
 }
 
 void
-membership_answered (struct membership *membership, int64_t now_ms,
-                     uint64_t key, uint64_t incarnation)
+membership_note_answer (struct membership *membership, int64_t now_ms,
+                        uint64_t key, uint64_t incarnation)
 {
   struct member *member = sender (membership, key, incarnation);
   if (member == NULL)
     return;
-  member->heard_ms = now_ms;
-  member->answered_ms = now_ms;
+  member->last_heard_ms = now_ms;
+  member->last_answer_ms = now_ms;
 }
 
 void
-membership_vouched (struct membership *membership, int64_t now_ms,
-                    uint64_t key)
+membership_note_indirect_answer (struct membership *membership, int64_t now_ms,
+                                 uint64_t key)
 {
   struct member *member = member_set_find (&membership->set, key);
   if (member != NULL)
-    member->vouched_ms = now_ms;
+    member->last_indirect_answer_ms = now_ms;
 }
 
 static void
 contradict (struct membership *membership, struct member *self,
-            const struct member_verdict *verdict)
+            const struct member_update *verdict)
 {
   if (verdict->incarnation != self->incarnation
       || verdict->state == MEMBER_LIVE || verdict->counter < self->counter)
     return;
   self->counter = verdict->counter + 1;
-  member_set_spread (&membership->set, self);
+  member_set_queue_gossip (&membership->set, self);
 }
 
 void
-membership_verdict (struct membership *membership, int64_t now_ms,
-                    const struct member_verdict *verdict)
+membership_merge (struct membership *membership, int64_t now_ms,
+                  const struct member_update *verdict)
 {
   struct member *member = member_set_find (&membership->set, verdict->key);
   if (verdict->key == membership->options.self)
@@ -172,17 +173,17 @@
   if (member == NULL)
     member = member_set_add (&membership->set, verdict->key,
                              verdict->incarnation);
-  else if (!member_is_older (member, verdict))
+  else if (!member_is_superseded_by (member, verdict))
     return;
   if (verdict->incarnation > member->incarnation)
     member_set_restart (&membership->set, member, verdict->incarnation);
   member->counter = verdict->counter;
-  member->said = verdict->state;
-  member->said_ms = now_ms;
-  member_set_spread (&membership->set, member);
+  member->announced = verdict->state;
+  member->announced_ms = now_ms;
+  member_set_queue_gossip (&membership->set, member);
   if (verdict->state == MEMBER_LIVE)
-    member->vouched_ms = now_ms;
-  if (!member_is_watched (member) || verdict->state > member->state)
+    member->last_indirect_answer_ms = now_ms;
+  if (!member_is_monitored (member) || verdict->state > member->state)
     member_set_change_state (&membership->set, member, verdict->state);
 }
 
@@ -192,9 +193,9 @@
   struct member *self
       = member_set_find (&membership->set, membership->options.self);
   member_set_change_state (&membership->set, self, MEMBER_LEAVING);
-  self->said = MEMBER_LEAVING;
+  self->announced = MEMBER_LEAVING;
   self->counter++;
-  member_set_spread (&membership->set, self);
+  member_set_queue_gossip (&membership->set, self);
 }
 
 static void
@@ -203,23 +204,23 @@
 {
   if (member->state == MEMBER_LEAVING)
     return;
-  const bool was_vouched = member->is_vouched;
-  member->is_vouched
-      = now_ms - member->vouched_ms < membership->options.dead_after_ms;
+  const bool was_vouched = member->has_indirect_answer;
+  member->has_indirect_answer = now_ms - member->last_indirect_answer_ms
+                                < membership->options.dead_after_ms;
   const enum member_state state
-      = member_judge (member, &membership->options, now_ms);
-  if (was_vouched != member->is_vouched && state != MEMBER_LIVE)
+      = member_evaluate (member, &membership->options, now_ms);
+  if (was_vouched != member->has_indirect_answer && state != MEMBER_LIVE)
     member_set_note_change (&membership->set, member);
   member_set_change_state (&membership->set, member, state);
   if (state == MEMBER_LIVE || state == MEMBER_DEAD)
-    member_set_say (&membership->set, now_ms, member, state);
-  if (state == MEMBER_ONE_WAY && member->said != MEMBER_DEAD
-      && member_is_cut_for_all (member, &membership->options, now_ms))
-    member_set_say (&membership->set, now_ms, member, MEMBER_ONE_WAY);
+    member_set_announce (&membership->set, now_ms, member, state);
+  if (state == MEMBER_ONE_WAY && member->announced != MEMBER_DEAD
+      && member_is_unreachable_for_all (member, &membership->options, now_ms))
+    member_set_announce (&membership->set, now_ms, member, MEMBER_ONE_WAY);
   const bool is_silent
-      = now_ms - member->heard_ms >= membership->options.suspect_after_ms;
-  if (state == MEMBER_DEAD && is_silent && member->watched_back)
-    member_set_stop_watching_back (&membership->set, member);
+      = now_ms - member->last_heard_ms >= membership->options.suspect_after_ms;
+  if (state == MEMBER_DEAD && is_silent && member->monitored_in_return)
+    member_set_stop_monitoring_in_return (&membership->set, member);
 }
 
 /* Guards against a host that was frozen and thaws: it has heard nobody for
@@ -238,8 +239,8 @@
   struct member *member;
   for (member = membership->set.members; member != NULL;
        member = member->hh.next)
-    if (member_is_watched (member) && !member_is_gone (member))
-      member->watched_ms = now_ms;
+    if (member_is_monitored (member) && !member_is_gone (member))
+      member->monitored_since_ms = now_ms;
 }
 
 void
@@ -252,24 +253,24 @@
   {
     if (member->key == membership->options.self)
       continue;
-    if (member_is_watched (member))
+    if (member_is_monitored (member))
       tick_member (membership, member, now_ms);
-    if (member_is_let_go (member, &membership->options, now_ms))
-      member_set_stop_watching_back (&membership->set, member);
-    if (member->is_unlisted && member_is_gone (member) && !member->is_news)
-      member_set_forget (&membership->set, member);
+    if (member_return_is_over (member, &membership->options, now_ms))
+      member_set_stop_monitoring_in_return (&membership->set, member);
+    if (member->is_unlisted && member_is_gone (member) && !member->is_queued)
+      member_set_remove (&membership->set, member);
   }
 }
 
 static bool
 gets_heartbeats (const struct member *member)
 {
-  return member_is_watched (member) && member->state != MEMBER_LEAVING;
+  return member_is_monitored (member) && member->state != MEMBER_LEAVING;
 }
 
 size_t
-membership_watched (const struct membership *membership, uint64_t *keys,
-                    size_t max)
+membership_monitored (const struct membership *membership, uint64_t *keys,
+                      size_t max)
 {
   const struct member *member;
   size_t count = 0;
@@ -281,19 +282,20 @@
 }
 
 bool
-membership_wants_return (const struct membership *membership, uint64_t key)
+membership_requests_return (const struct membership *membership, uint64_t key)
 {
   const struct member *member = member_set_find (&membership->set, key);
-  return member == NULL || member->watched || member->state == MEMBER_DEAD;
+  return member == NULL || member->monitored || member->state == MEMBER_DEAD;
 }
 
 size_t
-membership_doubted (const struct membership *membership, uint64_t *keys,
-                    size_t max)
+membership_undecided (const struct membership *membership, uint64_t *keys,
+                      size_t max)
 {
   const struct member *member;
   size_t count = 0;
-  for (member = membership->set.bad; member != NULL; member = member->bad_next)
+  for (member = membership->set.not_live; member != NULL;
+       member = member->not_live_next)
     if (gets_heartbeats (member) && member->state != MEMBER_DEAD
         && count < max)
       keys[count++] = member->key;
@@ -302,14 +304,14 @@
 
 size_t
 membership_gossip (struct membership *membership,
-                   struct member_verdict *verdicts, size_t max)
+                   struct member_update *verdicts, size_t max)
 {
   return member_set_gossip (&membership->set, verdicts, max);
 }
 
 bool
 membership_next_change (struct membership *membership,
-                        struct member_verdict *change)
+                        struct member_update *change)
 {
   return member_set_next_change (&membership->set, change);
 }
@@ -329,16 +331,16 @@
     return false;
   if (member->state == MEMBER_LIVE)
     return true;
-  return member_is_in_doubt (member) && member->said == MEMBER_LIVE
-         && member->is_vouched;
+  return member_is_undecided (member) && member->announced == MEMBER_LIVE
+         && member->has_indirect_answer;
 }
 
 bool
-membership_reaches (const struct membership *membership, int64_t now_ms,
-                    uint64_t key)
+membership_has_recent_answer (const struct membership *membership,
+                              int64_t now_ms, uint64_t key)
 {
   const struct member *member = member_set_find (&membership->set, key);
   return member != NULL
-         && now_ms - member->answered_ms
+         && now_ms - member->last_answer_ms
                 < membership->options.suspect_after_ms;
 }
--- a/policy/fleet/rendezvous.c
+++ b/policy/fleet/rendezvous.c
@@ -36,8 +36,8 @@
 {
   uint64_t dc;
   uint32_t count;
-  uint32_t hosts[FLEET_PER_DC_MAX];
-  double scores[FLEET_PER_DC_MAX];
+  uint32_t hosts[FLEET_HOSTS_PER_DC_MAX];
+  double scores[FLEET_HOSTS_PER_DC_MAX];
 };
 
 /** A choice under way. */
@@ -128,7 +128,7 @@
                    size_t count, uint32_t per_dc, uint64_t except,
                    struct fleet_choice *choice)
 {
-  assert (per_dc <= FLEET_PER_DC_MAX);
+  assert (per_dc <= FLEET_HOSTS_PER_DC_MAX);
   struct contest contest = { .hosts = hosts, .per_dc = per_dc };
   choice->count = 0;
   if (per_dc == 0)
--- a/policy/fleet/settings_index.c
+++ b/policy/fleet/settings_index.c
@@ -93,8 +93,8 @@
    going back to targets that an operator removed.  Only a higher version
    passes, and a removal is a version like any other. */
 bool
-settings_index_raise (struct settings_index *index, uint64_t key,
-                      uint64_t version)
+settings_index_update (struct settings_index *index, uint64_t key,
+                       uint64_t version)
 {
   struct entry *entry = find (index, key);
   const uint64_t held = entry == NULL ? 0 : entry->version;
@@ -148,13 +148,14 @@
 }
 
 uint64_t
-settings_index_total (const struct settings_index *index)
+settings_index_hash (const struct settings_index *index)
 {
   return index->total;
 }
 
 uint64_t
-settings_index_bucket (const struct settings_index *index, uint32_t bucket)
+settings_index_bucket_hash (const struct settings_index *index,
+                            uint32_t bucket)
 {
   return index->hashes[bucket % SETTINGS_BUCKETS];
 }
--- a/policy/fleet/settings_index.h
+++ b/policy/fleet/settings_index.h
@@ -40,8 +40,8 @@
 
 /** Take VERSION in if it is higher than what is held.
  * @return false when it isn't: nothing has changed. */
-bool settings_index_raise (struct settings_index *index, uint64_t key,
-                           uint64_t version);
+bool settings_index_update (struct settings_index *index, uint64_t key,
+                            uint64_t version);
 
 /** The version held of KEY; 0 when there is none. */
 uint64_t settings_index_version (const struct settings_index *index,
@@ -58,10 +58,10 @@
 size_t settings_index_count (const struct settings_index *index);
 
 /** Hash of all keys and versions, whatever the order they came in. */
-uint64_t settings_index_total (const struct settings_index *index);
+uint64_t settings_index_hash (const struct settings_index *index);
 /** The hash of one bucket. */
-uint64_t settings_index_bucket (const struct settings_index *index,
-                                uint32_t bucket);
+uint64_t settings_index_bucket_hash (const struct settings_index *index,
+                                     uint32_t bucket);
 
 /** What BUCKET holds.
  * @return how many there are; at most MAX are written. */
--- a/policy/fleet/tests/host_strength_test.cc
+++ b/policy/fleet/tests/host_capacity_test.cc
@@ -6,7 +6,7 @@
 {
 #include "base/hash.h"
 #include "policy/fleet/host_set.h"
-#include "policy/fleet/host_strength.h"
+#include "policy/fleet/host_capacity.h"
 #include "policy/fleet/rendezvous.h"
 }
 
@@ -29,7 +29,7 @@
 strong_firsts (std::vector<fleet_host> hosts, uint32_t strong)
 {
   int firsts = 0;
-  host_strength_prefer (hosts.data (), hosts.size (), 0);
+  host_capacity_prefer_strong (hosts.data (), hosts.size (), 0);
   for (uint64_t service = 0; service < 1000; service++)
     {
       fleet_choice choice;
@@ -48,12 +48,12 @@
   const host_resources nothing = { 0, 0, 0, 0 };
   const host_resources tiny = { 0, 0, 0, 0 };
   const host_resources endless = { 4000000000u, 4000000000u, 0, 0 };
-  EXPECT_EQ (host_strength (&weak), 125u);
-  EXPECT_EQ (host_strength (&strong), 1000u);
-  EXPECT_EQ (host_strength (&no_link), 1000u);
-  EXPECT_EQ (host_strength (&nothing), 1u);
-  EXPECT_EQ (host_strength (&tiny), 1u);
-  EXPECT_LE ((uint64_t)host_strength (&endless) * 1000, UINT32_MAX);
+  EXPECT_EQ (host_capacity (&weak), 125u);
+  EXPECT_EQ (host_capacity (&strong), 1000u);
+  EXPECT_EQ (host_capacity (&no_link), 1000u);
+  EXPECT_EQ (host_capacity (&nothing), 1u);
+  EXPECT_EQ (host_capacity (&tiny), 1u);
+  EXPECT_LE ((uint64_t)host_capacity (&endless) * 1000, UINT32_MAX);
 }
 
 /* Two hosts of a data centre have half a core and a good link, twenty have a
--- a/policy/fleet/tests/host_cleanup_test.cc
+++ b/policy/fleet/tests/host_cleanup_test.cc
@@ -21,7 +21,8 @@
     {
       size_t takers = 0;
       for (uint32_t i = 0; i < 30; i++)
-        if (host_cleanup_is_ours (subject, hosts[i].key, hosts, &relays))
+        if (host_cleanup_is_responsible (subject, hosts[i].key, hosts,
+                                         &relays))
           {
             takers++;
             shares[i]++;
@@ -31,7 +32,7 @@
   for (uint32_t i = 0; i < relays.count; i++)
     EXPECT_GT (shares[relays.hosts[i]], 50u);
   relays.count = 0;
-  EXPECT_FALSE (host_cleanup_is_ours (1, hosts[0].key, hosts, &relays));
+  EXPECT_FALSE (host_cleanup_is_responsible (1, hosts[0].key, hosts, &relays));
 }
 
 TEST (HostCleanup, DueAfterTheWholeWaitOnly)
--- a/policy/fleet/tests/host_set_test.cc
+++ b/policy/fleet/tests/host_set_test.cc
@@ -30,7 +30,7 @@
 choose (const std::vector<fleet_host> &hosts, uint32_t per_dc, uint64_t rate)
 {
   fleet_choice choice;
-  const host_set_need need = { per_dc, rate };
+  const host_set_requirement need = { per_dc, rate };
   host_set_choose (77, hosts.data (), hosts.size (), &need, &choice);
   return choice;
 }
@@ -53,7 +53,7 @@
 TEST (HostSet, GrowsUntilItCarriesWhatTheTargetsCan)
 {
   const auto hosts = fleet (3, 86);
-  const uint64_t rate = host_set_round (host_set_rate (2970, 0));
+  const uint64_t rate = host_set_round_rate (host_set_required_rate (2970, 0));
   const fleet_choice choice = choose (hosts, 1, rate);
   for (uint64_t dc = 1; dc <= DCS; dc++)
     EXPECT_GE (carried (hosts, choice, dc), rate / DCS);
@@ -72,7 +72,7 @@
   };
   hosts.erase (std::remove_if (hosts.begin (), hosts.end (), is_lost),
                hosts.end ());
-  const uint64_t rate = host_set_round (host_set_rate (2970, 0));
+  const uint64_t rate = host_set_round_rate (host_set_required_rate (2970, 0));
   const fleet_choice choice = choose (hosts, 1, rate);
   EXPECT_GE (carried (hosts, choice, 2), rate / DCS);
   EXPECT_LE (carried (hosts, choice, 2), rate / DCS + 200);
@@ -81,8 +81,8 @@
 TEST (HostSet, StaysAsSmallAsSettingsSayWhereThatIsEnough)
 {
   const auto hosts = fleet (0, 8);
-  EXPECT_EQ (choose (hosts, 1, host_set_rate (72, 0)).count, DCS);
-  EXPECT_EQ (choose (hosts, 2, host_set_rate (72, 0)).count, 2 * DCS);
+  EXPECT_EQ (choose (hosts, 1, host_set_required_rate (72, 0)).count, DCS);
+  EXPECT_EQ (choose (hosts, 2, host_set_required_rate (72, 0)).count, 2 * DCS);
   EXPECT_EQ (choose (hosts, 2, 0).count, 2 * DCS);
 }
 
@@ -103,13 +103,13 @@
 /* A few targets more or less must not move the callers of a whole service. */
 TEST (HostSet, FewTargetsMoreOrLessLeaveTheRateAsItIs)
 {
-  EXPECT_EQ (host_set_round (0), 0u);
-  EXPECT_EQ (host_set_round (11880), host_set_round (11600));
+  EXPECT_EQ (host_set_round_rate (0), 0u);
+  EXPECT_EQ (host_set_round_rate (11880), host_set_round_rate (11600));
   for (uint64_t rate = 1; rate < 400000; rate += 29)
     {
-      EXPECT_GE (host_set_round (rate), rate);
-      EXPECT_LE (host_set_round (rate), rate * 5 / 4 + 1);
-      EXPECT_LE (host_set_round (rate), host_set_round (rate + 1));
+      EXPECT_GE (host_set_round_rate (rate), rate);
+      EXPECT_LE (host_set_round_rate (rate), rate * 5 / 4 + 1);
+      EXPECT_LE (host_set_round_rate (rate), host_set_round_rate (rate + 1));
     }
 }
 
@@ -123,15 +123,19 @@
   for (uint64_t dc = 1; dc <= 3; dc++)
     for (uint32_t i = 0; i < 40; i++)
       hosts.push_back ({ hash_pair (dc, i), dc, i < 2 ? 1000u : 125u });
-  const uint64_t rate = host_set_round (host_set_rate (174 * 6, 2000)
-                                        + host_set_rate (81 * 6, 2000)
-                                        + host_set_rate (94 * 6, 3000));
+  const uint64_t rate
+      = host_set_round_rate (host_set_required_rate (174 * 6, 2000)
+                             + host_set_required_rate (81 * 6, 2000)
+                             + host_set_required_rate (94 * 6, 3000));
   const fleet_choice choice = choose (hosts, 1, rate);
   EXPECT_EQ (choice.count, 6u);
-  const uint64_t unknown = host_set_round (host_set_rate (349 * 6, 0));
+  const uint64_t unknown
+      = host_set_round_rate (host_set_required_rate (349 * 6, 0));
   EXPECT_GT (choose (hosts, 1, unknown).count, 24u);
-  EXPECT_EQ (host_set_rate (100, 250), 4 * host_set_rate (100, 1000));
-  EXPECT_EQ (host_set_rate (100, 0), host_set_rate (100, 1000));
+  EXPECT_EQ (host_set_required_rate (100, 250),
+             4 * host_set_required_rate (100, 1000));
+  EXPECT_EQ (host_set_required_rate (100, 0),
+             host_set_required_rate (100, 1000));
 }
 
 /* Hundreds of targets come and go, and each relay that asks for the newest
@@ -143,8 +147,8 @@
   fleet_choice choice;
   relays_choose (hosts.data (), hosts.size (), 1, &choice);
   EXPECT_EQ (choice.count, DCS);
-  EXPECT_EQ (relays_leading (hosts.data (), hosts.size (), 1), 3u);
-  EXPECT_EQ (relays_leading (hosts.data (), hosts.size (), 2), 6u);
+  EXPECT_EQ (relays_leading_count (hosts.data (), hosts.size (), 1), 3u);
+  EXPECT_EQ (relays_leading_count (hosts.data (), hosts.size (), 2), 6u);
   for (uint32_t i = 0; i < choice.count; i++)
     {
       EXPECT_EQ (hosts[choice.hosts[i]].weight, 1000u);
@@ -154,7 +158,7 @@
   std::vector<fleet_host> many;
   for (uint64_t dc = 1; dc <= 10; dc++)
     many.push_back ({ dc, dc, 1 });
-  EXPECT_EQ (relays_leading (many.data (), many.size (), 1), 6u);
+  EXPECT_EQ (relays_leading_count (many.data (), many.size (), 1), 6u);
 }
 
 }
--- a/policy/fleet/tests/membership_fleet_test.cc
+++ b/policy/fleet/tests/membership_fleet_test.cc
@@ -105,13 +105,13 @@
     const membership_options options = { hosts[host].key, 1, 500, 1500 };
     membership *m = membership_create (&options);
     for (const auto &other : hosts)
-      membership_introduce (m, 0, other.key, 1, false);
+      membership_add (m, 0, other.key, 1, false);
     fleet_choice choice;
     neighbours_choose (&hosts[host], hosts.data (), hosts.size (), &choice);
     uint64_t keys[64];
     for (uint32_t i = 0; i < choice.count; i++)
       keys[i] = hosts[choice.hosts[i]].key;
-    membership_watch (m, 0, keys, choice.count);
+    membership_monitor (m, 0, keys, choice.count);
     members.push_back (m);
   }
 
@@ -126,10 +126,10 @@
   void
   gossip (int from, int to)
   {
-    member_verdict verdicts[8];
+    member_update verdicts[8];
     const size_t count = membership_gossip (members[from], verdicts, 8);
     for (size_t i = 0; i < count; i++)
-      membership_verdict (members[to], now, &verdicts[i]);
+      membership_merge (members[to], now, &verdicts[i]);
   }
 
   void
@@ -137,18 +137,19 @@
   {
     uint64_t keys[64];
     membership_tick (members[host], now);
-    const size_t count = membership_watched (members[host], keys, 64);
+    const size_t count = membership_monitored (members[host], keys, 64);
     for (size_t i = 0; i < count; i++)
       {
         const int other = (int)keys[i] - 1;
         if (!arrives (host, other))
           continue;
-        membership_heard (members[other], now, hosts[host].key, 1, false,
-                          membership_wants_return (members[host], keys[i]));
+        membership_note_heartbeat (
+            members[other], now, hosts[host].key, 1, false,
+            membership_requests_return (members[host], keys[i]));
         gossip (host, other);
         if (!arrives (other, host))
           continue;
-        membership_answered (members[host], now, keys[i], 1);
+        membership_note_answer (members[host], now, keys[i], 1);
         gossip (other, host);
       }
     ask_others (host, keys, count);
@@ -158,7 +159,7 @@
   ask_others (int host, const uint64_t *helpers, size_t helper_count)
   {
     uint64_t doubted[64];
-    const size_t count = membership_doubted (members[host], doubted, 64);
+    const size_t count = membership_undecided (members[host], doubted, 64);
     for (size_t d = 0; d < count; d++)
       for (size_t i = 0; i < helper_count; i++)
         {
@@ -167,7 +168,7 @@
           if (helper != other && arrives (host, helper)
               && arrives (helper, other) && arrives (other, helper)
               && arrives (helper, host))
-            membership_vouched (members[host], now, doubted[d]);
+            membership_note_indirect_answer (members[host], now, doubted[d]);
         }
   }
 
--- a/policy/fleet/tests/membership_growth_test.cc
+++ b/policy/fleet/tests/membership_growth_test.cc
@@ -36,11 +36,11 @@
     members.push_back (membership_create (&options));
     for (auto *m : members)
       for (const auto &host : hosts)
-        membership_introduce (m, now, host.key, 1, false);
+        membership_add (m, now, host.key, 1, false);
     for (size_t at = 0; at < members.size (); at++)
       {
         const std::vector<uint64_t> keys = chosen (at);
-        membership_watch (members[at], now, keys.data (), keys.size ());
+        membership_monitor (members[at], now, keys.data (), keys.size ());
       }
   }
 
@@ -68,7 +68,7 @@
   watched (size_t at) const
   {
     uint64_t keys[host_count];
-    const size_t count = membership_watched (members[at], keys, host_count);
+    const size_t count = membership_monitored (members[at], keys, host_count);
     return { keys, keys + count };
   }
 
@@ -103,9 +103,10 @@
         const size_t other = key - 1;
         if (other == killed)
           continue;
-        membership_heard (members[other], now, hosts[at].key, 1, false,
-                          membership_wants_return (members[at], key));
-        membership_answered (members[at], now, key, 1);
+        membership_note_heartbeat (
+            members[other], now, hosts[at].key, 1, false,
+            membership_requests_return (members[at], key));
+        membership_note_answer (members[at], now, key, 1);
         gossip (at, other);
       }
   }
@@ -113,10 +114,10 @@
   void
   gossip (size_t from, size_t to)
   {
-    member_verdict verdicts[8];
+    member_update verdicts[8];
     const size_t count = membership_gossip (members[from], verdicts, 8);
     for (size_t i = 0; i < count; i++)
-      membership_verdict (members[to], now, &verdicts[i]);
+      membership_merge (members[to], now, &verdicts[i]);
   }
 
   std::vector<fleet_host> hosts;
--- a/policy/fleet/tests/membership_test.cc
+++ b/policy/fleet/tests/membership_test.cc
@@ -186,8 +186,8 @@
       for (auto &f : fates)
         f = draw_fate (&random);
       for (uint64_t key : keys)
-        membership_introduce (m, 0, key, 1, false);
-      membership_watch (m, 0, keys, 6);
+        membership_add (m, 0, key, 1, false);
+      membership_monitor (m, 0, keys, 6);
       int64_t now = 0;
       for (int step = 0; step < 80; step++)
         {
@@ -198,21 +198,21 @@
               now += 1 + rng_below (&random, 20);
               if (rng_unit (&random) < fates[h].heard)
                 {
-                  membership_heard (m, now, keys[h], 1, false, true);
+                  membership_note_heartbeat (m, now, keys[h], 1, false, true);
                   naive[h].add (now, event_kind::heard);
                   events++;
                 }
               now++;
               if (rng_unit (&random) < fates[h].answer)
                 {
-                  membership_answered (m, now, keys[h], 1);
+                  membership_note_answer (m, now, keys[h], 1);
                   naive[h].add (now, event_kind::answered);
                   events++;
                 }
               now++;
               if (rng_unit (&random) < fates[h].vouched)
                 {
-                  membership_vouched (m, now, keys[h]);
+                  membership_note_indirect_answer (m, now, keys[h]);
                   naive[h].add (now, event_kind::vouched);
                   events++;
                 }
@@ -243,18 +243,18 @@
 TEST (Membership, LeavingIsFinalForItsIncarnation)
 {
   membership *m = make_membership ();
-  membership_introduce (m, 0, 7, 1, false);
-  membership_heard (m, 10, 7, 1, true, true);
-  const member_verdict live = { 7, 1, 40, MEMBER_LIVE };
-  membership_verdict (m, 20, &live);
-  membership_answered (m, 30, 7, 1);
+  membership_add (m, 0, 7, 1, false);
+  membership_note_heartbeat (m, 10, 7, 1, true, true);
+  const member_update live = { 7, 1, 40, MEMBER_LIVE };
+  membership_merge (m, 20, &live);
+  membership_note_answer (m, 30, 7, 1);
   membership_tick (m, 40);
   EXPECT_EQ (membership_state (m, 7), MEMBER_LEAVING);
-  membership_introduce (m, 50, 7, 2, false);
+  membership_add (m, 50, 7, 2, false);
   EXPECT_EQ (membership_state (m, 7), MEMBER_LIVE);
-  membership_introduce (m, 60, 8, 1, true);
-  const member_verdict unwatched = { 8, 1, 40, MEMBER_LIVE };
-  membership_verdict (m, 70, &unwatched);
+  membership_add (m, 60, 8, 1, true);
+  const member_update unwatched = { 8, 1, 40, MEMBER_LIVE };
+  membership_merge (m, 70, &unwatched);
   EXPECT_EQ (membership_state (m, 8), MEMBER_LEAVING);
   membership_destroy (m);
 }
@@ -265,8 +265,8 @@
 TEST (Membership, AThawedHostCondemnsNobody)
 {
   membership *m = make_membership ();
-  membership_heard (m, 1, 7, 1, false, true);
-  membership_answered (m, 50, 7, 1);
+  membership_note_heartbeat (m, 1, 7, 1, false, true);
+  membership_note_answer (m, 50, 7, 1);
   membership_tick (m, 100);
   membership_tick (m, 10100);
   EXPECT_EQ (membership_state (m, 7), MEMBER_LIVE);
@@ -283,17 +283,17 @@
 {
   membership *m = make_membership ();
   const uint64_t other = 7;
-  membership_introduce (m, 0, other, 1, false);
-  membership_watch (m, 0, &other, 1);
+  membership_add (m, 0, other, 1, false);
+  membership_monitor (m, 0, &other, 1);
   for (int64_t now = 0; now <= 2 * dead_ms; now += suspect_ms / 5)
     {
       membership_tick (m, now);
       if (membership_state (m, other) != MEMBER_LIVE)
-        membership_watch (m, now, nullptr, 0);
+        membership_monitor (m, now, nullptr, 0);
     }
   EXPECT_EQ (membership_state (m, other), MEMBER_DEAD);
   uint64_t keys[4];
-  EXPECT_EQ (membership_watched (m, keys, 4), 0u);
+  EXPECT_EQ (membership_monitored (m, keys, 4), 0u);
   membership_destroy (m);
 }
 
@@ -303,16 +303,16 @@
 TEST (Membership, ADeadHostThatBeatsAgainIsAskedAgain)
 {
   membership *m = make_membership ();
-  membership_heard (m, 1, 7, 1, false, true);
+  membership_note_heartbeat (m, 1, 7, 1, false, true);
   for (int64_t now = 100; now <= 3000; now += 100)
     membership_tick (m, now);
   ASSERT_EQ (membership_state (m, 7), MEMBER_DEAD);
   uint64_t keys[4];
-  EXPECT_EQ (membership_watched (m, keys, 4), 0u);
-  membership_heard (m, 3100, 7, 1, false, true);
+  EXPECT_EQ (membership_monitored (m, keys, 4), 0u);
+  membership_note_heartbeat (m, 3100, 7, 1, false, true);
   membership_tick (m, 3200);
-  EXPECT_EQ (membership_watched (m, keys, 4), 1u);
-  membership_answered (m, 3300, 7, 1);
+  EXPECT_EQ (membership_monitored (m, keys, 4), 1u);
+  membership_note_answer (m, 3300, 7, 1);
   membership_tick (m, 3400);
   EXPECT_EQ (membership_state (m, 7), MEMBER_LIVE);
   membership_destroy (m);
@@ -325,15 +325,15 @@
 {
   membership *m = make_membership ();
   const uint64_t other = 7;
-  membership_introduce (m, 0, other, 1, false);
-  membership_heard (m, 1, other, 1, false, false);
+  membership_add (m, 0, other, 1, false);
+  membership_note_heartbeat (m, 1, other, 1, false, false);
   uint64_t keys[4];
-  EXPECT_EQ (membership_watched (m, keys, 4), 0u);
-  membership_heard (m, 2, other, 1, false, true);
-  EXPECT_EQ (membership_watched (m, keys, 4), 1u);
-  EXPECT_FALSE (membership_wants_return (m, other));
-  membership_watch (m, 3, &other, 1);
-  EXPECT_TRUE (membership_wants_return (m, other));
+  EXPECT_EQ (membership_monitored (m, keys, 4), 0u);
+  membership_note_heartbeat (m, 2, other, 1, false, true);
+  EXPECT_EQ (membership_monitored (m, keys, 4), 1u);
+  EXPECT_FALSE (membership_requests_return (m, other));
+  membership_monitor (m, 3, &other, 1);
+  EXPECT_TRUE (membership_requests_return (m, other));
   membership_destroy (m);
 }
 
@@ -343,17 +343,17 @@
 {
   membership *m = make_membership ();
   uint64_t keys[4];
-  membership_heard (m, 100, 7, 1, false, true);
+  membership_note_heartbeat (m, 100, 7, 1, false, true);
   for (int64_t now = 200; now < 100 + dead_ms; now += 100)
     {
-      membership_heard (m, now, 7, 1, false, false);
-      membership_answered (m, now, 7, 1);
+      membership_note_heartbeat (m, now, 7, 1, false, false);
+      membership_note_answer (m, now, 7, 1);
       membership_tick (m, now);
-      ASSERT_EQ (membership_watched (m, keys, 4), 1u);
+      ASSERT_EQ (membership_monitored (m, keys, 4), 1u);
     }
-  membership_answered (m, 100 + dead_ms, 7, 1);
+  membership_note_answer (m, 100 + dead_ms, 7, 1);
   membership_tick (m, 100 + dead_ms);
-  EXPECT_EQ (membership_watched (m, keys, 4), 0u);
+  EXPECT_EQ (membership_monitored (m, keys, 4), 0u);
   EXPECT_EQ (membership_state (m, 7), MEMBER_LIVE);
   membership_destroy (m);
 }
@@ -365,18 +365,18 @@
 {
   membership *m = make_membership ();
   uint64_t keys[4];
-  membership_heard (m, 1, 7, 1, false, true);
-  membership_answered (m, 50, 7, 1);
+  membership_note_heartbeat (m, 1, 7, 1, false, true);
+  membership_note_answer (m, 50, 7, 1);
   for (int64_t now = 100; now <= 3 * dead_ms; now += 100)
     {
-      membership_vouched (m, now, 7);
+      membership_note_indirect_answer (m, now, 7);
       membership_tick (m, now);
-      ASSERT_EQ (membership_watched (m, keys, 4), 1u);
+      ASSERT_EQ (membership_monitored (m, keys, 4), 1u);
     }
   for (int64_t now = 3 * dead_ms; now <= 5 * dead_ms; now += 100)
     membership_tick (m, now);
   EXPECT_EQ (membership_state (m, 7), MEMBER_DEAD);
-  EXPECT_EQ (membership_watched (m, keys, 4), 0u);
+  EXPECT_EQ (membership_monitored (m, keys, 4), 0u);
   membership_destroy (m);
 }
 
@@ -386,18 +386,18 @@
 TEST (Membership, ADeadHostIsAskedWhateverItsHeartbeatSays)
 {
   membership *m = make_membership ();
-  const member_verdict dead = { 7, 1, 4, MEMBER_DEAD };
-  membership_introduce (m, 0, 7, 1, false);
-  membership_verdict (m, 10, &dead);
-  EXPECT_TRUE (membership_wants_return (m, 7));
+  const member_update dead = { 7, 1, 4, MEMBER_DEAD };
+  membership_add (m, 0, 7, 1, false);
+  membership_merge (m, 10, &dead);
+  EXPECT_TRUE (membership_requests_return (m, 7));
   uint64_t keys[4];
   for (int64_t now = 100; now <= 3 * dead_ms; now += 100)
     {
-      membership_heard (m, now, 7, 1, false, false);
+      membership_note_heartbeat (m, now, 7, 1, false, false);
       membership_tick (m, now);
-      ASSERT_EQ (membership_watched (m, keys, 4), 1u) << now;
+      ASSERT_EQ (membership_monitored (m, keys, 4), 1u) << now;
     }
-  membership_answered (m, 3 * dead_ms + 50, 7, 1);
+  membership_note_answer (m, 3 * dead_ms + 50, 7, 1);
   membership_tick (m, 3 * dead_ms + 100);
   EXPECT_EQ (membership_state (m, 7), MEMBER_LIVE);
   membership_destroy (m);
@@ -406,9 +406,9 @@
 TEST (Membership, ContradictsAVerdictAboutItself)
 {
   membership *m = make_membership ();
-  const member_verdict dead = { self, 1, 5, MEMBER_DEAD };
-  membership_verdict (m, 20, &dead);
-  member_verdict said[4];
+  const member_update dead = { self, 1, 5, MEMBER_DEAD };
+  membership_merge (m, 20, &dead);
+  member_update said[4];
   ASSERT_EQ (membership_gossip (m, said, 4), 1u);
   EXPECT_EQ (said[0].key, self);
   EXPECT_EQ (said[0].counter, 6u);
@@ -419,16 +419,16 @@
 TEST (Membership, OlderIncarnationsAndCountersAreIgnored)
 {
   membership *m = make_membership ();
-  membership_introduce (m, 0, 7, 3, false);
-  const member_verdict old_start = { 7, 2, 90, MEMBER_DEAD };
-  membership_verdict (m, 10, &old_start);
+  membership_add (m, 0, 7, 3, false);
+  const member_update old_start = { 7, 2, 90, MEMBER_DEAD };
+  membership_merge (m, 10, &old_start);
   EXPECT_EQ (membership_state (m, 7), MEMBER_LIVE);
-  const member_verdict dead = { 7, 3, 4, MEMBER_DEAD };
-  membership_verdict (m, 20, &dead);
-  const member_verdict late = { 7, 3, 3, MEMBER_LIVE };
-  membership_verdict (m, 30, &late);
+  const member_update dead = { 7, 3, 4, MEMBER_DEAD };
+  membership_merge (m, 20, &dead);
+  const member_update late = { 7, 3, 3, MEMBER_LIVE };
+  membership_merge (m, 30, &late);
   EXPECT_EQ (membership_state (m, 7), MEMBER_DEAD);
-  membership_unlisted (m, 7);
+  membership_note_unlisted (m, 7);
   EXPECT_FALSE (membership_is_usable (m, 7));
   membership_destroy (m);
 }
--- a/policy/fleet/tests/rendezvous_test.cc
+++ b/policy/fleet/tests/rendezvous_test.cc
@@ -139,5 +139,5 @@
     }
   EXPECT_EQ (per_dc.size (), 10u);
   for (const auto &[dc, count] : per_dc)
-    EXPECT_EQ (count, dc == hosts[0].dc ? NEIGHBOURS_LOCAL : 1);
+    EXPECT_EQ (count, dc == hosts[0].dc ? NEIGHBOURS_IN_OWN_DC : 1);
 }
--- a/policy/fleet/tests/settings_index_test.cc
+++ b/policy/fleet/tests/settings_index_test.cc
@@ -61,20 +61,20 @@
       for (const auto &d : history)
         {
           const uint64_t before = settings_index_version (first, d.key);
-          const bool raised = settings_index_raise (first, d.key, d.version);
+          const bool raised = settings_index_update (first, d.key, d.version);
           ASSERT_EQ (raised, d.version > naive[d.key]);
           naive[d.key] = std::max (naive[d.key], d.version);
           ASSERT_EQ (settings_index_version (first, d.key), naive[d.key]);
           ASSERT_GE (settings_index_version (first, d.key), before);
         }
-      ASSERT_NE (settings_index_total (first), settings_index_total (second));
+      ASSERT_NE (settings_index_hash (first), settings_index_hash (second));
       shuffle (&random, &history);
       for (const auto &d : history)
-        settings_index_raise (second, d.key, d.version);
-      ASSERT_EQ (settings_index_total (first), settings_index_total (second));
+        settings_index_update (second, d.key, d.version);
+      ASSERT_EQ (settings_index_hash (first), settings_index_hash (second));
       for (uint32_t b = 0; b < SETTINGS_BUCKETS; b++)
-        ASSERT_EQ (settings_index_bucket (first, b),
-                   settings_index_bucket (second, b));
+        ASSERT_EQ (settings_index_bucket_hash (first, b),
+                   settings_index_bucket_hash (second, b));
       settings_index_destroy (first);
       settings_index_destroy (second);
     }
@@ -84,7 +84,7 @@
 {
   settings_index *index = settings_index_create ();
   for (uint64_t i = 1; i <= 3000; i++)
-    settings_index_raise (index, i * 7919, i);
+    settings_index_update (index, i * 7919, i);
   size_t total = 0;
   settings_version versions[64];
   for (uint32_t b = 0; b < SETTINGS_BUCKETS; b++)
@@ -110,15 +110,15 @@
   settings_index *index = settings_index_create ();
   const uint64_t gone = settings_key ("host", "gone");
   const uint64_t other = settings_key ("host", "other");
-  settings_index_raise (index, other, 3);
-  const uint64_t before = settings_index_total (index);
-  settings_index_raise (index, gone, 5);
-  const uint64_t with_record = settings_index_total (index);
-  settings_index_raise (index, gone, 9);
+  settings_index_update (index, other, 3);
+  const uint64_t before = settings_index_hash (index);
+  settings_index_update (index, gone, 5);
+  const uint64_t with_record = settings_index_hash (index);
+  settings_index_update (index, gone, 9);
   settings_index_retire (index, gone);
   settings_index_retire (index, gone);
-  EXPECT_EQ (settings_index_total (index), before);
-  EXPECT_FALSE (settings_index_raise (index, gone, 5));
+  EXPECT_EQ (settings_index_hash (index), before);
+  EXPECT_FALSE (settings_index_update (index, gone, 5));
   settings_version listed[4];
   EXPECT_GE (settings_index_list (index, settings_bucket (gone), listed, 4),
              1u);
@@ -126,11 +126,11 @@
   EXPECT_EQ (settings_index_count (index), 2u);
   settings_index_drop (index, gone);
   EXPECT_EQ (settings_index_count (index), 1u);
-  EXPECT_EQ (settings_index_total (index), before);
-  EXPECT_TRUE (settings_index_raise (index, gone, 5));
-  EXPECT_EQ (settings_index_total (index), with_record);
+  EXPECT_EQ (settings_index_hash (index), before);
+  EXPECT_TRUE (settings_index_update (index, gone, 5));
+  EXPECT_EQ (settings_index_hash (index), with_record);
   settings_index_retire (index, gone);
-  EXPECT_TRUE (settings_index_raise (index, gone, 12));
-  EXPECT_NE (settings_index_total (index), before);
+  EXPECT_TRUE (settings_index_update (index, gone, 12));
+  EXPECT_NE (settings_index_hash (index), before);
   settings_index_destroy (index);
 }
--- a/policy/floor/floor_claims.c
+++ b/policy/floor/floor_claims.c
@@ -6,7 +6,7 @@
 #include "base/xmalloc.h"
 
 int64_t
-floor_allowance_ms (uint32_t ms)
+floor_drift_adjusted_ms (uint32_t ms)
 {
   return (int64_t)ms + (int64_t)ms * FLOOR_DRIFT_PERMILLE / 1000
          + FLOOR_ROUNDING_MS;
@@ -56,7 +56,7 @@
 floor_claims_reserve (const struct floor_owner *owner)
 {
   const int64_t slack = floor_claims_slack (owner);
-  if (slack <= 0 || owner->spec.version < owner->possible.known.spec_version)
+  if (slack <= 0 || owner->spec.version < owner->stored.known.spec_version)
     return 0;
   uint64_t reserve = (uint64_t)slack / 2;
   for (size_t i = 0; i < owner->spec.count; i++)
@@ -90,7 +90,8 @@
 {
   claim->state = FLOOR_CLAIM_RELEASING;
   claim->manual = false;
-  claim->free_ms = now_ms + floor_allowance_ms (owner->options.enforce_ms);
+  claim->free_at_ms
+      = now_ms + floor_drift_adjusted_ms (owner->options.enforce_ms);
 }
 
 void
@@ -114,7 +115,7 @@
     {
       struct floor_claim *claim = &owner->claims.claims[i - 1];
       if (claim->state == FLOOR_CLAIM_RELEASING && !is_held (owner, claim)
-          && claim->free_ms <= now_ms)
+          && claim->free_at_ms <= now_ms)
         floor_record_remove (&owner->claims, claim);
     }
 }
@@ -122,7 +123,7 @@
 static void
 settle (struct floor_owner *owner, int64_t now_ms)
 {
-  if (owner->claims.settled || now_ms < owner->settle_ms)
+  if (owner->claims.settled || now_ms < owner->settles_at_ms)
     return;
   owner->claims.settled = true;
   owner->claims.old_reserve = 0;
@@ -159,8 +160,8 @@
   while (slack_after (owner, true) < 0
          && (claim = pick (owner, FLOOR_CLAIM_EJECTED, false)) != NULL)
     release_claim (owner, now_ms, claim);
-  while (floor_possible_spare (&owner->possible, &owner->claims, &owner->spec,
-                               false)
+  while (floor_stored_min_reserve_left (&owner->stored, &owner->claims,
+                                        &owner->spec, false)
              < 0
          && (claim = pick (owner, FLOOR_CLAIM_EJECTED, false)) != NULL)
     release_claim (owner, now_ms, claim);
@@ -175,8 +176,8 @@
   while ((claim = pick (owner, FLOOR_CLAIM_PLANNED, true)) != NULL)
     {
       claim->state = FLOOR_CLAIM_EJECTED;
-      if (floor_possible_spare (&owner->possible, &owner->claims, &owner->spec,
-                                true)
+      if (floor_stored_min_reserve_left (&owner->stored, &owner->claims,
+                                         &owner->spec, true)
           >= 0)
         continue;
       claim->state = FLOOR_CLAIM_PLANNED;
@@ -188,11 +189,11 @@
 static bool
 told (const struct floor_owner *owner, const char *target, size_t place)
 {
-  if (place < owner->ejected_count
-      && strcmp (owner->ejected[place], target) == 0)
+  if (place < owner->announced_count
+      && strcmp (owner->announced[place], target) == 0)
     return true;
-  for (size_t i = 0; i < owner->ejected_count; i++)
-    if (strcmp (owner->ejected[i], target) == 0)
+  for (size_t i = 0; i < owner->announced_count; i++)
+    if (strcmp (owner->announced[i], target) == 0)
       return true;
   return false;
 }
@@ -210,7 +211,7 @@
         return false;
       count++;
     }
-  return count == owner->ejected_count;
+  return count == owner->announced_count;
 }
 
 static void
@@ -219,12 +220,13 @@
   if (decision_current (owner))
     return;
   owner->sequence++;
-  owner->ejected_count = 0;
-  owner->ejected = xreallocarray (
-      owner->ejected, owner->claims.claim_count + 1, sizeof *owner->ejected);
+  owner->announced_count = 0;
+  owner->announced
+      = xreallocarray (owner->announced, owner->claims.claim_count + 1,
+                       sizeof *owner->announced);
   for (size_t i = 0; i < owner->claims.claim_count; i++)
     if (owner->claims.claims[i].state == FLOOR_CLAIM_EJECTED)
-      memcpy (owner->ejected[owner->ejected_count++],
+      memcpy (owner->announced[owner->announced_count++],
               owner->claims.claims[i].target, FLOOR_NAME_SIZE);
 }
 
@@ -245,30 +247,31 @@
    that it was replaced: what it had claimed stays claimed, what it might have
    ejected from its reserve counts as ejected, until it is surely over. */
 void
-floor_claims_begin (struct floor_owner *owner, int64_t now_ms)
+floor_claims_begin_ownership (struct floor_owner *owner, int64_t now_ms)
 {
-  floor_record_assign (&owner->claims, &owner->possible.known);
+  floor_record_assign (&owner->claims, &owner->stored.known);
   for (size_t i = 0; i < owner->claims.claim_count; i++)
     {
       struct floor_claim *claim = &owner->claims.claims[i];
       claim->inherited = true;
-      claim->free_ms = now_ms;
+      claim->free_at_ms = now_ms;
       if (claim->state == FLOOR_CLAIM_PLANNED)
         claim->state = FLOOR_CLAIM_EJECTED;
     }
   owner->role = FLOOR_ROLE_OWNER;
   owner->releasing = false;
-  owner->settle_ms = now_ms + floor_allowance_ms (owner->takeover_hold_ms);
+  owner->settles_at_ms
+      = now_ms + floor_drift_adjusted_ms (owner->takeover_hold_ms);
   owner->sequence = 1;
-  owner->ejected_count = 0;
+  owner->announced_count = 0;
   floor_claims_refresh (owner, now_ms);
 }
 
 void
-floor_claims_end (struct floor_owner *owner)
+floor_claims_end_ownership (struct floor_owner *owner)
 {
   owner->role = FLOOR_ROLE_NONE;
   owner->releasing = false;
-  owner->ejected_count = 0;
+  owner->announced_count = 0;
   owner->claims.claim_count = 0;
 }
--- a/policy/floor/floor_owner.c
+++ b/policy/floor/floor_owner.c
@@ -8,17 +8,17 @@
 #include "policy/floor/floor_owner_state.h"
 
 static const char *const verdict_names[]
-    = { [FLOOR_VERDICT_EJECTED] = "ejected",
-        [FLOOR_VERDICT_PLANNED] = "planned",
-        [FLOOR_VERDICT_ALREADY] = "already",
-        [FLOOR_VERDICT_FLOOR] = "floor",
-        [FLOOR_VERDICT_PAUSED] = "paused",
-        [FLOOR_VERDICT_TARGET] = "no-such-target",
-        [FLOOR_VERDICT_NOT_OWNER] = "not-owner",
-        [FLOOR_VERDICT_SETTINGS] = "settings-behind" };
+    = { [FLOOR_EJECT_EJECTED] = "ejected",
+        [FLOOR_EJECT_PLANNED] = "planned",
+        [FLOOR_EJECT_ALREADY] = "already",
+        [FLOOR_EJECT_BELOW_FLOOR] = "floor",
+        [FLOOR_EJECT_PAUSED] = "paused",
+        [FLOOR_EJECT_NO_SUCH_TARGET] = "no-such-target",
+        [FLOOR_EJECT_NOT_OWNER] = "not-owner",
+        [FLOOR_EJECT_SETTINGS_BEHIND] = "settings-behind" };
 
 const char *
-floor_verdict_name (enum floor_verdict verdict)
+floor_eject_result_name (enum floor_eject_result verdict)
 {
   return verdict_names[verdict];
 }
@@ -30,7 +30,7 @@
   owner->options = *options;
   snprintf (owner->host, sizeof owner->host, "%s", options->host);
   owner->options.host = owner->host;
-  owner->retry_ms = options->retry_ms;
+  owner->backoff_ms = options->retry_ms;
   rng_seed (&owner->rng, options->seed);
   return owner;
 }
@@ -41,15 +41,15 @@
   if (owner == NULL)
     return;
   floor_spec_clear (&owner->spec);
-  floor_possible_clear (&owner->possible);
+  floor_stored_clear (&owner->stored);
   floor_record_clear (&owner->claims);
-  free (owner->ejected);
+  free (owner->announced);
   free (owner);
 }
 
 void
-floor_owner_spec (struct floor_owner *owner, int64_t now_ms,
-                  const struct floor_spec *spec)
+floor_owner_set_spec (struct floor_owner *owner, int64_t now_ms,
+                      const struct floor_spec *spec)
 {
   if (owner->has_spec && spec->version < owner->spec.version)
     return;
@@ -59,8 +59,8 @@
 }
 
 void
-floor_owner_candidate (struct floor_owner *owner, int64_t now_ms,
-                       bool candidate, uint64_t silent_epoch)
+floor_owner_set_candidate (struct floor_owner *owner, int64_t now_ms,
+                           bool candidate, uint64_t silent_epoch)
 {
   owner->silent_epoch = silent_epoch;
   if (!candidate && owner->role == FLOOR_ROLE_ACQUIRING)
@@ -79,20 +79,20 @@
   owner->releasing = owner->role == FLOOR_ROLE_OWNER;
 }
 
-static enum floor_verdict
+static enum floor_eject_result
 refusal (const struct floor_owner *owner, const char *target, bool manual)
 {
   if (owner->role != FLOOR_ROLE_OWNER || owner->releasing)
-    return FLOOR_VERDICT_NOT_OWNER;
+    return FLOOR_EJECT_NOT_OWNER;
   /* Guards against an owner that hasn't heard of a raised floor which a
      earlier owner already knew. */
-  if (owner->spec.version < owner->possible.known.spec_version)
-    return FLOOR_VERDICT_SETTINGS;
+  if (owner->spec.version < owner->stored.known.spec_version)
+    return FLOOR_EJECT_SETTINGS_BEHIND;
   if (!floor_spec_active (&owner->spec, target))
-    return FLOOR_VERDICT_TARGET;
+    return FLOOR_EJECT_NO_SUCH_TARGET;
   if (!manual && (owner->claims.paused || owner->spec.paused))
-    return FLOOR_VERDICT_PAUSED;
-  return FLOOR_VERDICT_EJECTED;
+    return FLOOR_EJECT_PAUSED;
+  return FLOOR_EJECT_EJECTED;
 }
 
 static void
@@ -103,56 +103,56 @@
 }
 
 /* A target on its way back is still counted, so it may go out again. */
-static enum floor_verdict
+static enum floor_eject_result
 eject_again (struct floor_owner *owner, struct floor_claim *claim,
              uint32_t score, bool manual)
 {
   if (floor_claims_slack (owner) < 0)
-    return FLOOR_VERDICT_FLOOR;
+    return FLOOR_EJECT_BELOW_FLOOR;
   claim->state = FLOOR_CLAIM_EJECTED;
   mark (claim, score, manual);
-  return FLOOR_VERDICT_EJECTED;
+  return FLOOR_EJECT_EJECTED;
 }
 
-static enum floor_verdict
+static enum floor_eject_result
 eject_new (struct floor_owner *owner, const char *target, uint32_t score,
            bool manual)
 {
   if (floor_claims_slack (owner)
       < (int64_t)floor_spec_capacity_of (&owner->spec, target))
-    return FLOOR_VERDICT_FLOOR;
+    return FLOOR_EJECT_BELOW_FLOOR;
   mark (floor_record_add (&owner->claims, target), score, manual);
-  return FLOOR_VERDICT_PLANNED;
+  return FLOOR_EJECT_PLANNED;
 }
 
-static enum floor_verdict
+static enum floor_eject_result
 verdict_of (const struct floor_claim *claim)
 {
   if (claim == NULL || claim->state == FLOOR_CLAIM_RELEASING)
-    return FLOOR_VERDICT_FLOOR;
-  return claim->state == FLOOR_CLAIM_EJECTED ? FLOOR_VERDICT_EJECTED
-                                             : FLOOR_VERDICT_PLANNED;
+    return FLOOR_EJECT_BELOW_FLOOR;
+  return claim->state == FLOOR_CLAIM_EJECTED ? FLOOR_EJECT_EJECTED
+                                             : FLOOR_EJECT_PLANNED;
 }
 
-enum floor_verdict
+enum floor_eject_result
 floor_owner_eject (struct floor_owner *owner, int64_t now_ms,
                    const char *target, uint32_t score, bool manual)
 {
   floor_claims_refresh (owner, now_ms);
-  enum floor_verdict verdict = refusal (owner, target, manual);
-  if (verdict != FLOOR_VERDICT_EJECTED)
+  enum floor_eject_result verdict = refusal (owner, target, manual);
+  if (verdict != FLOOR_EJECT_EJECTED)
     return verdict;
   struct floor_claim *claim = floor_record_find (&owner->claims, target);
   if (claim != NULL && claim->state != FLOOR_CLAIM_RELEASING)
     {
       mark (claim, score, manual);
-      return FLOOR_VERDICT_ALREADY;
+      return FLOOR_EJECT_ALREADY;
     }
   if (claim != NULL)
     verdict = eject_again (owner, claim, score, manual);
   else
     verdict = eject_new (owner, target, score, manual);
-  if (verdict == FLOOR_VERDICT_FLOOR)
+  if (verdict == FLOOR_EJECT_BELOW_FLOOR)
     return verdict;
   floor_claims_refresh (owner, now_ms);
   return verdict_of (floor_record_find (&owner->claims, target));
@@ -189,20 +189,21 @@
 {
   if (epoch > owner->highest_epoch)
     owner->highest_epoch = epoch;
-  if (owner->role != FLOOR_ROLE_NONE && epoch > owner->possible.known.epoch)
+  if (owner->role != FLOOR_ROLE_NONE && epoch > owner->stored.known.epoch)
     owner->must_read = true;
 }
 
 void
-floor_owner_stopped (struct floor_owner *owner, int64_t now_ms, uint64_t epoch)
+floor_owner_predecessor_stopped (struct floor_owner *owner, int64_t now_ms,
+                                 uint64_t epoch)
 {
   if (owner->role != FLOOR_ROLE_OWNER || owner->claims.settled
       || !owner->takeover_settled || epoch + 1 != owner->claims.epoch)
     return;
   const int64_t over_ms
-      = now_ms + floor_allowance_ms (owner->options.enforce_ms);
-  if (over_ms < owner->settle_ms)
-    owner->settle_ms = over_ms;
+      = now_ms + floor_drift_adjusted_ms (owner->options.enforce_ms);
+  if (over_ms < owner->settles_at_ms)
+    owner->settles_at_ms = over_ms;
 }
 
 void
@@ -219,15 +220,15 @@
                       struct floor_decision *decision)
 {
   if (owner->role != FLOOR_ROLE_OWNER || owner->releasing
-      || now_ms >= owner->authority_ms)
+      || now_ms >= owner->authority_until_ms)
     return false;
   floor_claims_refresh (owner, now_ms);
   *decision = (struct floor_decision){
     .epoch = owner->claims.epoch,
     .sequence = owner->sequence,
     .enforce_ms = owner->options.enforce_ms,
-    .targets = (const char (*)[FLOOR_NAME_SIZE])owner->ejected,
-    .count = owner->ejected_count,
+    .targets = (const char (*)[FLOOR_NAME_SIZE])owner->announced,
+    .count = owner->announced_count,
   };
   return true;
 }
@@ -241,19 +242,19 @@
 uint64_t
 floor_owner_epoch (const struct floor_owner *owner)
 {
-  return owner->possible.known.epoch;
+  return owner->stored.known.epoch;
 }
 
 const struct floor_record *
-floor_owner_known (const struct floor_owner *owner)
+floor_owner_known_record (const struct floor_owner *owner)
 {
-  return &owner->possible.known;
+  return &owner->stored.known;
 }
 
 uint64_t
 floor_owner_version (const struct floor_owner *owner)
 {
-  return owner->possible.version;
+  return owner->stored.version;
 }
 
 const struct floor_record *
@@ -274,8 +275,8 @@
 {
   if (owner->role != FLOOR_ROLE_OWNER)
     return 0;
-  const int64_t spare = floor_possible_spare (&owner->possible, &owner->claims,
-                                              &owner->spec, true);
+  const int64_t spare = floor_stored_min_reserve_left (
+      &owner->stored, &owner->claims, &owner->spec, true);
   const uint64_t slack = floor_owner_slack (owner);
   if (spare <= 0)
     return 0;
@@ -283,7 +284,7 @@
 }
 
 uint64_t
-floor_owner_take_stopped (struct floor_owner *owner)
+floor_owner_take_stopped_epoch (struct floor_owner *owner)
 {
   const uint64_t epoch = owner->stopped_epoch;
   owner->stopped_epoch = 0;
--- a/policy/floor/floor_owner.h
+++ b/policy/floor/floor_owner.h
@@ -66,8 +66,8 @@
 {
   FLOOR_REPLY_OK,
   FLOOR_REPLY_NOT_FOUND,   /**< read: no such record */
-  FLOOR_REPLY_REFUSED,     /**< write: the version didn't match */
-  FLOOR_REPLY_LOST,        /**< may have taken effect */
+  FLOOR_REPLY_CONFLICT,    /**< write: the version didn't match */
+  FLOOR_REPLY_UNKNOWN,     /**< may have taken effect */
   FLOOR_REPLY_UNREACHABLE, /**< surely without effect */
 };
 
@@ -86,19 +86,20 @@
 };
 
 /** What became of a wish to eject. */
-enum floor_verdict
+enum floor_eject_result
 {
-  FLOOR_VERDICT_EJECTED, /**< in the decision from now on */
-  FLOOR_VERDICT_PLANNED, /**< will be, once the record says so */
-  FLOOR_VERDICT_ALREADY, /**< is, or is planned */
-  FLOOR_VERDICT_FLOOR,   /**< would breach the floor */
-  FLOOR_VERDICT_PAUSED,  /**< automatic ejection is stopped */
-  FLOOR_VERDICT_TARGET,  /**< no such active target */
-  FLOOR_VERDICT_NOT_OWNER,
-  FLOOR_VERDICT_SETTINGS, /**< the record knows newer settings than we do */
+  FLOOR_EJECT_EJECTED,        /**< in the decision from now on */
+  FLOOR_EJECT_PLANNED,        /**< will be, once the record says so */
+  FLOOR_EJECT_ALREADY,        /**< is, or is planned */
+  FLOOR_EJECT_BELOW_FLOOR,    /**< would breach the floor */
+  FLOOR_EJECT_PAUSED,         /**< automatic ejection is stopped */
+  FLOOR_EJECT_NO_SUCH_TARGET, /**< no such active target */
+  FLOOR_EJECT_NOT_OWNER,
+  FLOOR_EJECT_SETTINGS_BEHIND, /**< the record knows newer settings than we do
+                                */
 };
 
-const char *floor_verdict_name (enum floor_verdict verdict);
+const char *floor_eject_result_name (enum floor_eject_result verdict);
 
 struct floor_owner;
 
@@ -107,8 +108,8 @@
 void floor_owner_destroy (struct floor_owner *owner);
 
 /** Settings of the service; lower versions are ignored. */
-void floor_owner_spec (struct floor_owner *owner, int64_t now_ms,
-                       const struct floor_spec *spec);
+void floor_owner_set_spec (struct floor_owner *owner, int64_t now_ms,
+                           const struct floor_spec *spec);
 
 /** Should this host become owner (true), or give up trying (false)?  An
  * owner stays owner until it releases or is replaced.
@@ -117,8 +118,8 @@
  * lease.  A record of a newer epoch belongs to an owner that had no chance to
  * be heard: it is not replaced, and the role goes back to NONE.  So of
  * several candidates one wins and the others wait for it. */
-void floor_owner_candidate (struct floor_owner *owner, int64_t now_ms,
-                            bool candidate, uint64_t silent_epoch);
+void floor_owner_set_candidate (struct floor_owner *owner, int64_t now_ms,
+                                bool candidate, uint64_t silent_epoch);
 
 /** Stop being owner in good order: tells no decision from now on and writes
  * a record that the next owner can take over soon. */
@@ -126,9 +127,9 @@
 
 /** The detector or, if MANUAL, an operator wants TARGET out.  SCORE tells how
  * bad it is (manual ones outrank all). */
-enum floor_verdict floor_owner_eject (struct floor_owner *owner,
-                                      int64_t now_ms, const char *target,
-                                      uint32_t score, bool manual);
+enum floor_eject_result floor_owner_eject (struct floor_owner *owner,
+                                           int64_t now_ms, const char *target,
+                                           uint32_t score, bool manual);
 
 /** Bring TARGET back; the detector can't bring back a manual ejection.
  * @return false when nothing changed. */
@@ -144,20 +145,20 @@
                              uint64_t epoch);
 
 /** The owner of EPOCH says that it has stopped telling decisions. */
-void floor_owner_stopped (struct floor_owner *owner, int64_t now_ms,
-                          uint64_t epoch);
+void floor_owner_predecessor_stopped (struct floor_owner *owner,
+                                      int64_t now_ms, uint64_t epoch);
 
 /** Time passed. */
 void floor_owner_tick (struct floor_owner *owner, int64_t now_ms);
 
 /** The call to make now, if any; it is under way until
- * floor_owner_replied(). */
-struct floor_request floor_owner_next (struct floor_owner *owner,
-                                       int64_t now_ms);
+ * floor_owner_handle_reply(). */
+struct floor_request floor_owner_next_request (struct floor_owner *owner,
+                                               int64_t now_ms);
 
 /** The call under way ended. */
-void floor_owner_replied (struct floor_owner *owner, int64_t now_ms,
-                          const struct floor_reply *reply);
+void floor_owner_handle_reply (struct floor_owner *owner, int64_t now_ms,
+                               const struct floor_reply *reply);
 
 /** The decision to tell hosts at NOW_MS.
  * @return false when this host may tell none. */
@@ -170,9 +171,10 @@
 uint64_t floor_owner_epoch (const struct floor_owner *owner);
 
 /** The record last read or confirmed; epoch 0 when none is known. */
-const struct floor_record *floor_owner_known (const struct floor_owner *owner);
+const struct floor_record *
+floor_owner_known_record (const struct floor_owner *owner);
 
-/** Version at the platform of floor_owner_known(). */
+/** Version at the platform of floor_owner_known_record(). */
 uint64_t floor_owner_version (const struct floor_owner *owner);
 
 /** Claims held as owner, with their true states. */
@@ -187,6 +189,6 @@
 
 /** Epoch that was ours until it was found replaced, to be announced as
  * stopped; 0 when none.  Cleared by the call. */
-uint64_t floor_owner_take_stopped (struct floor_owner *owner);
+uint64_t floor_owner_take_stopped_epoch (struct floor_owner *owner);
 
 #endif
--- a/policy/floor/floor_owner_call.c
+++ b/policy/floor/floor_owner_call.c
@@ -53,7 +53,7 @@
 static void
 draft_takeover (struct floor_owner *owner)
 {
-  const struct floor_record *known = &owner->possible.known;
+  const struct floor_record *known = &owner->stored.known;
   struct floor_record *next = &owner->claims;
   floor_record_assign (next, known);
   next->epoch = known->epoch + 1;
@@ -73,7 +73,7 @@
 draft_owned (struct floor_owner *owner)
 {
   struct floor_record *next = &owner->claims;
-  next->spec_version = owner->possible.known.spec_version;
+  next->spec_version = owner->stored.known.spec_version;
   sign (owner, next);
   next->reserve = floor_claims_reserve (owner);
 }
@@ -109,15 +109,15 @@
   if (owner->role == FLOOR_ROLE_NONE || !owner->has_spec)
     return false;
   draft (owner);
-  return owner->possible.pending_count > 0
-         || !floor_record_same (&owner->claims, &owner->possible.known);
+  return owner->stored.pending_count > 0
+         || !floor_record_equivalent (&owner->claims, &owner->stored.known);
 }
 
 static struct floor_request
 start_read (struct floor_owner *owner, int64_t now_ms)
 {
-  owner->under_way = FLOOR_CALL_READ;
-  owner->sent_ms = now_ms;
+  owner->call_in_flight = FLOOR_CALL_READ;
+  owner->call_sent_ms = now_ms;
   return (struct floor_request){ .call = FLOOR_CALL_READ };
 }
 
@@ -126,33 +126,33 @@
 static struct floor_request
 start_write (struct floor_owner *owner, int64_t now_ms)
 {
-  struct floor_pending *newest = floor_possible_newest (&owner->possible);
+  struct floor_pending *newest = floor_stored_newest (&owner->stored);
   const struct floor_record *record = NULL;
   if (newest != NULL && newest->record.write_id != 0
-      && floor_record_same (&newest->record, &owner->claims))
+      && floor_record_equivalent (&newest->record, &owner->claims))
     record = &newest->record;
   if (record == NULL)
     {
       owner->claims.write_id = write_id (owner);
-      record = floor_possible_push (&owner->possible, &owner->claims);
+      record = floor_stored_push (&owner->stored, &owner->claims);
     }
-  owner->under_way = FLOOR_CALL_WRITE;
-  owner->sent_ms = now_ms;
+  owner->call_in_flight = FLOOR_CALL_WRITE;
+  owner->call_sent_ms = now_ms;
   return (struct floor_request){ .call = FLOOR_CALL_WRITE,
                                  .record = record,
-                                 .expected_version = owner->possible.version };
+                                 .expected_version = owner->stored.version };
 }
 
 struct floor_request
-floor_owner_next (struct floor_owner *owner, int64_t now_ms)
+floor_owner_next_request (struct floor_owner *owner, int64_t now_ms)
 {
   const struct floor_request none = { .call = FLOOR_CALL_NONE };
-  if (owner->under_way != FLOOR_CALL_NONE || owner->role == FLOOR_ROLE_NONE
-      || now_ms < owner->call_not_before_ms)
+  if (owner->call_in_flight != FLOOR_CALL_NONE
+      || owner->role == FLOOR_ROLE_NONE || now_ms < owner->call_not_before_ms)
     return none;
   floor_claims_refresh (owner, now_ms);
   const bool confirm
-      = owner->role == FLOOR_ROLE_OWNER && now_ms >= owner->confirm_ms;
+      = owner->role == FLOOR_ROLE_OWNER && now_ms >= owner->confirm_at_ms;
   if (owner->must_read || confirm)
     return start_read (owner, now_ms);
   if (write_due (owner))
@@ -165,15 +165,16 @@
 confirmed (struct floor_owner *owner)
 {
   const int64_t authority_ms = owner->options.authority_ms;
-  owner->authority_ms = owner->sent_ms + authority_ms;
-  owner->confirm_ms = owner->sent_ms + authority_ms / CONFIRMS_PER_AUTHORITY;
+  owner->authority_until_ms = owner->call_sent_ms + authority_ms;
+  owner->confirm_at_ms
+      = owner->call_sent_ms + authority_ms / CONFIRMS_PER_AUTHORITY;
 }
 
 static void
 replaced (struct floor_owner *owner)
 {
   owner->stopped_epoch = owner->claims.epoch;
-  floor_claims_end (owner);
+  floor_claims_end_ownership (owner);
 }
 
 static bool
@@ -187,24 +188,24 @@
 static void
 back_off (struct floor_owner *owner, int64_t now_ms)
 {
-  owner->call_not_before_ms = now_ms + owner->retry_ms;
-  owner->retry_ms *= 2;
-  if (owner->retry_ms > owner->options.retry_max_ms)
-    owner->retry_ms = owner->options.retry_max_ms;
+  owner->call_not_before_ms = now_ms + owner->backoff_ms;
+  owner->backoff_ms *= 2;
+  if (owner->backoff_ms > owner->options.retry_max_ms)
+    owner->backoff_ms = owner->options.retry_max_ms;
 }
 
 static void
 owner_read (struct floor_owner *owner, int64_t now_ms,
             const struct floor_reply *reply)
 {
-  if (reply->version < owner->possible.version)
+  if (reply->version < owner->stored.version)
     {
       owner->must_read = true;
       back_off (owner, now_ms);
       return;
     }
   const bool ours = is_ours (owner, reply->record);
-  floor_possible_seen (&owner->possible, reply->version, reply->record);
+  floor_stored_observe (&owner->stored, reply->version, reply->record);
   if (!ours)
     replaced (owner);
   else
@@ -216,13 +217,13 @@
                 const struct floor_reply *reply)
 {
   const struct floor_record *record = reply->record;
-  const bool ours = floor_possible_has (&owner->possible, record->write_id)
+  const bool ours = floor_stored_has_write (&owner->stored, record->write_id)
                     && record->incarnation == owner->options.incarnation
                     && strcmp (record->owner, owner->host) == 0;
-  floor_possible_seen (&owner->possible, reply->version, record);
+  floor_stored_observe (&owner->stored, reply->version, record);
   if (ours)
     {
-      floor_claims_begin (owner, now_ms);
+      floor_claims_begin_ownership (owner, now_ms);
       confirmed (owner);
       return;
     }
@@ -242,7 +243,7 @@
     owner->highest_epoch = reply->record->epoch;
   if (reply->status == FLOOR_REPLY_NOT_FOUND)
     {
-      floor_possible_seen (&owner->possible, 0, NULL);
+      floor_stored_observe (&owner->stored, 0, NULL);
       if (owner->role == FLOOR_ROLE_OWNER)
         replaced (owner);
     }
@@ -251,23 +252,23 @@
   else if (owner->role == FLOOR_ROLE_ACQUIRING)
     candidate_read (owner, now_ms, reply);
   else
-    floor_possible_seen (&owner->possible, reply->version, reply->record);
+    floor_stored_observe (&owner->stored, reply->version, reply->record);
 }
 
 static void
 write_done (struct floor_owner *owner, int64_t now_ms,
             const struct floor_reply *reply)
 {
-  floor_possible_confirm (&owner->possible, reply->version);
-  if (owner->possible.known.epoch > owner->highest_epoch)
-    owner->highest_epoch = owner->possible.known.epoch;
+  floor_stored_confirm (&owner->stored, reply->version);
+  if (owner->stored.known.epoch > owner->highest_epoch)
+    owner->highest_epoch = owner->stored.known.epoch;
   if (owner->role == FLOOR_ROLE_OWNER && owner->releasing)
     {
-      floor_claims_end (owner);
+      floor_claims_end_ownership (owner);
       return;
     }
   if (owner->role != FLOOR_ROLE_OWNER)
-    floor_claims_begin (owner, now_ms);
+    floor_claims_begin_ownership (owner, now_ms);
   confirmed (owner);
 }
 
@@ -277,27 +278,27 @@
 call_failed (struct floor_owner *owner, int64_t now_ms, enum floor_call call,
              enum floor_reply_status status)
 {
-  struct floor_pending *newest = floor_possible_newest (&owner->possible);
+  struct floor_pending *newest = floor_stored_newest (&owner->stored);
   if (call == FLOOR_CALL_READ)
     owner->must_read = true;
   else if (status == FLOOR_REPLY_UNREACHABLE)
-    floor_possible_unsent (&owner->possible);
+    floor_stored_drop_unsent (&owner->stored);
   else
     {
       assert (newest != NULL);
-      newest->lost = true;
+      newest->in_doubt = true;
       owner->must_read = true;
     }
-  if (status != FLOOR_REPLY_REFUSED)
+  if (status != FLOOR_REPLY_CONFLICT)
     back_off (owner, now_ms);
 }
 
 void
-floor_owner_replied (struct floor_owner *owner, int64_t now_ms,
-                     const struct floor_reply *reply)
+floor_owner_handle_reply (struct floor_owner *owner, int64_t now_ms,
+                          const struct floor_reply *reply)
 {
-  const enum floor_call call = owner->under_way;
-  owner->under_way = FLOOR_CALL_NONE;
+  const enum floor_call call = owner->call_in_flight;
+  owner->call_in_flight = FLOOR_CALL_NONE;
   const bool ended
       = reply->status == FLOOR_REPLY_OK
         || (call == FLOOR_CALL_READ && reply->status == FLOOR_REPLY_NOT_FOUND);
@@ -305,7 +306,7 @@
     call_failed (owner, now_ms, call, reply->status);
   else
     {
-      owner->retry_ms = owner->options.retry_ms;
+      owner->backoff_ms = owner->options.retry_ms;
       if (call == FLOOR_CALL_READ)
         read_done (owner, now_ms, reply);
       else
--- a/policy/floor/floor_owner_state.h
+++ b/policy/floor/floor_owner_state.h
@@ -6,7 +6,7 @@
 
 #include "base/rng.h"
 #include "policy/floor/floor_owner.h"
-#include "policy/floor/floor_possible.h"
+#include "policy/floor/floor_stored.h"
 
 enum
 {
@@ -28,7 +28,7 @@
   struct floor_spec spec;
   bool has_spec;
 
-  struct floor_possible possible;
+  struct floor_stored stored;
   /* The claims as they truly are; epoch, owner and amounts as the next
      record will have them. */
   struct floor_record claims;
@@ -36,26 +36,26 @@
   /* Of the record that was taken over. */
   uint32_t takeover_hold_ms;
   bool takeover_settled;
-  int64_t settle_ms; /* when earlier owners are surely over */
+  int64_t settles_at_ms; /* when earlier owners are surely over */
 
-  int64_t authority_ms; /* until when decisions may be told */
+  int64_t authority_until_ms; /* until when decisions may be told */
   uint64_t sequence;
-  char (*ejected)[FLOOR_NAME_SIZE]; /* as last told */
-  size_t ejected_count;
+  char (*announced)[FLOOR_NAME_SIZE]; /* as last told */
+  size_t announced_count;
 
-  enum floor_call under_way;
-  int64_t sent_ms;
+  enum floor_call call_in_flight;
+  int64_t call_sent_ms;
   bool must_read;
-  int64_t confirm_ms; /* when to read the record just to stay owner */
+  int64_t confirm_at_ms; /* when to read the record just to stay owner */
   int64_t call_not_before_ms;
-  uint32_t retry_ms;
+  uint32_t backoff_ms;
   uint64_t silent_epoch;
   uint64_t highest_epoch; /* heard of anywhere */
   uint64_t stopped_epoch;
 };
 
 /* MS as another clock may count it at most. */
-int64_t floor_allowance_ms (uint32_t ms);
+int64_t floor_drift_adjusted_ms (uint32_t ms);
 
 /* Capacity above the floor after all claims and the old reserve. */
 int64_t floor_claims_slack (const struct floor_owner *owner);
@@ -72,9 +72,9 @@
                            struct floor_claim *claim);
 
 /* Become owner of the known record. */
-void floor_claims_begin (struct floor_owner *owner, int64_t now_ms);
+void floor_claims_begin_ownership (struct floor_owner *owner, int64_t now_ms);
 
 /* No longer owner. */
-void floor_claims_end (struct floor_owner *owner);
+void floor_claims_end_ownership (struct floor_owner *owner);
 
 #endif
--- a/policy/floor/floor_record.c
+++ b/policy/floor/floor_record.c
@@ -53,8 +53,8 @@
 }
 
 uint64_t
-floor_record_claimed (const struct floor_record *record,
-                      const struct floor_spec *spec)
+floor_record_claimed_capacity (const struct floor_record *record,
+                               const struct floor_spec *spec)
 {
   uint64_t claimed = 0;
   for (size_t i = 0; i < record->claim_count; i++)
@@ -88,7 +88,8 @@
 }
 
 bool
-floor_record_same (const struct floor_record *a, const struct floor_record *b)
+floor_record_equivalent (const struct floor_record *a,
+                         const struct floor_record *b)
 {
   return a->epoch == b->epoch && strcmp (a->owner, b->owner) == 0
          && a->incarnation == b->incarnation && a->reserve == b->reserve
--- a/policy/floor/floor_record.h
+++ b/policy/floor/floor_record.h
@@ -34,11 +34,11 @@
 {
   char target[FLOOR_NAME_SIZE];
   enum floor_claim_state state;
-  bool manual;     /**< by an operator; only an operator reinstates it */
-  uint32_t score;  /**< how bad it is: the worst is kept out longest */
-  int64_t free_ms; /**< RELEASING: when no host enforces it any more, by
+  bool manual;        /**< by an operator; only an operator reinstates it */
+  uint32_t score;     /**< how bad it is: the worst is kept out longest */
+  int64_t free_at_ms; /**< RELEASING: when no host enforces it any more, by
                         the owner's clock; not part of the text form */
-  bool inherited;  /**< an earlier owner may still enforce it; likewise */
+  bool inherited;     /**< an earlier owner may still enforce it; likewise */
 };
 
 /** "planned", "ejected" or "releasing". */
@@ -79,13 +79,13 @@
                           struct floor_claim *claim);
 
 /** Capacity of all claims by SPEC. */
-uint64_t floor_record_claimed (const struct floor_record *record,
-                               const struct floor_spec *spec);
+uint64_t floor_record_claimed_capacity (const struct floor_record *record,
+                                        const struct floor_spec *spec);
 
 /** Same owner, settings, amounts and claims (target, state, manual), whatever
  * the write id, scores and times. */
-bool floor_record_same (const struct floor_record *a,
-                        const struct floor_record *b);
+bool floor_record_equivalent (const struct floor_record *a,
+                              const struct floor_record *b);
 
 /** The JSON text, in new memory. */
 char *floor_record_format (const struct floor_record *record);
--- a/policy/floor/floor_possible.c
+++ b/policy/floor/floor_stored.c
@@ -1,20 +1,20 @@
-#include "policy/floor/floor_possible.h"
+#include "policy/floor/floor_stored.h"
 
 #include <string.h>
 
 void
-floor_possible_clear (struct floor_possible *possible)
+floor_stored_clear (struct floor_stored *possible)
 {
   floor_record_clear (&possible->known);
-  for (size_t i = 0; i < FLOOR_PENDING_MAX; i++)
+  for (size_t i = 0; i < FLOOR_PENDING_WRITES_MAX; i++)
     floor_record_clear (&possible->pending[i].record);
   possible->pending_count = 0;
   possible->version = 0;
 }
 
 void
-floor_possible_seen (struct floor_possible *possible, uint64_t version,
-                     const struct floor_record *record)
+floor_stored_observe (struct floor_stored *possible, uint64_t version,
+                      const struct floor_record *record)
 {
   if (version != possible->version)
     possible->pending_count = 0;
@@ -26,7 +26,7 @@
 }
 
 struct floor_pending *
-floor_possible_newest (struct floor_possible *possible)
+floor_stored_newest (struct floor_stored *possible)
 {
   if (possible->pending_count == 0)
     return NULL;
@@ -34,9 +34,9 @@
 }
 
 void
-floor_possible_confirm (struct floor_possible *possible, uint64_t version)
+floor_stored_confirm (struct floor_stored *possible, uint64_t version)
 {
-  const struct floor_pending *newest = floor_possible_newest (possible);
+  const struct floor_pending *newest = floor_stored_newest (possible);
   floor_record_assign (&possible->known, &newest->record);
   possible->version = version;
   possible->pending_count = 0;
@@ -55,41 +55,41 @@
 }
 
 static void
-make_room (struct floor_possible *possible)
+make_room (struct floor_stored *possible)
 {
   merge (&possible->pending[0].record, &possible->pending[1].record);
-  for (size_t i = 1; i + 1 < FLOOR_PENDING_MAX; i++)
+  for (size_t i = 1; i + 1 < FLOOR_PENDING_WRITES_MAX; i++)
     {
       struct floor_pending *to = &possible->pending[i];
       floor_record_assign (&to->record, &possible->pending[i + 1].record);
-      to->lost = possible->pending[i + 1].lost;
+      to->in_doubt = possible->pending[i + 1].in_doubt;
     }
   possible->pending_count--;
 }
 
 const struct floor_record *
-floor_possible_push (struct floor_possible *possible,
-                     const struct floor_record *record)
+floor_stored_push (struct floor_stored *possible,
+                   const struct floor_record *record)
 {
-  if (possible->pending_count == FLOOR_PENDING_MAX)
+  if (possible->pending_count == FLOOR_PENDING_WRITES_MAX)
     make_room (possible);
   struct floor_pending *pending = &possible->pending[possible->pending_count];
   possible->pending_count++;
   floor_record_assign (&pending->record, record);
-  pending->lost = false;
+  pending->in_doubt = false;
   return &pending->record;
 }
 
 void
-floor_possible_unsent (struct floor_possible *possible)
+floor_stored_drop_unsent (struct floor_stored *possible)
 {
-  const struct floor_pending *newest = floor_possible_newest (possible);
-  if (newest != NULL && !newest->lost)
+  const struct floor_pending *newest = floor_stored_newest (possible);
+  if (newest != NULL && !newest->in_doubt)
     possible->pending_count--;
 }
 
 bool
-floor_possible_has (const struct floor_possible *possible, uint64_t write_id)
+floor_stored_has_write (const struct floor_stored *possible, uint64_t write_id)
 {
   for (size_t i = 0; i < possible->pending_count; i++)
     if (possible->pending[i].record.write_id == write_id && write_id != 0)
@@ -119,9 +119,10 @@
    and a next owner may take over from any of them.  What is ejected must be
    counted by each. */
 int64_t
-floor_possible_spare (const struct floor_possible *possible,
-                      const struct floor_record *claims,
-                      const struct floor_spec *spec, bool count_releasing)
+floor_stored_min_reserve_left (const struct floor_stored *possible,
+                               const struct floor_record *claims,
+                               const struct floor_spec *spec,
+                               bool count_releasing)
 {
   int64_t least = spare_of (&possible->known, claims, spec, count_releasing);
   for (size_t i = 0; i < possible->pending_count; i++)
--- a/policy/floor/floor_view.c
+++ b/policy/floor/floor_view.c
@@ -80,7 +80,7 @@
 }
 
 bool
-floor_view_heard (struct floor_view *view, int64_t now_ms, int64_t poll_ms,
+floor_view_apply (struct floor_view *view, int64_t now_ms, int64_t poll_ms,
                   const struct floor_decision *decision)
 {
   const bool lapsed = floor_view_tick (view, now_ms);
--- a/policy/floor/floor_view.h
+++ b/policy/floor/floor_view.h
@@ -23,7 +23,7 @@
 /** A decision came, as the answer to the poll this process sent at
  * POLL_MS (its clock).
  * @return true when the set of ejected targets changed. */
-bool floor_view_heard (struct floor_view *view, int64_t now_ms,
+bool floor_view_apply (struct floor_view *view, int64_t now_ms,
                        int64_t poll_ms, const struct floor_decision *decision);
 
 /** An epoch was heard of elsewhere: lower ones no longer refresh. */
--- a/policy/floor/tests/floor_model_test.cc
+++ b/policy/floor/tests/floor_model_test.cc
@@ -13,7 +13,7 @@
 
 #include <gtest/gtest.h>
 
-#include "policy/floor/tests/floor_world.h"
+#include "policy/floor/tests/floor_simulation.h"
 
 namespace
 {
--- a/policy/floor/tests/floor_owner_test.cc
+++ b/policy/floor/tests/floor_owner_test.cc
@@ -58,7 +58,7 @@
       }
     const floor_spec s = { version,         floor_capacity,  false,
                            targets.data (), targets.size (), false };
-    floor_owner_spec (owner, now, &s);
+    floor_owner_set_spec (owner, now, &s);
   }
   // One call, if any is due; it ends with STATUS, and a lost write has taken
   // effect if EFFECT.
@@ -66,7 +66,7 @@
   call (int64_t now, floor_reply_status status = FLOOR_REPLY_OK,
         bool effect = true)
   {
-    const floor_request r = floor_owner_next (owner, now);
+    const floor_request r = floor_owner_next_request (owner, now);
     floor_reply reply = { status, 0, nullptr };
     if (r.call == FLOOR_CALL_NONE)
       return r.call;
@@ -77,7 +77,7 @@
       reply.status = FLOOR_REPLY_NOT_FOUND;
     reply.version = at->version;
     reply.record = &at->record;
-    floor_owner_replied (owner, now, &reply);
+    floor_owner_handle_reply (owner, now, &reply);
     return r.call;
   }
   void
@@ -85,7 +85,7 @@
   {
     if (r.expected_version != at->version)
       {
-        reply->status = FLOOR_REPLY_REFUSED;
+        reply->status = FLOOR_REPLY_CONFLICT;
         return;
       }
     at->version++;
@@ -102,11 +102,11 @@
   {
     floor_owner_epoch_seen (owner, now, at->record.epoch);
     settle (now);
-    floor_owner_candidate (owner, now, true, UINT64_MAX);
+    floor_owner_set_candidate (owner, now, true, UINT64_MAX);
     settle (now);
     ASSERT_EQ (floor_owner_role (owner), FLOOR_ROLE_OWNER);
   }
-  floor_verdict
+  floor_eject_result
   eject (int64_t now, const char *target, uint32_t score = 5,
          bool manual = false)
   {
@@ -142,12 +142,12 @@
 TEST_F (FloorOwner, EjectsFromItsReserveThenByRecordThenNoMore)
 {
   EXPECT_EQ (floor_owner_reserve_left (a.owner), 3U);
-  EXPECT_EQ (a.eject (1, "t0"), FLOOR_VERDICT_EJECTED);
-  EXPECT_EQ (a.eject (1, "t1"), FLOOR_VERDICT_PLANNED);
-  EXPECT_EQ (a.eject (1, "t1"), FLOOR_VERDICT_ALREADY);
-  EXPECT_EQ (a.eject (1, "t2", 50), FLOOR_VERDICT_FLOOR);
-  EXPECT_EQ (a.eject (1, "t9"), FLOOR_VERDICT_TARGET);
-  EXPECT_EQ (b.eject (1, "t2"), FLOOR_VERDICT_NOT_OWNER);
+  EXPECT_EQ (a.eject (1, "t0"), FLOOR_EJECT_EJECTED);
+  EXPECT_EQ (a.eject (1, "t1"), FLOOR_EJECT_PLANNED);
+  EXPECT_EQ (a.eject (1, "t1"), FLOOR_EJECT_ALREADY);
+  EXPECT_EQ (a.eject (1, "t2", 50), FLOOR_EJECT_BELOW_FLOOR);
+  EXPECT_EQ (a.eject (1, "t9"), FLOOR_EJECT_NO_SUCH_TARGET);
+  EXPECT_EQ (b.eject (1, "t2"), FLOOR_EJECT_NOT_OWNER);
   EXPECT_EQ (a.out (1), "t0 ");
   a.settle (2);
   EXPECT_EQ (a.out (2), "t0 t1 ");
@@ -157,8 +157,8 @@
 {
   EXPECT_TRUE (floor_owner_pause (a.owner, 1, true));
   EXPECT_FALSE (floor_owner_pause (a.owner, 1, true));
-  EXPECT_EQ (a.eject (1, "t0"), FLOOR_VERDICT_PAUSED);
-  EXPECT_EQ (a.eject (1, "t0", 0, true), FLOOR_VERDICT_EJECTED);
+  EXPECT_EQ (a.eject (1, "t0"), FLOOR_EJECT_PAUSED);
+  EXPECT_EQ (a.eject (1, "t0", 0, true), FLOOR_EJECT_EJECTED);
   a.settle (2);
   EXPECT_TRUE (at.record.paused);
   EXPECT_FALSE (floor_owner_reinstate (a.owner, 3, "t0", false));
@@ -173,7 +173,7 @@
   a.settle (2);
   a.spec (3, 2, 9, { 3, 3, 3, 3 });
   EXPECT_EQ (a.out (3), "t1 ");
-  EXPECT_EQ (a.eject (4, "t0", 50), FLOOR_VERDICT_FLOOR);
+  EXPECT_EQ (a.eject (4, "t0", 50), FLOOR_EJECT_BELOW_FLOOR);
   EXPECT_EQ (a.out (4), "t1 ");
 }
 
@@ -184,29 +184,29 @@
 {
   a.spec (0, 2, 9, { 3, 3, 3, 3 });
   a.settle (1);
-  EXPECT_EQ (a.eject (100, "t0"), FLOOR_VERDICT_EJECTED);
+  EXPECT_EQ (a.eject (100, "t0"), FLOOR_EJECT_EJECTED);
   a.settle (100);
   floor_owner_reinstate (a.owner, 200, "t0", false);
   EXPECT_EQ (a.out (200), "");
   EXPECT_EQ (a.eject (200 + longest (enforce_ms) - 1, "t1"),
-             FLOOR_VERDICT_FLOOR);
+             FLOOR_EJECT_BELOW_FLOOR);
   EXPECT_EQ (a.eject (200 + longest (enforce_ms) + 10, "t1"),
-             FLOOR_VERDICT_PLANNED);
+             FLOOR_EJECT_PLANNED);
 }
 
 // The floor would be breached by two owners: the first is cut off from the
 // platform and spends its reserve on hosts that only it reaches.
 TEST_F (FloorOwner, AnOldReserveCountsUntilItIsSurelyOver)
 {
-  EXPECT_EQ (a.eject (50, "t0"), FLOOR_VERDICT_EJECTED);
+  EXPECT_EQ (a.eject (50, "t0"), FLOOR_EJECT_EJECTED);
   b.own (100);
   EXPECT_EQ (floor_owner_claims (b.owner)->old_reserve, 3U);
-  EXPECT_EQ (b.eject (100, "t1"), FLOOR_VERDICT_EJECTED);
+  EXPECT_EQ (b.eject (100, "t1"), FLOOR_EJECT_EJECTED);
   b.settle (100);
-  EXPECT_EQ (b.eject (101, "t2"), FLOOR_VERDICT_FLOOR);
+  EXPECT_EQ (b.eject (101, "t2"), FLOOR_EJECT_BELOW_FLOOR);
   const int64_t over = 100 + longest (authority_ms + enforce_ms);
-  EXPECT_EQ (b.eject (over - 1, "t2"), FLOOR_VERDICT_FLOOR);
-  EXPECT_EQ (b.eject (over + 10, "t2"), FLOOR_VERDICT_PLANNED);
+  EXPECT_EQ (b.eject (over - 1, "t2"), FLOOR_EJECT_BELOW_FLOOR);
+  EXPECT_EQ (b.eject (over + 10, "t2"), FLOOR_EJECT_PLANNED);
   EXPECT_EQ (a.out (authority_ms), "nothing told");
 }
 
@@ -229,7 +229,7 @@
   b.spec (100, 3, 9, { 3, 3, 3, 3 });
   for (const char *t : { "t0", "t1", "t2" })
     floor_owner_reinstate (a.owner, 100, t, false);
-  ASSERT_EQ (a.eject (later, "t1"), FLOOR_VERDICT_EJECTED);
+  ASSERT_EQ (a.eject (later, "t1"), FLOOR_EJECT_EJECTED);
   b.own (later);
   EXPECT_EQ (a.out (later), "t1 ");
   EXPECT_EQ (b.out (later), "");
@@ -238,7 +238,7 @@
 TEST_F (FloorOwner, AnOwnerThatSaysItStoppedIsOverSooner)
 {
   b.own (100);
-  floor_owner_stopped (b.owner, 200, 1);
+  floor_owner_predecessor_stopped (b.owner, 200, 1);
   EXPECT_FALSE (floor_owner_claims (b.owner)->settled);
   floor_owner_tick (b.owner, 200 + longest (enforce_ms) + 10);
   EXPECT_TRUE (floor_owner_claims (b.owner)->settled);
@@ -251,8 +251,8 @@
 {
   b.own (100);
   a.own (200);
-  floor_owner_stopped (a.owner, 300, 1);
-  floor_owner_stopped (a.owner, 300, 2);
+  floor_owner_predecessor_stopped (a.owner, 300, 1);
+  floor_owner_predecessor_stopped (a.owner, 300, 2);
   floor_owner_tick (a.owner, 300 + 2 * enforce_ms);
   EXPECT_FALSE (floor_owner_claims (a.owner)->settled);
   node c{ "c", &at };
@@ -261,7 +261,7 @@
   a.settle (30000);
   ASSERT_TRUE (at.record.settled);
   c.own (30000);
-  floor_owner_stopped (c.owner, 30000, 1);
+  floor_owner_predecessor_stopped (c.owner, 30000, 1);
   floor_owner_tick (c.owner, 30000 + 2 * enforce_ms);
   EXPECT_FALSE (floor_owner_claims (c.owner)->settled);
 }
@@ -298,8 +298,8 @@
 TEST_F (FloorOwner, OnlyWhatEveryPossibleRecordAllowsIsEjected)
 {
   a.eject (1, "t0");
-  ASSERT_EQ (a.call (1, FLOOR_REPLY_LOST, false), FLOOR_CALL_WRITE);
-  EXPECT_EQ (a.eject (2, "t1"), FLOOR_VERDICT_PLANNED);
+  ASSERT_EQ (a.call (1, FLOOR_REPLY_UNKNOWN, false), FLOOR_CALL_WRITE);
+  EXPECT_EQ (a.eject (2, "t1"), FLOOR_EJECT_PLANNED);
   EXPECT_EQ (a.out (2), "t0 ");
   EXPECT_EQ (a.call (300), FLOOR_CALL_READ);
   EXPECT_EQ (a.out (300), "t0 ");
@@ -318,17 +318,17 @@
         {
           ASSERT_EQ (a.call (now), FLOOR_CALL_READ);
         }
-      ASSERT_EQ (a.call (now, FLOOR_REPLY_LOST, false), FLOOR_CALL_WRITE);
+      ASSERT_EQ (a.call (now, FLOOR_REPLY_UNKNOWN, false), FLOOR_CALL_WRITE);
     }
-  EXPECT_EQ (a.eject (12000, "t0"), FLOOR_VERDICT_PLANNED);
+  EXPECT_EQ (a.eject (12000, "t0"), FLOOR_EJECT_PLANNED);
   EXPECT_EQ (floor_owner_reserve_left (a.owner), 0U);
 }
 
 TEST_F (FloorOwner, ALostTakeoverIsReadBack)
 {
-  floor_owner_candidate (b.owner, 100, true, UINT64_MAX);
+  floor_owner_set_candidate (b.owner, 100, true, UINT64_MAX);
   EXPECT_EQ (b.call (100), FLOOR_CALL_READ);
-  EXPECT_EQ (b.call (100, FLOOR_REPLY_LOST), FLOOR_CALL_WRITE);
+  EXPECT_EQ (b.call (100, FLOOR_REPLY_UNKNOWN), FLOOR_CALL_WRITE);
   EXPECT_EQ (floor_owner_role (b.owner), FLOOR_ROLE_ACQUIRING);
   const uint64_t version = at.version;
   EXPECT_EQ (b.call (200), FLOOR_CALL_READ);
@@ -339,20 +339,20 @@
 TEST_F (FloorOwner, AnUnknownWriteGoesOutAgainUnderItsId)
 {
   a.eject (1, "t0");
-  const floor_request first = floor_owner_next (a.owner, 1);
+  const floor_request first = floor_owner_next_request (a.owner, 1);
   const uint64_t id = first.record->write_id;
-  const floor_reply lost = { FLOOR_REPLY_LOST, 0, nullptr };
-  floor_owner_replied (a.owner, 1, &lost);
+  const floor_reply lost = { FLOOR_REPLY_UNKNOWN, 0, nullptr };
+  floor_owner_handle_reply (a.owner, 1, &lost);
   EXPECT_EQ (a.call (200), FLOOR_CALL_READ);
-  EXPECT_EQ (floor_owner_next (a.owner, 200).record->write_id, id);
+  EXPECT_EQ (floor_owner_next_request (a.owner, 200).record->write_id, id);
 }
 
 TEST_F (FloorOwner, TheLoserOfARaceWaitsForTheWinner)
 {
   node c{ "c", &at };
   c.spec (0, 1, 6, { 3, 3, 3, 3 });
-  floor_owner_candidate (b.owner, 100, true, 1);
-  floor_owner_candidate (c.owner, 100, true, 1);
+  floor_owner_set_candidate (b.owner, 100, true, 1);
+  floor_owner_set_candidate (c.owner, 100, true, 1);
   EXPECT_EQ (b.call (100), FLOOR_CALL_READ);
   EXPECT_EQ (c.call (100), FLOOR_CALL_READ);
   b.settle (100);
@@ -368,8 +368,8 @@
   floor_owner_epoch_seen (a.owner, 150, 2);
   a.settle (150);
   EXPECT_EQ (a.out (150), "nothing told");
-  EXPECT_EQ (floor_owner_take_stopped (a.owner), 1U);
-  EXPECT_EQ (floor_owner_take_stopped (a.owner), 0U);
+  EXPECT_EQ (floor_owner_take_stopped_epoch (a.owner), 1U);
+  EXPECT_EQ (floor_owner_take_stopped_epoch (a.owner), 0U);
 }
 
 // The raised floor would be ignored: the new owner's settings are older than
@@ -381,9 +381,9 @@
   ASSERT_EQ (at.record.spec_version, 5U);
   b.own (100);
   EXPECT_EQ (at.record.reserve, 0U);
-  EXPECT_EQ (b.eject (100, "t0"), FLOOR_VERDICT_SETTINGS);
+  EXPECT_EQ (b.eject (100, "t0"), FLOOR_EJECT_SETTINGS_BEHIND);
   b.spec (101, 5, 9, { 3, 3, 3, 3 });
-  EXPECT_NE (b.eject (101, "t0"), FLOOR_VERDICT_SETTINGS);
+  EXPECT_NE (b.eject (101, "t0"), FLOOR_EJECT_SETTINGS_BEHIND);
 }
 
 // Hosts would ignore every decision and the floor would be counted from
@@ -394,16 +394,16 @@
   floor_owner_epoch_seen (b.owner, 100, 1);
   b.own (100);
   EXPECT_EQ (at.record.epoch, 2U);
-  EXPECT_EQ (b.eject (100, "t0"), FLOOR_VERDICT_FLOOR);
+  EXPECT_EQ (b.eject (100, "t0"), FLOOR_EJECT_BELOW_FLOOR);
   b.settle (30000);
-  EXPECT_EQ (b.eject (30001, "t0"), FLOOR_VERDICT_EJECTED);
+  EXPECT_EQ (b.eject (30001, "t0"), FLOOR_EJECT_EJECTED);
 }
 
 // A target whose capacity grew while it was out on reserve would be counted
 // too small by the next owner.
 TEST_F (FloorOwner, WhatTheReserveNoLongerCoversComesBack)
 {
-  EXPECT_EQ (a.eject (1, "t0"), FLOOR_VERDICT_EJECTED);
+  EXPECT_EQ (a.eject (1, "t0"), FLOOR_EJECT_EJECTED);
   a.spec (2, 2, 2, { 9, 3, 3, 3 });
   EXPECT_EQ (a.out (2), "");
 }
--- a/policy/floor/tests/floor_record_test.cc
+++ b/policy/floor/tests/floor_record_test.cc
@@ -50,7 +50,7 @@
 TEST_F (FloorRecord, ComesBackFromItsText)
 {
   ASSERT_EQ (floor_record_parse (format (record).c_str (), &other), STATUS_OK);
-  EXPECT_TRUE (floor_record_same (&record, &other));
+  EXPECT_TRUE (floor_record_equivalent (&record, &other));
   EXPECT_EQ (other.write_id, record.write_id);
   EXPECT_EQ (other.spec_version, 12U);
   EXPECT_EQ (floor_record_find (&other, "t1")->score, 31U);
@@ -89,8 +89,8 @@
 {
   floor_record_assign (&other, &record);
   floor_record_find (&other, "t1")->state = FLOOR_CLAIM_PLANNED;
-  EXPECT_TRUE (floor_record_same (&record, &other));
+  EXPECT_TRUE (floor_record_equivalent (&record, &other));
   floor_record_find (&other, "t1")->state = FLOOR_CLAIM_RELEASING;
-  EXPECT_FALSE (floor_record_same (&record, &other));
+  EXPECT_FALSE (floor_record_equivalent (&record, &other));
 }
 }
--- a/policy/floor/tests/floor_world.h
+++ b/policy/floor/tests/floor_simulation.h
@@ -1,9 +1,9 @@
 // Hosts, platform and network of the floor's model test, driven by seeded
 // events; see floor_model_test.cc.
-#ifndef POLICY_FLOOR_TESTS_FLOOR_WORLD_H
-#define POLICY_FLOOR_TESTS_FLOOR_WORLD_H
+#ifndef POLICY_FLOOR_TESTS_FLOOR_SIMULATION_H
+#define POLICY_FLOOR_TESTS_FLOOR_SIMULATION_H
 
-#include "policy/floor/tests/floor_world_types.h"
+#include "policy/floor/tests/floor_simulation_types.h"
 
 namespace
 {
@@ -135,7 +135,7 @@
     h.owner = floor_owner_create (&options);
     h.view = floor_view_create ();
     floor_spec s = specs_.back ().view ();
-    floor_owner_spec (h.owner, clock_ms (i), &s);
+    floor_owner_set_spec (h.owner, clock_ms (i), &s);
   }
 
   void
@@ -187,7 +187,7 @@
     for (size_t k = 0; k < names.size (); k++)
       snprintf (buffer[k].data (), FLOOR_NAME_SIZE, "%s", names[k].c_str ());
     d.targets = (const char (*)[FLOOR_NAME_SIZE])buffer.data ();
-    floor_view_heard (hosts_[i].view, clock_ms (i), poll_ms, &d);
+    floor_view_apply (hosts_[i].view, clock_ms (i), poll_ms, &d);
   }
 
   void
@@ -204,8 +204,8 @@
       {
         const auto v = floor_owner_eject (h.owner, now_ms, t.c_str (),
                                           below (100), chance (100));
-        counts_->ejected += v == FLOOR_VERDICT_EJECTED;
-        counts_->outage_ejections += v == FLOOR_VERDICT_EJECTED && outage_;
+        counts_->ejected += v == FLOOR_EJECT_EJECTED;
+        counts_->outage_ejections += v == FLOOR_EJECT_EJECTED && outage_;
       }
     else if (chance (500))
       counts_->freed
@@ -216,8 +216,8 @@
   drive (int i)
   {
     host &h = hosts_[i];
-    const floor_request r = floor_owner_next (h.owner, clock_ms (i));
-    if (const uint64_t epoch = floor_owner_take_stopped (h.owner))
+    const floor_request r = floor_owner_next_request (h.owner, clock_ms (i));
+    if (const uint64_t epoch = floor_owner_take_stopped_epoch (h.owner))
       announce (i, epoch);
     if (r.call == FLOOR_CALL_NONE)
       return;
@@ -225,7 +225,7 @@
     const uint64_t id = ++calls_;
     call_of_[i] = id;
     // The answer that is given when none came in time.
-    post (400000, i, [this, i, id] { reply (i, id, FLOOR_REPLY_LOST); });
+    post (400000, i, [this, i, id] { reply (i, id, FLOOR_REPLY_UNKNOWN); });
     if (h.platform_out && chance (500))
       {
         post (5000, i,
@@ -254,7 +254,7 @@
       return;
     floor_reply_status status = FLOOR_REPLY_OK;
     if (write && expected != version_)
-      status = FLOOR_REPLY_REFUSED;
+      status = FLOOR_REPLY_CONFLICT;
     else if (write)
       store (text);
     else if (version_ == 0)
@@ -271,7 +271,7 @@
       if (call_of_[i] != id)
         return;
       floor_spec f = s.view ();
-      floor_owner_spec (hosts_[i].owner, clock_ms (i), &f);
+      floor_owner_set_spec (hosts_[i].owner, clock_ms (i), &f);
       reply (i, id, status, version, value);
     });
   }
@@ -301,9 +301,9 @@
   check_record (const floor_record &next)
   {
     floor_spec s = specs_[next.spec_version - 1].view ();
-    const int64_t total
-        = floor_record_claimed (&next, &s) + next.reserve + next.old_reserve;
-    const int64_t before = floor_record_claimed (&stored_, &s)
+    const int64_t total = floor_record_claimed_capacity (&next, &s)
+                          + next.reserve + next.old_reserve;
+    const int64_t before = floor_record_claimed_capacity (&stored_, &s)
                            + stored_.reserve + stored_.old_reserve;
     const int64_t allowed
         = (int64_t)floor_spec_capacity (&s) - s.floor_capacity;
@@ -323,7 +323,7 @@
     if (!value.empty ())
       floor_record_parse (value.c_str (), &record);
     const floor_reply r = { status, version, &record };
-    floor_owner_replied (hosts_[i].owner, clock_ms (i), &r);
+    floor_owner_handle_reply (hosts_[i].owner, clock_ms (i), &r);
     floor_record_clear (&record);
     drive (i);
   }
@@ -334,7 +334,8 @@
     for (int j = 0; j < hosts_count; j++)
       if (j != i && !cut_[i][j])
         post (delay_us (), j, [this, j, epoch] {
-          floor_owner_stopped (hosts_[j].owner, clock_ms (j), epoch);
+          floor_owner_predecessor_stopped (hosts_[j].owner, clock_ms (j),
+                                           epoch);
         });
   }
 
@@ -386,8 +387,9 @@
       default:
         if (h.frozen_until_us <= now_us_
             && chance (vacant () ? 900 : takeover_permille_))
-          floor_owner_candidate (h.owner, clock_ms (i), chance (800),
-                                 chance (300) ? UINT64_MAX : stored_.epoch);
+          floor_owner_set_candidate (h.owner, clock_ms (i), chance (800),
+                                     chance (300) ? UINT64_MAX
+                                                  : stored_.epoch);
       }
     meddle_later ();
   }
--- a/policy/floor/tests/floor_world_types.h
+++ b/policy/floor/tests/floor_simulation_types.h
@@ -1,6 +1,6 @@
-// What the floor's model test is made of; see floor_world.h.
-#ifndef POLICY_FLOOR_TESTS_FLOOR_WORLD_TYPES_H
-#define POLICY_FLOOR_TESTS_FLOOR_WORLD_TYPES_H
+// What the floor's model test is made of; see floor_simulation.h.
+#ifndef POLICY_FLOOR_TESTS_FLOOR_SIMULATION_TYPES_H
+#define POLICY_FLOOR_TESTS_FLOOR_SIMULATION_TYPES_H
 
 #include <algorithm>
 #include <array>
--- a/policy/floor/tests/floor_view_test.cc
+++ b/policy/floor/tests/floor_view_test.cc
@@ -27,7 +27,7 @@
     for (const char *t : targets)
       snprintf (names[count++], FLOOR_NAME_SIZE, "%s", t);
     const floor_decision decision = { epoch, sequence, 100, names, count };
-    return floor_view_heard (view, now_ms, poll_ms, &decision);
+    return floor_view_apply (view, now_ms, poll_ms, &decision);
   }
   bool
   out (int64_t now_ms, const char *target)
--- a/policy/floor/tests/ticket_ledger_test.cc
+++ b/policy/floor/tests/ticket_table_test.cc
@@ -10,7 +10,7 @@
 {
 #include "base/hash.h"
 #include "base/rng.h"
-#include "policy/floor/ticket_ledger.h"
+#include "policy/floor/ticket_table.h"
 }
 
 namespace
@@ -27,29 +27,29 @@
 struct TicketLedger : testing::Test
 {
   uint64_t key = 99;
-  ticket_ledger *ledger = make (3);
+  ticket_table *ledger = make (3);
   ticket first = {};
 
-  ticket_ledger *
+  ticket_table *
   make (uint32_t capacity)
   {
-    const ticket_ledger_options options
+    const ticket_table_options options
         = { "north:1", incarnation, capacity, 1000, check, &key };
-    return ticket_ledger_create (&options);
+    return ticket_table_create (&options);
   }
   void
   SetUp () override
   {
-    ASSERT_EQ (ticket_ledger_issue (ledger, 0, &first), STATUS_OK);
+    ASSERT_EQ (ticket_table_issue (ledger, 0, &first), STATUS_OK);
   }
   ~TicketLedger () override
   {
-    ticket_ledger_destroy (ledger);
+    ticket_table_destroy (ledger);
   }
   ticket_claim
   claim (int64_t now_ms, const ticket &t)
   {
-    return ticket_ledger_claim (ledger, now_ms, &t);
+    return ticket_table_claim (ledger, now_ms, &t);
   }
 };
 
@@ -75,17 +75,17 @@
 {
   EXPECT_EQ (claim (1, first), TICKET_CLAIM_RUN);
   EXPECT_EQ (claim (2, first), TICKET_CLAIM_DUPLICATE_RUNNING);
-  ticket_ledger_finish (ledger, 3, first.sequence, TICKET_END_ANSWERED, 201);
+  ticket_table_finish (ledger, 3, first.sequence, TICKET_END_ANSWERED, 201);
   EXPECT_EQ (claim (4, first), TICKET_CLAIM_DUPLICATE_ANSWERED);
-  EXPECT_EQ (ticket_ledger_answer_code (ledger, first.sequence), 201);
+  EXPECT_EQ (ticket_table_answer_code (ledger, first.sequence), 201);
 }
 
 TEST_F (TicketLedger, OnlyASureNotRunMayRunAgain)
 {
   EXPECT_EQ (claim (1, first), TICKET_CLAIM_RUN);
-  ticket_ledger_finish (ledger, 2, first.sequence, TICKET_END_NOT_RUN, 0);
+  ticket_table_finish (ledger, 2, first.sequence, TICKET_END_NOT_RUN, 0);
   EXPECT_EQ (claim (3, first), TICKET_CLAIM_RUN);
-  ticket_ledger_finish (ledger, 4, first.sequence, TICKET_END_UNKNOWN, 0);
+  ticket_table_finish (ledger, 4, first.sequence, TICKET_END_UNKNOWN, 0);
   EXPECT_EQ (claim (5, first), TICKET_CLAIM_DUPLICATE_UNKNOWN);
 }
 
@@ -108,7 +108,7 @@
   EXPECT_EQ (claim (1, forged), TICKET_CLAIM_FORGED);
   forged = first;
   forged.sequence++;
-  forged.check = check (&key, forged.sequence, forged.expires_ms);
+  forged.mac = check (&key, forged.sequence, forged.expires_ms);
   EXPECT_EQ (claim (1, forged), TICKET_CLAIM_FORGED);
 }
 
@@ -118,11 +118,11 @@
 {
   EXPECT_EQ (claim (1, first), TICKET_CLAIM_RUN);
   EXPECT_EQ (claim (5000, first), TICKET_CLAIM_DUPLICATE_RUNNING);
-  ticket_ledger_finish (ledger, 5001, first.sequence, TICKET_END_ANSWERED, 0);
+  ticket_table_finish (ledger, 5001, first.sequence, TICKET_END_ANSWERED, 0);
   ticket next;
   for (int i = 0; i < 9; i++)
-    ASSERT_EQ (ticket_ledger_issue (ledger, 6000, &next), STATUS_OK);
-  EXPECT_EQ (ticket_ledger_count (ledger), 0U);
+    ASSERT_EQ (ticket_table_issue (ledger, 6000, &next), STATUS_OK);
+  EXPECT_EQ (ticket_table_count (ledger), 0U);
   EXPECT_EQ (claim (6000, first), TICKET_CLAIM_EXPIRED);
 }
 
@@ -132,15 +132,14 @@
 {
   std::vector<ticket> tickets (4);
   for (auto &t : tickets)
-    ASSERT_EQ (ticket_ledger_issue (ledger, 10, &t), STATUS_OK);
+    ASSERT_EQ (ticket_table_issue (ledger, 10, &t), STATUS_OK);
   for (int i = 0; i < 3; i++)
     EXPECT_EQ (claim (20, tickets[i]), TICKET_CLAIM_RUN);
   EXPECT_EQ (claim (20, tickets[3]), TICKET_CLAIM_FULL);
   ticket refused;
-  EXPECT_EQ (ticket_ledger_issue (ledger, 20, &refused), STATUS_LIMIT);
+  EXPECT_EQ (ticket_table_issue (ledger, 20, &refused), STATUS_LIMIT);
   EXPECT_EQ (claim (20, tickets[0]), TICKET_CLAIM_DUPLICATE_RUNNING);
-  ticket_ledger_finish (ledger, 21, tickets[0].sequence, TICKET_END_NOT_RUN,
-                        0);
+  ticket_table_finish (ledger, 21, tickets[0].sequence, TICKET_END_NOT_RUN, 0);
   EXPECT_EQ (claim (22, tickets[3]), TICKET_CLAIM_RUN);
 }
 
@@ -196,7 +195,7 @@
   uint64_t full = 0, duplicates = 0, runs = 0;
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
-      ticket_ledger_destroy (ledger);
+      ticket_table_destroy (ledger);
       ledger = make (capacity);
       rng random;
       rng_seed (&random, seed);
@@ -212,7 +211,7 @@
           if (act < 25 || list.empty ())
             {
               listed l;
-              if (ticket_ledger_issue (ledger, now_ms, &l.t) == STATUS_OK)
+              if (ticket_table_issue (ledger, now_ms, &l.t) == STATUS_OK)
                 list.push_back (l);
               continue;
             }
@@ -230,7 +229,7 @@
                 {
                   full++;
                   ASSERT_EQ (want, TICKET_CLAIM_RUN);
-                  ASSERT_EQ (ticket_ledger_count (ledger), capacity);
+                  ASSERT_EQ (ticket_table_count (ledger), capacity);
                   continue;
                 }
               ASSERT_TRUE (agrees (got, want))
@@ -249,7 +248,7 @@
             {
               running.erase (std::find (running.begin (), running.end (), at));
               const ticket_end end = (ticket_end)rng_below (&random, 3);
-              ticket_ledger_finish (ledger, now_ms, l.t.sequence, end, 0);
+              ticket_table_finish (ledger, now_ms, l.t.sequence, end, 0);
               l.runs -= end == TICKET_END_NOT_RUN;
               l.state = end == TICKET_END_ANSWERED  ? listed::ANSWERED
                         : end == TICKET_END_UNKNOWN ? listed::UNKNOWN
--- a/policy/floor/ticket.c
+++ b/policy/floor/ticket.c
@@ -17,7 +17,7 @@
   snprintf (text, TICKET_TEXT_SIZE,
             "%s:%" PRIx64 ":%" PRIx64 ":%" PRIx64 ":%" PRIx64, ticket->host,
             ticket->incarnation, ticket->sequence,
-            (uint64_t)ticket->expires_ms, ticket->check);
+            (uint64_t)ticket->expires_ms, ticket->mac);
 }
 
 /* One text form a ticket: two spellings of one ticket would be harmless, yet
@@ -66,7 +66,7 @@
   *ticket = (struct ticket){ .incarnation = numbers[0],
                              .sequence = numbers[1],
                              .expires_ms = (int64_t)numbers[2],
-                             .check = numbers[3] };
+                             .mac = numbers[3] };
   memcpy (ticket->host, copy, host_length + 1);
   return true;
 }
--- a/policy/floor/ticket.h
+++ b/policy/floor/ticket.h
@@ -23,7 +23,7 @@
   uint64_t incarnation;        /**< of that host's process */
   uint64_t sequence;           /**< counts up from 1 in an incarnation */
   int64_t expires_ms;          /**< by the issuer's clock */
-  uint64_t check;              /**< keyed check over the rest */
+  uint64_t mac;                /**< keyed check over the rest */
 };
 
 /** Write the text form, `HOST:INCARNATION:SEQUENCE:EXPIRY:CHECK`, numbers in
--- a/policy/floor/ticket_ledger.c
+++ b/policy/floor/ticket_table.c
@@ -1,4 +1,4 @@
-#include "policy/floor/ticket_ledger.h"
+#include "policy/floor/ticket_table.h"
 
 #include <assert.h>
 #include <stdio.h>
@@ -28,9 +28,9 @@
   uint8_t state;
 };
 
-struct ticket_ledger
+struct ticket_table
 {
-  struct ticket_ledger_options options;
+  struct ticket_table_options options;
   char host[TICKET_HOST_SIZE];
   uint64_t last_sequence;
   struct entry *entries;
@@ -74,12 +74,12 @@
   return count;
 }
 
-struct ticket_ledger *
-ticket_ledger_create (const struct ticket_ledger_options *options)
+struct ticket_table *
+ticket_table_create (const struct ticket_table_options *options)
 {
   assert (options->capacity > 0
-          && options->capacity <= TICKET_LEDGER_CAPACITY_MAX);
-  struct ticket_ledger *ledger = xcalloc (1, sizeof *ledger);
+          && options->capacity <= TICKET_TABLE_CAPACITY_MAX);
+  struct ticket_table *ledger = xcalloc (1, sizeof *ledger);
   const uint32_t buckets = bucket_count (options->capacity);
   ledger->options = *options;
   snprintf (ledger->host, sizeof ledger->host, "%s", options->host);
@@ -95,7 +95,7 @@
 }
 
 void
-ticket_ledger_destroy (struct ticket_ledger *ledger)
+ticket_table_destroy (struct ticket_table *ledger)
 {
   if (ledger == NULL)
     return;
@@ -105,13 +105,13 @@
 }
 
 static uint32_t *
-bucket_of (const struct ticket_ledger *ledger, uint64_t sequence)
+bucket_of (const struct ticket_table *ledger, uint64_t sequence)
 {
   return &ledger->buckets[hash_pair (sequence, 0) & ledger->bucket_mask];
 }
 
 static struct entry *
-find (const struct ticket_ledger *ledger, uint64_t sequence)
+find (const struct ticket_table *ledger, uint64_t sequence)
 {
   uint32_t i = *bucket_of (ledger, sequence);
   while (i != NO_ENTRY && ledger->entries[i].sequence != sequence)
@@ -120,7 +120,7 @@
 }
 
 static void
-drop (struct ticket_ledger *ledger, struct entry *entry)
+drop (struct ticket_table *ledger, struct entry *entry)
 {
   const uint32_t index = (uint32_t)(entry - ledger->entries);
   uint32_t *link = bucket_of (ledger, entry->sequence);
@@ -138,7 +138,7 @@
    ticket has expired, after which every claim is refused, and when its run
    has ended. */
 static void
-sweep (struct ticket_ledger *ledger, int64_t now_ms, uint32_t steps)
+sweep (struct ticket_table *ledger, int64_t now_ms, uint32_t steps)
 {
   for (uint32_t i = 0; i < steps; i++)
     {
@@ -152,7 +152,7 @@
 }
 
 static bool
-has_room (struct ticket_ledger *ledger, int64_t now_ms)
+has_room (struct ticket_table *ledger, int64_t now_ms)
 {
   sweep (ledger, now_ms, SWEEP_STEPS);
   if (ledger->first_free == NO_ENTRY)
@@ -161,10 +161,10 @@
 }
 
 enum status
-ticket_ledger_issue (struct ticket_ledger *ledger, int64_t now_ms,
-                     struct ticket *ticket)
+ticket_table_issue (struct ticket_table *ledger, int64_t now_ms,
+                    struct ticket *ticket)
 {
-  const struct ticket_ledger_options *options = &ledger->options;
+  const struct ticket_table_options *options = &ledger->options;
   if (!has_room (ledger, now_ms))
     return status_set (STATUS_LIMIT,
                        "all %u ticket claims of this host are in use; ask "
@@ -174,13 +174,13 @@
                              .sequence = ++ledger->last_sequence,
                              .expires_ms = now_ms + options->lifetime_ms };
   snprintf (ticket->host, sizeof ticket->host, "%s", ledger->host);
-  ticket->check
-      = options->check (options->key, ticket->sequence, ticket->expires_ms);
+  ticket->mac
+      = options->mac (options->key, ticket->sequence, ticket->expires_ms);
   return STATUS_OK;
 }
 
 static void
-insert (struct ticket_ledger *ledger, const struct ticket *ticket)
+insert (struct ticket_table *ledger, const struct ticket *ticket)
 {
   const uint32_t index = ledger->first_free;
   struct entry *entry = &ledger->entries[index];
@@ -208,19 +208,18 @@
    issued could later be issued to another caller and be found used.  The
    check is keyed, so only this incarnation can have made it. */
 static bool
-issued (const struct ticket_ledger *ledger, const struct ticket *ticket)
+issued (const struct ticket_table *ledger, const struct ticket *ticket)
 {
-  const struct ticket_ledger_options *options = &ledger->options;
+  const struct ticket_table_options *options = &ledger->options;
   if (ticket->sequence == 0 || ticket->sequence > ledger->last_sequence)
     return false;
-  return ticket->check
-         == options->check (options->key, ticket->sequence,
-                            ticket->expires_ms);
+  return ticket->mac
+         == options->mac (options->key, ticket->sequence, ticket->expires_ms);
 }
 
 enum ticket_claim
-ticket_ledger_claim (struct ticket_ledger *ledger, int64_t now_ms,
-                     const struct ticket *ticket)
+ticket_table_claim (struct ticket_table *ledger, int64_t now_ms,
+                    const struct ticket *ticket)
 {
   if (strcmp (ticket->host, ledger->host) != 0)
     return TICKET_CLAIM_NOT_ISSUED_HERE;
@@ -240,9 +239,9 @@
 }
 
 void
-ticket_ledger_finish (struct ticket_ledger *ledger, int64_t now_ms,
-                      uint64_t sequence, enum ticket_end end,
-                      uint16_t answer_code)
+ticket_table_finish (struct ticket_table *ledger, int64_t now_ms,
+                     uint64_t sequence, enum ticket_end end,
+                     uint16_t answer_code)
 {
   struct entry *entry = find (ledger, sequence);
   if (entry == NULL || entry->state != ENTRY_RUNNING)
@@ -257,15 +256,14 @@
 }
 
 uint16_t
-ticket_ledger_answer_code (const struct ticket_ledger *ledger,
-                           uint64_t sequence)
+ticket_table_answer_code (const struct ticket_table *ledger, uint64_t sequence)
 {
   const struct entry *entry = find (ledger, sequence);
   return entry == NULL ? 0 : entry->answer_code;
 }
 
 uint32_t
-ticket_ledger_count (const struct ticket_ledger *ledger)
+ticket_table_count (const struct ticket_table *ledger)
 {
   return ledger->count;
 }
--- a/policy/floor/ticket_ledger.h
+++ b/policy/floor/ticket_table.h
@@ -9,8 +9,8 @@
  * run).  An unused ticket costs no memory: its check proves that it was
  * issued.
  */
-#ifndef POLICY_FLOOR_TICKET_LEDGER_H
-#define POLICY_FLOOR_TICKET_LEDGER_H
+#ifndef POLICY_FLOOR_TICKET_TABLE_H
+#define POLICY_FLOOR_TICKET_TABLE_H
 
 #include <stddef.h>
 #include <stdint.h>
@@ -19,20 +19,19 @@
 #include "policy/floor/ticket.h"
 
 /** Most claims a ledger may be made for. */
-#define TICKET_LEDGER_CAPACITY_MAX (1U << 20)
+#define TICKET_TABLE_CAPACITY_MAX (1U << 20)
 
 /** The keyed check of a ticket.  In a host it must be one that callers can't
  * compute, such as an HMAC under a random key of this incarnation. */
-typedef uint64_t ticket_check (void *key, uint64_t sequence,
-                               int64_t expires_ms);
+typedef uint64_t ticket_mac (void *key, uint64_t sequence, int64_t expires_ms);
 
-struct ticket_ledger_options
+struct ticket_table_options
 {
   const char *host;     /**< this host's name */
   uint64_t incarnation; /**< random at start */
   uint32_t capacity;    /**< most claims remembered */
   uint32_t lifetime_ms; /**< of a ticket, from issue */
-  ticket_check *check;
+  ticket_mac *mac;
   void *key; /**< handed to CHECK */
 };
 
@@ -58,35 +57,35 @@
   TICKET_END_NOT_RUN,  /**< surely not run: the ticket is unused again */
 };
 
-struct ticket_ledger;
+struct ticket_table;
 
 const char *ticket_claim_name (enum ticket_claim claim);
 
-struct ticket_ledger *
-ticket_ledger_create (const struct ticket_ledger_options *options);
-void ticket_ledger_destroy (struct ticket_ledger *ledger);
+struct ticket_table *
+ticket_table_create (const struct ticket_table_options *options);
+void ticket_table_destroy (struct ticket_table *ledger);
 
 /** A new ticket; STATUS_LIMIT when the ledger is full. */
-enum status ticket_ledger_issue (struct ticket_ledger *ledger, int64_t now_ms,
-                                 struct ticket *ticket);
+enum status ticket_table_issue (struct ticket_table *ledger, int64_t now_ms,
+                                struct ticket *ticket);
 
 /** Claim the right to run TICKET.  TICKET_CLAIM_RUN is given once; every
- * such claim must be ended by ticket_ledger_finish(). */
-enum ticket_claim ticket_ledger_claim (struct ticket_ledger *ledger,
-                                       int64_t now_ms,
-                                       const struct ticket *ticket);
+ * such claim must be ended by ticket_table_finish(). */
+enum ticket_claim ticket_table_claim (struct ticket_table *ledger,
+                                      int64_t now_ms,
+                                      const struct ticket *ticket);
 
 /** The run of SEQUENCE ended.  ANSWER_CODE is kept for duplicates (an HTTP
  * status, or 0). */
-void ticket_ledger_finish (struct ticket_ledger *ledger, int64_t now_ms,
-                           uint64_t sequence, enum ticket_end end,
-                           uint16_t answer_code);
+void ticket_table_finish (struct ticket_table *ledger, int64_t now_ms,
+                          uint64_t sequence, enum ticket_end end,
+                          uint16_t answer_code);
 
 /** The answer code kept for SEQUENCE; 0 when none. */
-uint16_t ticket_ledger_answer_code (const struct ticket_ledger *ledger,
-                                    uint64_t sequence);
+uint16_t ticket_table_answer_code (const struct ticket_table *ledger,
+                                   uint64_t sequence);
 
 /** Claims held now. */
-uint32_t ticket_ledger_count (const struct ticket_ledger *ledger);
+uint32_t ticket_table_count (const struct ticket_table *ledger);
 
 #endif
--- a/policy/limit/limit_share.c
+++ b/policy/limit/limit_share.c
@@ -35,7 +35,7 @@
 {
   if (count == 0)
     return sender_rate (limit_millis, 1);
-  size_t senders = limit_millis / (2 * LIMIT_UNIT);
+  size_t senders = limit_millis / (2 * LIMIT_MILLIS_PER_REQUEST);
   if (senders < 1)
     senders = 1;
   if (senders > count)
--- a/policy/limit/limit_share.h
+++ b/policy/limit/limit_share.h
@@ -33,7 +33,7 @@
 enum
 {
   /** Rates are in thousandths of a request a second. */
-  LIMIT_UNIT = 1000,
+  LIMIT_MILLIS_PER_REQUEST = 1000,
   LIMIT_MILLIS_MAX = 1000 * 1000 * 1000,
   LIMIT_USED_PERCENT = 95, /**< of a limit, divided among the senders */
 };
@@ -42,7 +42,7 @@
 static inline double
 limit_burst (uint32_t rate_millis)
 {
-  return 2 + 0.2 * rate_millis / LIMIT_UNIT;
+  return 2 + 0.2 * rate_millis / LIMIT_MILLIS_PER_REQUEST;
 }
 
 /** The share of a limit of LIMIT_MILLIS that the host with key OWN may use at
--- a/policy/limit/limit_state.c
+++ b/policy/limit/limit_state.c
@@ -30,8 +30,8 @@
 }
 
 bool
-limit_state_note_heard (struct limit_state *state, uint32_t rate_millis,
-                        int64_t sent_us)
+limit_state_note_reported (struct limit_state *state, uint32_t rate_millis,
+                           int64_t sent_us)
 {
   return sent_us > state->sent_us && replace (state, rate_millis, sent_us);
 }
--- a/policy/limit/limit_state.h
+++ b/policy/limit/limit_state.h
@@ -35,7 +35,7 @@
 /** Another host reports a limit of RATE_MILLIS, 0 for none, from an answer to
  * a request sent at SENT_US.
  * @return whether the limit has changed */
-bool limit_state_note_heard (struct limit_state *state, uint32_t rate_millis,
-                             int64_t sent_us);
+bool limit_state_note_reported (struct limit_state *state,
+                                uint32_t rate_millis, int64_t sent_us);
 
 #endif
--- a/policy/limit/limit_text.c
+++ b/policy/limit/limit_text.c
@@ -8,7 +8,7 @@
 static const char digits[] = "0123456789";
 
 bool
-limit_text_read (const char *text, uint32_t *limit_millis)
+limit_text_parse (const char *text, uint32_t *limit_millis)
 {
   const size_t whole = strspn (text, digits);
   const char *rest = text + whole;
@@ -20,7 +20,7 @@
     }
   if (whole + decimals == 0 || *rest != '\0')
     return false;
-  const double millis = strtod (text, NULL) * LIMIT_UNIT;
+  const double millis = strtod (text, NULL) * LIMIT_MILLIS_PER_REQUEST;
   if (millis < 1)
     return false;
   *limit_millis
--- a/policy/limit/limit_text.h
+++ b/policy/limit/limit_text.h
@@ -10,6 +10,6 @@
 /** Parse TEXT, digits with at most one decimal point.  Values below 0.001 and
  * any other text are refused; limits above LIMIT_MILLIS_MAX are clamped to it.
  * @return whether TEXT is valid; *LIMIT_MILLIS is set only then */
-bool limit_text_read (const char *text, uint32_t *limit_millis);
+bool limit_text_parse (const char *text, uint32_t *limit_millis);
 
 #endif
--- a/policy/limit/tests/limit_share_test.cc
+++ b/policy/limit/tests/limit_share_test.cc
@@ -48,7 +48,7 @@
           uint32_t seed)
 {
   const std::vector<fleet_host> hosts = make_hosts (count);
-  const auto limit_millis = (uint32_t)(limit * LIMIT_UNIT);
+  const auto limit_millis = (uint32_t)(limit * LIMIT_MILLIS_PER_REQUEST);
   std::mt19937 random (seed);
   std::vector<double> tokens (count, division == Division::equal ? 1. : 0.);
   std::vector<double> burst (count, 1.);
--- a/policy/limit/tests/limit_state_test.cc
+++ b/policy/limit/tests/limit_state_test.cc
@@ -43,11 +43,11 @@
    withdrawn one. */
 TEST_F (LimitState, OlderReportsOfOtherHostsAreIgnored)
 {
-  EXPECT_TRUE (limit_state_note_heard (&state, 2000, 100));
-  EXPECT_FALSE (limit_state_note_heard (&state, 2000, 100));
-  EXPECT_FALSE (limit_state_note_heard (&state, 2000, 150));
-  EXPECT_TRUE (limit_state_note_heard (&state, 0, 200));
-  EXPECT_FALSE (limit_state_note_heard (&state, 2000, 150));
+  EXPECT_TRUE (limit_state_note_reported (&state, 2000, 100));
+  EXPECT_FALSE (limit_state_note_reported (&state, 2000, 100));
+  EXPECT_FALSE (limit_state_note_reported (&state, 2000, 150));
+  EXPECT_TRUE (limit_state_note_reported (&state, 0, 200));
+  EXPECT_FALSE (limit_state_note_reported (&state, 2000, 150));
   EXPECT_EQ (state.rate_millis, 0u);
 }
 } // namespace
--- a/policy/limit/tests/limit_text_test.cc
+++ b/policy/limit/tests/limit_text_test.cc
@@ -26,7 +26,7 @@
   for (const auto &c : cases)
     {
       uint32_t limit_millis = 0;
-      EXPECT_TRUE (limit_text_read (c.text, &limit_millis)) << c.text;
+      EXPECT_TRUE (limit_text_parse (c.text, &limit_millis)) << c.text;
       EXPECT_EQ (limit_millis, c.limit_millis) << c.text;
     }
 }
@@ -40,7 +40,7 @@
          "0x10", "1 2", "1,5", "1.2.3", ".", "one", "1 " })
     {
       uint32_t limit_millis = 77;
-      EXPECT_FALSE (limit_text_read (text, &limit_millis)) << text;
+      EXPECT_FALSE (limit_text_parse (text, &limit_millis)) << text;
       EXPECT_EQ (limit_millis, 77u) << text;
     }
 }
--- a/policy/poison/poison_row.h
+++ b/policy/poison/poison_row.h
@@ -18,7 +18,7 @@
   uint32_t epoch;          /**< number of times the request was cleared */
   uint32_t strikes;        /**< number of times it was blocked */
   uint32_t left_ms;        /**< remaining time of the block */
-  uint32_t began_ago_ms;   /**< time since it was sent to the target */
+  uint32_t sent_ago_ms;    /**< time since it was sent to the target */
   uint32_t crashed_ago_ms; /**< time since the connection broke */
 };
 
--- a/policy/poison/poison_table.c
+++ b/policy/poison/poison_table.c
@@ -258,7 +258,7 @@
   memmove (&entry->crashes[at + 1], &entry->crashes[at],
            (entry->crash_count - at) * sizeof entry->crashes[0]);
   entry->crashes[at] = (struct crash){ .target = crash->target,
-                                       .began_ms = crash->began_ms,
+                                       .began_ms = crash->sent_ms,
                                        .crashed_ms = crash->crashed_ms };
   entry->crash_count++;
   return &entry->crashes[at];
@@ -310,7 +310,7 @@
     .fingerprint = entry->fingerprint,
     .target = crash->target,
     .epoch = entry->epoch,
-    .began_ago_ms = clamp_uint32 (now_ms - crash->began_ms),
+    .sent_ago_ms = clamp_uint32 (now_ms - crash->began_ms),
     .crashed_ago_ms = clamp_uint32 (now_ms - crash->crashed_ms),
   };
 }
@@ -368,7 +368,7 @@
       const struct poison_crash crash
           = { .fingerprint = row->fingerprint,
               .target = row->target,
-              .began_ms = now_ms - row->began_ago_ms,
+              .sent_ms = now_ms - row->sent_ago_ms,
               .crashed_ms = now_ms - row->crashed_ago_ms };
       return count_crash (table, entry, now_ms, &crash) != NULL || is_newer;
     }
@@ -417,8 +417,8 @@
 }
 
 size_t
-poison_table_rows (const struct poison_table *table, int64_t now_ms,
-                   struct poison_row *rows, size_t max)
+poison_table_export (const struct poison_table *table, int64_t now_ms,
+                     struct poison_row *rows, size_t max)
 {
   size_t count = 0;
   for (const struct poison_entry *entry = table->entries; entry != NULL;
@@ -434,8 +434,8 @@
 }
 
 size_t
-poison_table_summaries (const struct poison_table *table, int64_t now_ms,
-                        struct poison_summary *summaries, size_t max)
+poison_table_list (const struct poison_table *table, int64_t now_ms,
+                   struct poison_summary *summaries, size_t max)
 {
   size_t count = 0;
   for (const struct poison_entry *entry = table->entries;
--- a/policy/poison/poison_table.h
+++ b/policy/poison/poison_table.h
@@ -56,7 +56,7 @@
 {
   struct fingerprint fingerprint;
   uint64_t target;
-  int64_t began_ms;   /**< when the request was sent */
+  int64_t sent_ms;    /**< when the request was sent */
   int64_t crashed_ms; /**< when its connection broke */
 };
 
@@ -114,14 +114,13 @@
 
 /** Export all blocks, then all crashes of requests that are not blocked.
  * @return the number of rows, at most MAX */
-size_t poison_table_rows (const struct poison_table *table, int64_t now_ms,
-                          struct poison_row *rows, size_t max);
+size_t poison_table_export (const struct poison_table *table, int64_t now_ms,
+                            struct poison_row *rows, size_t max);
 
 /** List the suspected and blocked requests in unspecified order.
  * @return their number, at most MAX */
-size_t poison_table_summaries (const struct poison_table *table,
-                               int64_t now_ms,
-                               struct poison_summary *summaries, size_t max);
+size_t poison_table_list (const struct poison_table *table, int64_t now_ms,
+                          struct poison_summary *summaries, size_t max);
 
 /** Remove the entries whose retention period has passed. */
 void poison_table_expire (struct poison_table *table, int64_t now_ms);
--- a/policy/poison/tests/poison_table_test.cc
+++ b/policy/poison/tests/poison_table_test.cc
@@ -193,11 +193,11 @@
   poison_table *other = make ();
   for (int i = 0; i < 100; i++)
     {
-      size_t count = poison_table_rows (table, now, rows, 8);
+      size_t count = poison_table_export (table, now, rows, 8);
       now += 5;
       for (size_t k = 0; k < count; k++)
         poison_table_merge (other, now, &rows[k]);
-      count = poison_table_rows (other, now, rows, 8);
+      count = poison_table_export (other, now, rows, 8);
       now += 5;
       for (size_t k = 0; k < count; k++)
         EXPECT_FALSE (poison_table_merge (table, now, &rows[k]));
@@ -227,9 +227,9 @@
   for (uint64_t number = 2; number < 5000; number++)
     crash (number, number);
   std::vector<poison_summary> summaries (2 * POISON_ENTRIES_MAX);
-  EXPECT_EQ (poison_table_summaries (table, now, summaries.data (),
-                                     summaries.size ()),
-             (size_t)POISON_ENTRIES_MAX);
+  EXPECT_EQ (
+      poison_table_list (table, now, summaries.data (), summaries.size ()),
+      (size_t)POISON_ENTRIES_MAX);
   EXPECT_NE (check (1), POISON_PASS);
 }
 
--- a/policy/quota/quota_ledger.c
+++ b/policy/quota/quota_pool.c
@@ -1,4 +1,4 @@
-#include "policy/quota/quota_ledger.h"
+#include "policy/quota/quota_pool.h"
 
 #include <math.h>
 #include <stdbool.h>
@@ -12,7 +12,7 @@
 {
   /** Granted tokens are forgotten by parts of the longest term. */
   GRANT_PARTS = 20,
-  PART_MS = QUOTA_TOKEN_MS / GRANT_PARTS,
+  PART_MS = QUOTA_TOKEN_LIFETIME_MS / GRANT_PARTS,
   /** Below this part of what the account may hold there are few tokens. */
   FEW_PARTS = 4,
   /** The demand of an account is that of about this time. */
@@ -23,7 +23,7 @@
    * this time. */
   BACKLOG_MS = 100,
   /** For so long what is here should last before other keepers are asked. */
-  AHEAD_MS = 2 * QUOTA_RENEW_MS,
+  AHEAD_MS = 2 * QUOTA_RENEWAL_INTERVAL_MS,
 };
 
 enum
@@ -50,25 +50,25 @@
   UT_hash_handle hh;
 };
 
-struct quota_ledger
+struct quota_pool
 {
   struct quota_shares *shares;
-  struct quota_terms terms;
+  struct quota_tolerance terms;
   struct quota_account *accounts;
 };
 
-struct quota_ledger *
-quota_ledger_create (struct quota_shares *shares,
-                     const struct quota_terms *terms)
+struct quota_pool *
+quota_pool_create (struct quota_shares *shares,
+                   const struct quota_tolerance *terms)
 {
-  struct quota_ledger *ledger = xcalloc (1, sizeof *ledger);
+  struct quota_pool *ledger = xcalloc (1, sizeof *ledger);
   ledger->shares = shares;
   ledger->terms = *terms;
   return ledger;
 }
 
 void
-quota_ledger_destroy (struct quota_ledger *ledger)
+quota_pool_destroy (struct quota_pool *ledger)
 {
   if (ledger == NULL)
     return;
@@ -86,7 +86,7 @@
 /* One that is met for the first time has been filling since the ledger
    began. */
 static struct quota_account *
-account_of (struct quota_ledger *ledger, int64_t now_ms, uint64_t workspace)
+account_of (struct quota_pool *ledger, int64_t now_ms, uint64_t workspace)
 {
   struct quota_account *account;
   HASH_FIND (hh, ledger->accounts, &workspace, sizeof workspace, account);
@@ -136,21 +136,21 @@
 
 /* What an account may hold when nothing is granted. */
 static double
-most_held (struct quota_ledger *ledger, int64_t now_ms,
+most_held (struct quota_pool *ledger, int64_t now_ms,
            const struct quota_limit *limit)
 {
-  return quota_limit_held (limit, &ledger->terms)
-         * quota_shares_part (ledger->shares, now_ms);
+  return quota_limit_capacity (limit, &ledger->terms)
+         * quota_shares_fraction (ledger->shares, now_ms);
 }
 
 /* What an account may hold beside what it has granted. */
 static double
-room (struct quota_ledger *ledger, const struct quota_account *account,
+room (struct quota_pool *ledger, const struct quota_account *account,
       int64_t now_ms, const struct quota_limit *limit)
 {
-  const double paid = quota_limit_made_per_s (limit, &ledger->terms)
-                      * quota_shares_part (ledger->shares, now_ms)
-                      * quota_terms_paid_tokens_ms (&ledger->terms)
+  const double paid = quota_limit_refill_per_s (limit, &ledger->terms)
+                      * quota_shares_fraction (ledger->shares, now_ms)
+                      * quota_tolerance_token_overshoot_ms (&ledger->terms)
                       / MS_PER_SECOND;
   const double granted = granted_and_good (account);
   double most = most_held (ledger, now_ms, limit);
@@ -160,7 +160,7 @@
 }
 
 static void
-bound_level (struct quota_ledger *ledger, struct quota_account *account,
+bound_level (struct quota_pool *ledger, struct quota_account *account,
              int64_t now_ms, const struct quota_limit *limit)
 {
   const double most = room (ledger, account, now_ms, limit);
@@ -170,12 +170,12 @@
 
 /* The account of WORKSPACE, counted up to NOW_MS. */
 static struct quota_account *
-counted (struct quota_ledger *ledger, int64_t now_ms, uint64_t workspace,
+counted (struct quota_pool *ledger, int64_t now_ms, uint64_t workspace,
          const struct quota_limit *limit)
 {
   struct quota_account *account = account_of (ledger, now_ms, workspace);
-  const double seconds = quota_shares_seconds (ledger->shares, now_ms);
-  account->level += quota_limit_made_per_s (limit, &ledger->terms)
+  const double seconds = quota_shares_integral_s (ledger->shares, now_ms);
+  account->level += quota_limit_refill_per_s (limit, &ledger->terms)
                     * (seconds - account->seconds);
   account->seconds = seconds;
   forget_granted (account, now_ms);
@@ -214,18 +214,18 @@
 
 /* Until there is a token for who asks, behind AHEAD that others want. */
 static uint32_t
-due_ms (struct quota_ledger *ledger, const struct quota_account *account,
+due_ms (struct quota_pool *ledger, const struct quota_account *account,
         int64_t now_ms, const struct quota_limit *limit, double ahead)
 {
-  const double part = quota_shares_part (ledger->shares, now_ms);
-  const double rate = quota_limit_made_per_s (limit, &ledger->terms) * part;
+  const double part = quota_shares_fraction (ledger->shares, now_ms);
+  const double rate = quota_limit_refill_per_s (limit, &ledger->terms) * part;
   const double lacking = 1 - account->level + ahead;
   if (lacking <= 0)
     return 1;
   /* Guards against callers that are sent away for long, since their workspace
      seems to have used up its quota, when hosts have just started and haven't
      lent their shares yet. */
-  if (!quota_shares_settled (ledger->shares, now_ms))
+  if (!quota_shares_are_stable (ledger->shares, now_ms))
     return 0;
   if (rate * DUE_MOST_MS / MS_PER_SECOND < lacking)
     return DUE_MOST_MS;
@@ -237,7 +237,7 @@
 }
 
 static struct quota_grant
-grant (struct quota_ledger *ledger, struct quota_account *account,
+grant (struct quota_pool *ledger, struct quota_account *account,
        int64_t now_ms, const struct quota_limit *limit, double most,
        uint32_t wanted)
 {
@@ -245,22 +245,23 @@
   struct quota_grant granted = { .tokens = most > 0 ? (uint32_t)most : 0 };
   account->level -= granted.tokens;
   const bool has_few = account->level < held / FEW_PARTS;
-  granted.term_ms = has_few ? QUOTA_TOKEN_FEW_MS : QUOTA_TOKEN_MS;
+  granted.term_ms
+      = has_few ? QUOTA_TOKEN_LIFETIME_SCARCE_MS : QUOTA_TOKEN_LIFETIME_MS;
   const int64_t end_part = (now_ms + granted.term_ms) / PART_MS;
   account->granted[end_part % GRANT_ROWS] += granted.tokens;
   if (granted.tokens < wanted)
     {
       const double ahead
           = note_backlog (account, now_ms, wanted - granted.tokens);
-      granted.due_ms = due_ms (ledger, account, now_ms, limit, ahead);
+      granted.next_token_ms = due_ms (ledger, account, now_ms, limit, ahead);
     }
   return granted;
 }
 
 struct quota_grant
-quota_ledger_grant (struct quota_ledger *ledger, int64_t now_ms,
-                    uint64_t workspace, const struct quota_limit *limit,
-                    uint32_t wanted)
+quota_pool_grant (struct quota_pool *ledger, int64_t now_ms,
+                  uint64_t workspace, const struct quota_limit *limit,
+                  uint32_t wanted)
 {
   struct quota_account *account = counted (ledger, now_ms, workspace, limit);
   note_demand (account, now_ms, wanted);
@@ -271,9 +272,9 @@
 /* They take no room here: the other keeper has room for them, or they are
    lost. */
 uint32_t
-quota_ledger_spare (struct quota_ledger *ledger, int64_t now_ms,
-                    uint64_t workspace, const struct quota_limit *limit,
-                    uint32_t wanted)
+quota_pool_take_surplus (struct quota_pool *ledger, int64_t now_ms,
+                         uint64_t workspace, const struct quota_limit *limit,
+                         uint32_t wanted)
 {
   struct quota_account *account = counted (ledger, now_ms, workspace, limit);
   const double spare = account->level - wanted_soon (account, now_ms);
@@ -285,9 +286,8 @@
 }
 
 void
-quota_ledger_add (struct quota_ledger *ledger, int64_t now_ms,
-                  uint64_t workspace, const struct quota_limit *limit,
-                  uint32_t tokens)
+quota_pool_add (struct quota_pool *ledger, int64_t now_ms, uint64_t workspace,
+                const struct quota_limit *limit, uint32_t tokens)
 {
   struct quota_account *account = counted (ledger, now_ms, workspace, limit);
   account->level += tokens;
@@ -295,7 +295,7 @@
 }
 
 uint32_t
-quota_ledger_lacks (struct quota_ledger *ledger, int64_t now_ms,
+quota_pool_deficit (struct quota_pool *ledger, int64_t now_ms,
                     uint64_t workspace, const struct quota_limit *limit)
 {
   struct quota_account *account = counted (ledger, now_ms, workspace, limit);
--- a/policy/quota/quota_shares.c
+++ b/policy/quota/quota_shares.c
@@ -92,8 +92,8 @@
 }
 
 void
-quota_shares_fleet (struct quota_shares *shares, int64_t now_ms,
-                    uint32_t hosts)
+quota_shares_note_host_count (struct quota_shares *shares, int64_t now_ms,
+                              uint32_t hosts)
 {
   count (shares, now_ms);
   if (hosts >= shares->hosts)
@@ -113,13 +113,14 @@
 }
 
 uint32_t
-quota_shares_hosts (const struct quota_shares *shares)
+quota_shares_host_count (const struct quota_shares *shares)
 {
   return shares->hosts;
 }
 
 void
-quota_shares_own (struct quota_shares *shares, int64_t now_ms, int64_t from_ms)
+quota_shares_set_own_from (struct quota_shares *shares, int64_t now_ms,
+                           int64_t from_ms)
 {
   count (shares, now_ms);
   shares->own_from_ms = from_ms;
@@ -144,10 +145,11 @@
 }
 
 void
-quota_shares_take (struct quota_shares *shares, int64_t now_ms,
-                   uint64_t lender, int64_t after_ms)
+quota_shares_add_lease (struct quota_shares *shares, int64_t now_ms,
+                        uint64_t lender, int64_t after_ms)
 {
-  const int64_t until_ms = after_ms + quota_term_of_user_ms (QUOTA_LEND_MS);
+  const int64_t until_ms
+      = after_ms + quota_term_less_drift_ms (QUOTA_LEASE_MS);
   count (shares, now_ms);
   if (until_ms <= now_ms)
     return;
@@ -166,7 +168,7 @@
 }
 
 double
-quota_shares_part (struct quota_shares *shares, int64_t now_ms)
+quota_shares_fraction (struct quota_shares *shares, int64_t now_ms)
 {
   count (shares, now_ms);
   if (shares->hosts == 0)
@@ -180,14 +182,14 @@
 }
 
 bool
-quota_shares_settled (struct quota_shares *shares, int64_t now_ms)
+quota_shares_are_stable (struct quota_shares *shares, int64_t now_ms)
 {
-  const double part = quota_shares_part (shares, now_ms);
+  const double part = quota_shares_fraction (shares, now_ms);
   return part > 0 && now_ms - shares->grown_ms >= SETTLE_MS;
 }
 
 double
-quota_shares_seconds (struct quota_shares *shares, int64_t now_ms)
+quota_shares_integral_s (struct quota_shares *shares, int64_t now_ms)
 {
   count (shares, now_ms);
   return shares->seconds;
--- a/policy/quota/quota_stamp.h
+++ b/policy/quota/quota_stamp.h
@@ -14,14 +14,14 @@
 enum
 {
   QUOTA_STAMP_TIME_BITS = 40, /* 34 years of milliseconds */
-  QUOTA_STAMP_LIFE_BITS = 23,
+  QUOTA_STAMP_NONCE_BITS = 23,
 };
 
 /** A stamp of NOW_MS in the life LIFE, a random number; never 0. */
 static inline uint64_t
 quota_stamp_make (uint64_t life, int64_t now_ms)
 {
-  const uint64_t life_mask = (UINT64_C (1) << QUOTA_STAMP_LIFE_BITS) - 1;
+  const uint64_t life_mask = (UINT64_C (1) << QUOTA_STAMP_NONCE_BITS) - 1;
   return ((life & life_mask) | 1) << QUOTA_STAMP_TIME_BITS
          | ((uint64_t)now_ms & ((UINT64_C (1) << QUOTA_STAMP_TIME_BITS) - 1));
 }
@@ -29,8 +29,8 @@
 /** The time of STAMP, if it is one of LIFE and not of the future.
  * @return whether it is */
 static inline bool
-quota_stamp_time (uint64_t life, uint64_t stamp, int64_t now_ms,
-                  int64_t *time_ms)
+quota_stamp_parse (uint64_t life, uint64_t stamp, int64_t now_ms,
+                   int64_t *time_ms)
 {
   *time_ms = (int64_t)(stamp & ((UINT64_C (1) << QUOTA_STAMP_TIME_BITS) - 1));
   return stamp == quota_stamp_make (life, *time_ms) && *time_ms <= now_ms;
--- a/policy/quota/tests/quota_model_test.cc
+++ b/policy/quota/tests/quota_model_test.cc
@@ -11,16 +11,16 @@
 extern "C"
 {
 #include "base/rng.h"
-#include "policy/quota/quota_ledger.h"
-#include "policy/quota/quota_lending.h"
+#include "policy/quota/quota_pool.h"
+#include "policy/quota/quota_lease.h"
 #include "policy/quota/quota_stamp.h"
-#include "policy/quota/quota_stock.h"
+#include "policy/quota/quota_cache.h"
 }
 
 namespace
 {
 const uint64_t workspace = 1;
-const quota_terms usual_terms = { 5000, 10, 20 };
+const quota_tolerance usual_terms = { 5000, 10, 20 };
 
 /* What a model run has of troubles. */
 struct Troubles
@@ -40,11 +40,11 @@
   int64_t down_until_ms = 0;
   int64_t killed_ms = -100000;
   int64_t renew_ms = 0;
-  size_t keeper = 0;
-  quota_lending lending = {};
+  size_t coordinator = 0;
+  quota_lease lending = {};
   quota_shares *shares = nullptr;
-  quota_ledger *ledger = nullptr;
-  quota_stock stock = {};
+  quota_pool *ledger = nullptr;
+  quota_cache stock = {};
   std::deque<int64_t> waiting; /**< requests, since when */
   int64_t resume_ms = 0;
   std::vector<uint64_t> stamps; /**< of each keeper, as heard last */
@@ -70,7 +70,7 @@
 public:
   Fleet (uint64_t seed, size_t hosts, const quota_limit &of,
          const Troubles &with, double demand,
-         const quota_terms &tolerated = usual_terms)
+         const quota_tolerance &tolerated = usual_terms)
       : terms (tolerated), limit (of), troubles (with), demand_per_s (demand),
         fleet (hosts)
   {
@@ -78,7 +78,7 @@
     for (size_t i = 0; i < hosts; i++)
       {
         fleet[i].skew_ms = (int64_t)rng_below (&random, 1000000);
-        fleet[i].keeper = 0;
+        fleet[i].coordinator = 0;
         begin_life (fleet[i]);
       }
   }
@@ -148,10 +148,11 @@
   begin_life (Host &host)
   {
     host.life = rng_next (&random);
-    quota_lending_init (&host.lending, clock (host), &terms);
-    host.shares = quota_shares_create (clock (host), host.lending.until_ms);
-    quota_shares_fleet (host.shares, clock (host), (uint32_t)fleet.size ());
-    host.ledger = quota_ledger_create (host.shares, &terms);
+    quota_lease_init (&host.lending, clock (host), &terms);
+    host.shares = quota_shares_create (clock (host), host.lending.expires_ms);
+    quota_shares_note_host_count (host.shares, clock (host),
+                                  (uint32_t)fleet.size ());
+    host.ledger = quota_pool_create (host.shares, &terms);
     host.stock = {};
     host.waiting.clear ();
     host.renew_ms = now_ms;
@@ -161,7 +162,7 @@
   static void
   end_life (Host &host)
   {
-    quota_ledger_destroy (host.ledger);
+    quota_pool_destroy (host.ledger);
     quota_shares_destroy (host.shares);
     host.ledger = nullptr;
     host.shares = nullptr;
@@ -178,7 +179,7 @@
   {
     Host &host = fleet[rng_below (&random, fleet.size ())];
     if (happens (troubles.views))
-      host.keeper = rng_below (&random, fleet.size ());
+      host.coordinator = rng_below (&random, fleet.size ());
     if (happens (troubles.freezes))
       host.frozen_until_ms = now_ms + (int64_t)rng_below (&random, 4000);
     /* One start a window is what the overshoot pays for. */
@@ -234,7 +235,7 @@
     const int64_t clock_ms = clock (host);
     int64_t echoed_ms;
     const bool is_own
-        = quota_stamp_time (host.life, message.echo, clock_ms, &echoed_ms);
+        = quota_stamp_parse (host.life, message.echo, clock_ms, &echoed_ms);
     if (!message.is_ask)
       {
         host.stamps[message.from] = message.stamp;
@@ -243,13 +244,13 @@
         const quota_answer answer
             = { echoed_ms, message.wanted, message.tokens, message.term_ms,
                 message.due_ms };
-        quota_stock_granted (&host.stock, clock_ms, &answer);
+        quota_cache_note_answer (&host.stock, clock_ms, &answer);
         resume (host);
         return;
       }
     if (message.lends && is_own)
-      quota_shares_take (host.shares, clock_ms, message.from, echoed_ms);
-    const quota_grant granted = quota_ledger_grant (
+      quota_shares_add_lease (host.shares, clock_ms, message.from, echoed_ms);
+    const quota_grant granted = quota_pool_grant (
         host.ledger, clock_ms, workspace, &limit, message.tokens);
     Message answer = {};
     answer.from = message.to;
@@ -259,7 +260,7 @@
     answer.tokens = granted.tokens;
     answer.wanted = message.tokens;
     answer.term_ms = granted.term_ms;
-    answer.due_ms = granted.due_ms;
+    answer.due_ms = granted.next_token_ms;
     send (answer);
   }
 
@@ -268,12 +269,12 @@
   {
     if (verdict == QUOTA_TAKEN)
       ran_ms.push_back (now_ms);
-    else if (verdict == QUOTA_EMPTY)
+    else if (verdict == QUOTA_EXHAUSTED)
       refused++;
     else
       {
         host.waiting.push_back (since_ms);
-        quota_stock_join (&host.stock);
+        quota_cache_add_waiter (&host.stock);
       }
   }
 
@@ -285,11 +286,11 @@
     waiting.swap (host.waiting);
     for (const int64_t since_ms : waiting)
       {
-        quota_stock_leave (&host.stock);
+        quota_cache_remove_waiter (&host.stock);
         if (now_ms - since_ms >= 1000)
           refused++;
         else
-          count (quota_stock_take_again (&host.stock, clock (host)), host,
+          count (quota_cache_retry (&host.stock, clock (host)), host,
                  since_ms);
       }
   }
@@ -300,25 +301,25 @@
     Host &host = fleet[number];
     const int64_t clock_ms = clock (host);
     asked++;
-    quota_stock_asked (&host.stock, clock_ms);
-    if (host.keeper == number)
+    quota_cache_note_request (&host.stock, clock_ms);
+    if (host.coordinator == number)
       {
-        const quota_grant granted = quota_ledger_grant (
+        const quota_grant granted = quota_pool_grant (
             host.ledger, clock_ms, workspace, &limit, wanted);
         const quota_answer answer = { clock_ms, wanted, granted.tokens,
-                                      granted.term_ms, granted.due_ms };
-        quota_stock_granted (&host.stock, clock_ms, &answer);
+                                      granted.term_ms, granted.next_token_ms };
+        quota_cache_note_answer (&host.stock, clock_ms, &answer);
         resume (host);
         return;
       }
     Message message = {};
     message.from = number;
-    message.to = host.keeper;
+    message.to = host.coordinator;
     message.is_ask = true;
     message.lends
-        = quota_lending_lend (&host.lending, clock_ms, host.keeper + 1);
-    quota_shares_own (host.shares, clock_ms, host.lending.until_ms);
-    message.echo = host.stamps[host.keeper];
+        = quota_lease_renew (&host.lending, clock_ms, host.coordinator + 1);
+    quota_shares_set_own_from (host.shares, clock_ms, host.lending.expires_ms);
+    message.echo = host.stamps[host.coordinator];
     message.stamp = quota_stamp_make (host.life, clock_ms);
     message.tokens = wanted;
     send (message);
@@ -331,14 +332,15 @@
     const int64_t clock_ms = clock (host);
     if (now_ms >= host.renew_ms)
       {
-        host.renew_ms = now_ms + QUOTA_RENEW_MS;
-        ask (number, quota_stock_wants (&host.stock, clock_ms));
+        host.renew_ms = now_ms + QUOTA_RENEWAL_INTERVAL_MS;
+        ask (number, quota_cache_tokens_needed (&host.stock, clock_ms));
       }
     if (now_ms >= host.resume_ms)
       {
         host.resume_ms = now_ms + 50;
         resume (host);
-        const uint32_t lacking = quota_stock_wants (&host.stock, clock_ms);
+        const uint32_t lacking
+            = quota_cache_tokens_needed (&host.stock, clock_ms);
         if (lacking > 0)
           ask (number, lacking);
       }
@@ -346,13 +348,13 @@
         = demand_per_s * step_ms / 1000 / (double)fleet.size ();
     if (rng_unit (&random) >= expected)
       return;
-    count (quota_stock_take (&host.stock, clock_ms), host, now_ms);
-    const uint32_t wants = quota_stock_wants (&host.stock, clock_ms);
+    count (quota_cache_take (&host.stock, clock_ms), host, now_ms);
+    const uint32_t wants = quota_cache_tokens_needed (&host.stock, clock_ms);
     if (wants > 0)
       ask (number, wants);
   }
 
-  quota_terms terms;
+  quota_tolerance terms;
   quota_limit limit;
   Troubles troubles;
   double demand_per_s;
@@ -391,7 +393,7 @@
 }
 
 /* With nothing tolerated beyond the quota and with as much as is usual. */
-const quota_terms all_terms[]
+const quota_tolerance all_terms[]
     = { { 5000, 0, 0 }, { 5000, 2, 10 }, { 5000, 10, 20 } };
 
 TEST (QuotaModel, TheBoundHoldsWhateverFails)
--- a/policy/service_policy.c
+++ b/policy/service_policy.c
@@ -44,7 +44,7 @@
   wait_queue_init (&policy->queue);
   service_rate_init (&policy->rate);
   retry_budget_init (&policy->budget);
-  policy->asked_us = INT64_MIN;
+  policy->polled_us = INT64_MIN;
   service_policy_configure (policy, options);
   return policy;
 }
@@ -66,8 +66,8 @@
   policy->options = *options;
   policy->set.prefer_faster_detection = options->prefer_faster_detection;
   policy->set.backup_cost_percent = options->backup_cost_percent;
-  wait_queue_bound (&policy->queue, options->queue_requests,
-                    options->queue_bytes);
+  wait_queue_set_limits (&policy->queue, options->queue_requests,
+                         options->queue_bytes);
 }
 
 void
@@ -75,7 +75,7 @@
                             const struct policy_target *targets, size_t count)
 {
   policy->now_us = now_us;
-  policy->asked_us = INT64_MIN;
+  policy->polled_us = INT64_MIN;
   const uint32_t old_count = policy->set.count;
   uint32_t *numbers;
   target_set_replace (&policy->set, now_us, targets, (uint32_t)count,
@@ -95,7 +95,7 @@
                             uint32_t target, bool ejected)
 {
   policy->now_us = now_us;
-  policy->asked_us = INT64_MIN;
+  policy->polled_us = INT64_MIN;
   if (target < policy->set.count)
     target_set_eject (&policy->set, now_us, target, ejected);
 }
@@ -105,7 +105,7 @@
                             uint32_t target, bool avoided)
 {
   policy->now_us = now_us;
-  policy->asked_us = INT64_MIN;
+  policy->polled_us = INT64_MIN;
   if (target < policy->set.count)
     target_set_avoid (&policy->set, now_us, target, avoided);
 }
@@ -115,7 +115,7 @@
                          uint32_t target, uint32_t rate_millis)
 {
   policy->now_us = now_us;
-  policy->asked_us = INT64_MIN;
+  policy->polled_us = INT64_MIN;
   if (target < policy->set.count)
     target_set_limit_rate (&policy->set, now_us, target, rate_millis);
 }
@@ -142,10 +142,10 @@
 }
 
 void
-service_policy_refused (struct service_policy *policy, int64_t now_us)
+service_policy_note_refusal (struct service_policy *policy, int64_t now_us)
 {
   policy->now_us = now_us;
-  served_share_add_refused (&policy->set.served, now_us);
+  unserved_share_add_refused (&policy->set.unserved, now_us);
 }
 
 struct policy_decision
@@ -155,7 +155,8 @@
   policy->now_us = now_us;
   target_set_refresh (&policy->set, now_us);
   if (r->attempt <= 1)
-    retry_budget_request (&policy->budget, &policy->options.retries, now_us);
+    retry_budget_add_request (&policy->budget, &policy->options.retries,
+                              now_us);
   if (policy->set.eligible == 0)
     return placement_refuse (policy, r, POLICY_REASON_NO_TARGET);
   if (r->deadline_us <= now_us)
@@ -166,7 +167,7 @@
       && !retry_budget_take (&policy->budget, &policy->options.retries,
                              now_us))
     return placement_refuse (policy, r, POLICY_REASON_RETRY_BUDGET);
-  return placement_request (policy, r);
+  return placement_admit (policy, r);
 }
 
 int64_t
@@ -181,32 +182,35 @@
   const int64_t goal_us = r->goal_us > 0 ? r->goal_us : r->deadline_us;
   if (target >= set->count)
     return ATTEMPT_NO_TIMEOUT;
-  const struct attempt_outlook outlook = {
-    .left_us = r->deadline_us - now_us,
+  const struct attempt_timeout_context outlook = {
+    .remaining_us = r->deadline_us - now_us,
     .goal_us = goal_us - now_us,
-    .hangs = target_set_hangs (set, set->targets[target].ill),
-    .other_hangs = target_set_hangs (set, set->baseline.ill / 2),
+    .p_hang
+    = target_set_hang_probability (set, set->targets[target].p_unhealthy),
+    .p_next_hang
+    = target_set_hang_probability (set, set->baseline.unhealthy_share / 2),
     .attempts_left = asked < most ? most - asked : 0,
   };
-  return attempt_timeout_us (&set->times, &outlook);
+  return attempt_timeout_us (&set->latencies, &outlook);
 }
 
 bool
-service_policy_admit_elsewhere (struct service_policy *policy, int64_t now_us,
-                                const struct policy_request *r,
-                                struct policy_decision *decision)
+service_policy_admit_failover (struct service_policy *policy, int64_t now_us,
+                               const struct policy_request *r,
+                               struct policy_decision *decision)
 {
   policy->now_us = now_us;
   target_set_refresh (&policy->set, now_us);
   const int64_t left_us = r->deadline_us - now_us;
   if (!r->repeatable || left_us <= 0 || has_used_attempts (policy, r)
-      || attempt_timeout_is_too_late (&policy->set.times, left_us))
+      || attempt_timeout_is_deadline_unlikely (&policy->set.latencies,
+                                               left_us))
     return false;
-  const struct retry_bound *bound = &policy->options.retries;
+  const struct retry_limits *bound = &policy->options.retries;
   if (!costs_retry (r))
-    return placement_elsewhere (policy, r, decision);
-  if (!retry_budget_has (&policy->budget, bound, now_us)
-      || !placement_elsewhere (policy, r, decision))
+    return placement_failover (policy, r, decision);
+  if (!retry_budget_is_available (&policy->budget, bound, now_us)
+      || !placement_failover (policy, r, decision))
     return false;
   const bool taken = retry_budget_take (&policy->budget, bound, now_us);
   assert (taken);
@@ -219,12 +223,12 @@
                         const struct policy_outcome *outcome)
 {
   policy->now_us = now_us;
-  policy->asked_us = INT64_MIN;
+  policy->polled_us = INT64_MIN;
   if (outcome->target >= policy->set.count)
     return;
   target_set_release (&policy->set, now_us, outcome);
   target_set_refresh (&policy->set, now_us);
-  service_rate_end (&policy->rate, now_us, policy->queue.count > 0);
+  service_rate_note_release (&policy->rate, now_us, policy->queue.count > 0);
 }
 
 /* Some of the others visit a target that one can't reach.  They are drawn, as
@@ -235,21 +239,21 @@
   const uint32_t others
       = policy->options.set_hosts > 1 ? policy->options.set_hosts - 1 : 1;
   if (rng_below (&policy->rng, others) < COVERING_HOSTS)
-    target_set_cover (&policy->set, policy->now_us, target);
+    target_set_note_unreachable (&policy->set, policy->now_us, target);
 }
 
 void
-service_policy_hear (struct service_policy *policy, int64_t now_us,
-                     uint32_t target, enum attempt_end end)
+service_policy_remote_outcome (struct service_policy *policy, int64_t now_us,
+                               uint32_t target, enum attempt_end end)
 {
   policy->now_us = now_us;
-  policy->asked_us = INT64_MIN;
+  policy->polled_us = INT64_MIN;
   if (target >= policy->set.count)
     return;
   if (end == ATTEMPT_NOT_SENT)
     hear_unsent (policy, target);
   else
-    target_set_hear (&policy->set, now_us, target, end);
+    target_set_observe_remote (&policy->set, now_us, target, end);
 }
 
 /* Entry E of the queue can't be served: answer it now. */
@@ -271,14 +275,14 @@
   for (int i = 0; i < LOOK_PAST && at != WAIT_QUEUE_NONE; i++)
     {
       const struct wait_entry *e = &policy->queue.entries[at];
-      if (placement_entry (policy, e, d))
+      if (placement_send_queued (policy, e, d))
         {
           wait_queue_remove (&policy->queue, at);
           return true;
         }
       if (e->request.tried_count == 0)
         return false;
-      at = e->newer;
+      at = e->next;
     }
   return false;
 }
@@ -289,8 +293,8 @@
 static bool
 is_hopeless (const struct service_policy *policy, const struct wait_entry *e)
 {
-  const double left_us = (double)(e->give_up_us - policy->now_us);
-  return policy->queue.count * service_state_interval_us (policy)
+  const double left_us = (double)(e->expires_us - policy->now_us);
+  return policy->queue.count * service_state_mean_interval_us (policy)
          > 2 * left_us;
 }
 
@@ -300,7 +304,7 @@
 {
   policy->now_us = now_us;
   target_set_refresh (&policy->set, now_us);
-  const uint32_t first = wait_queue_first_given_up (&policy->queue);
+  const uint32_t first = wait_queue_next_expiring (&policy->queue);
   if (first == WAIT_QUEUE_NONE)
     return false;
   if (policy->set.eligible == 0)
@@ -308,7 +312,7 @@
       *decision = give_up (policy, first, POLICY_REASON_NO_TARGET);
       return true;
     }
-  if (policy->queue.entries[first].give_up_us <= now_us)
+  if (policy->queue.entries[first].expires_us <= now_us)
     {
       *decision = give_up (policy, first, POLICY_REASON_TOO_LATE);
       return true;
@@ -324,25 +328,26 @@
       = older == LANE_REPEATABLE ? LANE_UNREPEATABLE : LANE_REPEATABLE;
   if (try_lane (policy, older, decision) || try_lane (policy, other, decision))
     return true;
-  policy->asked_us = now_us;
+  policy->polled_us = now_us;
   return false;
 }
 
 int64_t
 service_policy_wake_us (const struct service_policy *policy)
 {
-  const uint32_t first = wait_queue_first_given_up (&policy->queue);
+  const uint32_t first = wait_queue_next_expiring (&policy->queue);
   if (first == WAIT_QUEUE_NONE)
     return INT64_MAX;
-  if (policy->asked_us == INT64_MIN)
+  if (policy->polled_us == INT64_MIN)
     return policy->now_us;
-  const int64_t give_up_us = policy->queue.entries[first].give_up_us;
-  const int64_t poll_us = policy->asked_us + POLL_US;
+  const int64_t give_up_us = policy->queue.entries[first].expires_us;
+  const int64_t poll_us = policy->polled_us + POLL_US;
   return poll_us < give_up_us ? poll_us : give_up_us;
 }
 
 void
-service_policy_forget (struct service_policy *policy, uint64_t request_id)
+service_policy_cancel_queued (struct service_policy *policy,
+                              uint64_t request_id)
 {
   const uint32_t e = wait_queue_find (&policy->queue, request_id);
   if (e != WAIT_QUEUE_NONE)
@@ -355,20 +360,21 @@
   return attempt_may_retry (end, repeatable);
 }
 
-struct policy_belief
-service_policy_belief (const struct service_policy *policy, uint32_t target)
+struct policy_target_status
+service_policy_target_status (const struct service_policy *policy,
+                              uint32_t target)
 {
   if (target >= policy->set.count)
-    return (struct policy_belief){ 0 };
+    return (struct policy_target_status){ 0 };
   const struct target_state *t = &policy->set.targets[target];
-  return (struct policy_belief){
+  return (struct policy_target_status){
     .in_flight = t->in_flight,
     .latency_us = (int64_t)t->estimate.latency_us,
-    .failure_permille = (uint32_t)lround (t->failure * 1000),
+    .failure_permille = (uint32_t)lround (t->failure_rate * 1000),
     .suspect
     = target_state_is_suspect (t) && target_set_avoids_suspects (&policy->set),
     .ejected = t->ejected,
-    .warming = target_state_warmth (t, policy->now_us) < 1,
+    .warming = target_state_warm_up_factor (t, policy->now_us) < 1,
     .requests = t->requests,
     .failures = t->failures,
   };
--- a/policy/service_policy.h
+++ b/policy/service_policy.h
@@ -48,7 +48,7 @@
   uint64_t seed;
   uint32_t queue_requests;
   uint32_t queue_bytes;
-  struct retry_bound retries; /**< what this host may make */
+  struct retry_limits retries; /**< what this host may make */
   uint32_t attempts; /**< most tries of one request, the first included */
   bool prefer_faster_detection;
   /** How much more a backup target costs, beyond the way there. */
@@ -177,11 +177,12 @@
 
 /** A request of the service was refused here for a reason that the policy
  * doesn't know, as a workspace's quota. */
-void service_policy_refused (struct service_policy *policy, int64_t now_us);
+void service_policy_note_refusal (struct service_policy *policy,
+                                  int64_t now_us);
 
 /** How long an attempt at TARGET that begins at NOW_US for R, which is
  * repeatable, may go without an answer's head before
- * service_policy_admit_elsewhere() is asked; ATTEMPT_NO_TIMEOUT: until its
+ * service_policy_admit_failover() is asked; ATTEMPT_NO_TIMEOUT: until its
  * deadline. */
 int64_t service_policy_attempt_timeout_us (const struct service_policy *policy,
                                            int64_t now_us,
@@ -192,10 +193,10 @@
  * only at a target that R hasn't tried, in good standing and with a free
  * slot.  Nothing is taken from the retry budget if there is none.
  * @return false: R goes on waiting; else DECISION is POLICY_SEND */
-bool service_policy_admit_elsewhere (struct service_policy *policy,
-                                     int64_t now_us,
-                                     const struct policy_request *r,
-                                     struct policy_decision *decision);
+bool service_policy_admit_failover (struct service_policy *policy,
+                                    int64_t now_us,
+                                    const struct policy_request *r,
+                                    struct policy_decision *decision);
 
 /** An attempt ended: frees its slot and learns.  Call service_policy_next()
  * afterwards until it says false. */
@@ -204,8 +205,9 @@
 
 /** An attempt of another host at TARGET ended so.  Call service_policy_next()
  * afterwards. */
-void service_policy_hear (struct service_policy *policy, int64_t now_us,
-                          uint32_t target, enum attempt_end end);
+void service_policy_remote_outcome (struct service_policy *policy,
+                                    int64_t now_us, uint32_t target,
+                                    enum attempt_end end);
 
 /** The next queued request that can be decided now: to be sent, or refused
  * because it can no longer finish in time.
@@ -219,14 +221,14 @@
 int64_t service_policy_wake_us (const struct service_policy *policy);
 
 /** Take a queued request out: its caller went away. */
-void service_policy_forget (struct service_policy *policy,
-                            uint64_t request_id);
+void service_policy_cancel_queued (struct service_policy *policy,
+                                   uint64_t request_id);
 
 /** May an attempt that ended so be tried again? */
 bool service_policy_may_retry (enum attempt_end end, bool repeatable);
 
 /** What the policy believes of a target, for people and for the owner. */
-struct policy_belief
+struct policy_target_status
 {
   uint32_t in_flight;
   int64_t latency_us; /**< estimate */
@@ -238,8 +240,9 @@
   uint64_t failures;
 };
 
-struct policy_belief
-service_policy_belief (const struct service_policy *policy, uint32_t target);
+struct policy_target_status
+service_policy_target_status (const struct service_policy *policy,
+                              uint32_t target);
 uint32_t service_policy_queued (const struct service_policy *policy);
 /** Attempts under way at all targets. */
 uint32_t service_policy_in_flight (const struct service_policy *policy);
--- a/wire/peer/peer_message.h
+++ b/wire/peer/peer_message.h
@@ -89,7 +89,7 @@
   /** The sender's proof that the fleet's configuration in force there was the
    * newest; see policy/access/freshness.h. */
   uint64_t config_version;
-  uint32_t config_age_ms; /**< FRESHNESS_NO_AGE_MS: none */
+  uint32_t config_age_ms; /**< FRESHNESS_AGE_UNKNOWN_MS: none */
 };
 
 /** "Can you reach that host?", and the answer. */
