--- a/policy/detection/baseline.c
+++ b/policy/detection/baseline.c
@@ -3,53 +3,53 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Memories and priors.  The prior stands for evidence seen before any: a new
-   owner starts out believing in many failures and learns downwards, so it
-   can't convict on a baseline that is too low. */
-#define RECENT_US 10e6
-#define LONGER_US 120e6
-#define PRIOR_FAILURES 0.05
-#define PRIOR_WEIGHT 100.0
-#define RECENT_WEIGHT 1000.0 /* of the longer memory within the recent one */
-#define READY_REQUESTS 200.0
-#define FAILURES_LEAST 0.002
-#define FAILURES_MOST 0.2
+/* The prior counts as evidence before any was received: a new owner starts
+   with a high share of failures and learns downwards, so that no target is
+   evaluated as bad against a baseline that is too low. */
+#define SHORT_TIME_CONSTANT_US 10e6
+#define LONG_TIME_CONSTANT_US 120e6
+#define PRIOR_FAILURE_SHARE 0.05
+#define PRIOR_REQUESTS 100.0
+#define LONG_TERM_WEIGHT_REQUESTS 1000.0 /* in the short-term share */
+#define READY_REQUESTS_MIN 200.0
+#define FAILURE_SHARE_MIN 0.002
+#define FAILURE_SHARE_MAX 0.2
 #define SLOW_SHARE 0.05
-#define SLOW_LEAST 0.02
-#define SLOW_MOST 0.2
+#define SLOW_SHARE_MIN 0.02
+#define SLOW_SHARE_MAX 0.2
 #define ESTIMATE_SIGMAS 1.0
 #define OUTLIER_SIGMAS 4.0
-#define OUTLIER_SLACK 3.0
+#define OUTLIER_SLACK_HITS 3.0
 
 enum
 {
-  TARGET_REQUESTS = 5, /* a target with fewer is no reference */
+  TARGET_REQUESTS_MIN = 5, /* fewer give no reference */
   INCLUDE_ROUNDS = 2,
-  SLOW_OVER_MEDIAN = 3 /* buckets: slow is 2.8 times the median at least */
+  SLOW_BUCKETS_OVER_MEDIAN = 3 /* slow is at least 2.8 times the median */
 };
 
-/* Pooled counts of a yes/no outcome. */
+/* Pooled counts of a binary outcome. */
 struct pool
 {
   double hits;
   double total;
 };
 
-/* What is compared between targets. */
+/* The quantity compared between targets. */
 struct measure
 {
-  bool recent;
+  bool short_term;
   bool slow;       /* false: failures */
-  uint32_t bucket; /* with slow: from this bucket on; 0: the mean bucket */
+  uint32_t bucket; /* with slow: the first one counted; 0: the mean bucket */
 };
 
 void
 baseline_init (struct baseline *baseline)
 {
   *baseline = (struct baseline){
-    .failures = FAILURES_MOST,
+    .failures = FAILURE_SHARE_MAX,
     .slow_bucket = DETECTION_LATENCY_BUCKETS - 1,
-    .slow = SLOW_MOST,
+    .slow = SLOW_SHARE_MAX,
   };
 }
 
@@ -85,15 +85,17 @@
 {
   if (elapsed_us <= 0)
     return;
-  counts_scale (&target->short_term, exp (-(double)elapsed_us / RECENT_US));
-  counts_scale (&target->long_term, exp (-(double)elapsed_us / LONGER_US));
+  counts_scale (&target->short_term,
+                exp (-(double)elapsed_us / SHORT_TIME_CONSTANT_US));
+  counts_scale (&target->long_term,
+                exp (-(double)elapsed_us / LONG_TIME_CONSTANT_US));
 }
 
 static struct pool
 measure_target (const struct baseline_target *target, struct measure m)
 {
   const struct baseline_counts *counts
-      = m.recent ? &target->short_term : &target->long_term;
+      = m.short_term ? &target->short_term : &target->long_term;
   if (!m.slow)
     return (struct pool){ counts->failures, counts->requests };
   struct pool pool = { 0 };
@@ -124,8 +126,8 @@
   return first->target < second->target ? -1 : 1;
 }
 
-/* Sort the targets with enough evidence by their share.
-   @return how many there are */
+/* Sorts the targets with enough evidence by their share.
+   @return the number of ranked targets */
 static size_t
 rank (const struct baseline_target *const *targets, size_t count,
       struct measure m, struct baseline_rank *order)
@@ -134,7 +136,7 @@
   for (size_t i = 0; i < count; i++)
     {
       struct pool pool = measure_target (targets[i], m);
-      if (pool.total < TARGET_REQUESTS)
+      if (pool.total < TARGET_REQUESTS_MIN)
         continue;
       order[ranked++] = (struct baseline_rank){
         .share = share (pool),
@@ -150,16 +152,16 @@
 {
   double expected = pool.total * normal;
   return pool.hits
-         > expected + OUTLIER_SIGMAS * sqrt (expected) + OUTLIER_SLACK;
+         > expected + OUTLIER_SIGMAS * sqrt (expected) + OUTLIER_SLACK_HITS;
 }
 
-/* Pool the better half, then whatever is no outlier against the pool: less
-   than half of the targets can't drag it, and chance alone doesn't bias it
-   downwards. */
+/* Pools the better half of the targets, then all that are no outliers against
+   the pool: fewer than half of the targets can't shift it, and chance alone
+   doesn't bias it downwards. */
 static struct pool
-pool_robustly (const struct baseline_target *const *targets,
-               const struct baseline_rank *order, size_t ranked,
-               struct measure m)
+pool_without_outliers (const struct baseline_target *const *targets,
+                       const struct baseline_rank *order, size_t ranked,
+                       struct measure m)
 {
   struct pool pool = { 0 };
   for (size_t i = 0; i < (ranked + 1) / 2; i++)
@@ -185,48 +187,51 @@
 }
 
 static double
-clamp (double value, double least, double most)
+clamp (double value, double min, double max)
 {
-  return value < least ? least : value > most ? most : value;
+  return value < min ? min : value > max ? max : value;
 }
 
-/* An estimate that errs upwards, more so on little evidence. */
+/* Returns an estimate with an upward bias that is larger on little
+   evidence. */
 static double
 upper_estimate (struct pool pool, double prior)
 {
-  double hits = pool.hits + prior * PRIOR_WEIGHT;
-  return (hits + ESTIMATE_SIGMAS * sqrt (hits)) / (pool.total + PRIOR_WEIGHT);
+  double hits = pool.hits + prior * PRIOR_REQUESTS;
+  return (hits + ESTIMATE_SIGMAS * sqrt (hits))
+         / (pool.total + PRIOR_REQUESTS);
 }
 
-/* The normal share: the longer memory's, or the recent one's if that is
-   higher. */
+/* Returns the normal share: of the long-term history, or of the short-term one
+   if that is higher. */
 static double
 learn_share (const struct baseline_target *const *targets, size_t count,
              struct measure m, double prior, struct baseline_rank *order,
              double *evidence)
 {
-  m.recent = false;
+  m.short_term = false;
   size_t ranked = rank (targets, count, m, order);
-  struct pool longer = pool_robustly (targets, order, ranked, m);
-  m.recent = true;
+  struct pool long_term = pool_without_outliers (targets, order, ranked, m);
+  m.short_term = true;
   ranked = rank (targets, count, m, order);
-  struct pool recent = pool_robustly (targets, order, ranked, m);
-  *evidence = longer.total;
-  double normal = upper_estimate (longer, prior);
-  double now = (recent.hits + normal * RECENT_WEIGHT)
-               / (recent.total + RECENT_WEIGHT);
-  return now > normal ? now : normal;
+  struct pool short_term = pool_without_outliers (targets, order, ranked, m);
+  *evidence = long_term.total;
+  double normal = upper_estimate (long_term, prior);
+  double current = (short_term.hits + normal * LONG_TERM_WEIGHT_REQUESTS)
+                   / (short_term.total + LONG_TERM_WEIGHT_REQUESTS);
+  return current > normal ? current : normal;
 }
 
-/* The lowest bucket that few latencies of the quicker targets reach. */
+/* Returns the lowest bucket that only a small share of the latencies of the
+   faster targets reaches. */
 static uint32_t
 learn_slow_bucket (const struct baseline_target *const *targets, size_t count,
                    struct baseline_rank *order)
 {
   struct measure m = { .slow = true };
   size_t ranked = rank (targets, count, m, order);
-  /* Three quarters, not half: where some targets are slower by nature, their
-     latencies belong to what is normal. */
+  /* Three quarters of the targets, not half: where some targets are
+     permanently slower, their latencies are normal. */
   size_t quick = ranked < 2 ? ranked : ranked * 3 / 4;
   double latency[DETECTION_LATENCY_BUCKETS] = { 0 };
   double total = 0;
@@ -244,8 +249,8 @@
   double above = 0;
   while (bucket > 1 && above + latency[bucket - 1] <= total * SLOW_SHARE)
     above += latency[--bucket];
-  uint32_t least = median + SLOW_OVER_MEDIAN;
-  bucket = bucket > least ? bucket : least;
+  uint32_t min = median + SLOW_BUCKETS_OVER_MEDIAN;
+  bucket = bucket > min ? bucket : min;
   return bucket < DETECTION_LATENCY_BUCKETS ? bucket
                                             : DETECTION_LATENCY_BUCKETS - 1;
 }
@@ -256,14 +261,14 @@
                 struct baseline_rank *order)
 {
   struct measure m = { .slow = false };
-  double failures = learn_share (targets, count, m, PRIOR_FAILURES, order,
+  double failures = learn_share (targets, count, m, PRIOR_FAILURE_SHARE, order,
                                  &baseline->evidence);
-  baseline->failures = clamp (failures, FAILURES_LEAST, FAILURES_MOST);
+  baseline->failures = clamp (failures, FAILURE_SHARE_MIN, FAILURE_SHARE_MAX);
   baseline->slow_bucket = learn_slow_bucket (targets, count, order);
   m = (struct measure){ .slow = true, .bucket = baseline->slow_bucket };
   double latencies;
   double slow = learn_share (targets, count, m, SLOW_SHARE, order, &latencies);
-  baseline->slow = clamp (slow, SLOW_LEAST, SLOW_MOST);
-  baseline->ready = baseline->evidence >= READY_REQUESTS;
+  baseline->slow = clamp (slow, SLOW_SHARE_MIN, SLOW_SHARE_MAX);
+  baseline->ready = baseline->evidence >= READY_REQUESTS_MIN;
   baseline->learned_us = now_us;
 }
--- a/policy/detection/cusum.c
+++ b/policy/detection/cusum.c
@@ -20,10 +20,10 @@
 }
 
 double
-cusum_update (double score, double ratio, double most)
+cusum_update (double score, double ratio, double max)
 {
   double sum = score + ratio;
   if (sum < 0)
     return 0;
-  return sum < most ? sum : most;
+  return sum < max ? sum : max;
 }
--- a/policy/detection/detector.c
+++ b/policy/detection/detector.c
@@ -6,32 +6,33 @@
 #include "base/xmalloc.h"
 #include "policy/detection/detector_state.h"
 
-/* Thresholds in log-likelihood: e^h requests or more lie between two false
-   alarms. */
-#define THRESHOLD_FEWER 15.0
-#define THRESHOLD_FASTER 12.0
+/* Log-likelihood ratios h: between two false alarms there are e^h requests or
+   more. */
+#define THRESHOLD_FEWER_FALSE_EJECTIONS 15.0
+#define THRESHOLD_FASTER_DETECTION 12.0
 
 enum
 {
   BACKOFF_US = 10000000,
   BACKOFF_MAX_US = 600000000,
   BACKOFF_DECAY_US = 300000000,
-  WARM_US = 10000000
+  WARM_UP_US = 10000000
 };
 
-/* The faulty shares tested against; at least a multiple of what is normal. */
-#define SOME_FAULTY 0.1
-#define SOME_TIMES_NORMAL 4.0
-#define MANY_FAULTY 0.4
-#define MANY_TIMES_NORMAL 3.0
-#define SLOW_FAULTY 0.5
-#define FAULTY_MOST 0.6
+/* Faulty shares of the tests, or a multiple of the baseline if that is
+   higher. */
+#define SOME_FAILURES_SHARE 0.1
+#define SOME_FAILURES_BASELINE_FACTOR 4.0
+#define MANY_FAILURES_SHARE 0.4
+#define MANY_FAILURES_BASELINE_FACTOR 3.0
+#define SLOW_REQUESTS_SHARE 0.5
+#define FAULTY_SHARE_MAX 0.6
 
 static double
-at_least (double value, double least)
+faulty_share (double value, double min)
 {
-  double more = value > least ? value : least;
-  return more < FAULTY_MOST ? more : FAULTY_MOST;
+  double share = value > min ? value : min;
+  return share < FAULTY_SHARE_MAX ? share : FAULTY_SHARE_MAX;
 }
 
 void
@@ -39,18 +40,21 @@
 {
   const struct baseline *b = &detector->baseline;
   struct detection_tests *tests = &detector->tests;
-  double some = at_least (SOME_TIMES_NORMAL * b->failures, SOME_FAULTY);
-  double many = at_least (MANY_TIMES_NORMAL * b->failures, MANY_FAULTY);
+  double some = faulty_share (SOME_FAILURES_BASELINE_FACTOR * b->failures,
+                              SOME_FAILURES_SHARE);
+  double many = faulty_share (MANY_FAILURES_BASELINE_FACTOR * b->failures,
+                              MANY_FAILURES_SHARE);
   tests->tests[DETECTION_REASON_SOME_FAILURES]
       = cusum_make (b->failures, some);
   tests->tests[DETECTION_REASON_MANY_FAILURES]
       = cusum_make (b->failures, many);
-  tests->tests[DETECTION_REASON_SLOW] = cusum_make (b->slow, SLOW_FAULTY);
+  tests->tests[DETECTION_REASON_SLOW]
+      = cusum_make (b->slow, SLOW_REQUESTS_SHARE);
   tests->slow_bucket = b->slow_bucket;
   tests->ready = b->ready;
   tests->threshold = detector->options.prefer_faster_detection
-                         ? THRESHOLD_FASTER
-                         : THRESHOLD_FEWER;
+                         ? THRESHOLD_FASTER_DETECTION
+                         : THRESHOLD_FEWER_FALSE_EJECTIONS;
 }
 
 static int64_t
@@ -70,7 +74,7 @@
     .backoff_max_us = or_default (options->backoff_max_us, BACKOFF_MAX_US),
     .backoff_decay_us
     = or_default (options->backoff_decay_us, BACKOFF_DECAY_US),
-    .warm_up_us = or_default (options->warm_up_us, WARM_US),
+    .warm_up_us = or_default (options->warm_up_us, WARM_UP_US),
   };
   detection_detector_set_tests (detector);
 }
@@ -120,12 +124,12 @@
 }
 
 static void
-make_room (struct detection_detector *d, size_t count)
+grow_arrays (struct detection_detector *d, size_t count)
 {
   if (count <= d->capacity)
     return;
   d->capacity = count;
-  /* NOLINTNEXTLINE(bugprone-sizeof-expression): it holds pointers */
+  /* NOLINTNEXTLINE(bugprone-sizeof-expression): an array of pointers */
   d->baseline_targets
       = xreallocarray (d->baseline_targets, count, sizeof (void *));
   d->order = xreallocarray (d->order, count, sizeof *d->order);
@@ -157,20 +161,20 @@
   HASH_ITER (hh, detector->targets, target, next)
   if (target->index == SIZE_MAX)
     remove_target (detector, target);
-  make_room (detector, count);
+  grow_arrays (detector, count);
 }
 
 static void
-try_target (struct detection_detector *detector, int64_t now_us,
-            struct detection_target *target,
-            const struct detection_evidence *evidence)
+update_trial (struct detection_detector *detector, int64_t now_us,
+              struct detection_target *target,
+              const struct detection_evidence *evidence)
 {
-  struct detection_likelihood weighed = detection_target_likelihood (
+  struct detection_likelihood likelihood = detection_target_likelihood (
       target, now_us, &detector->tests, evidence);
-  uint32_t bad = weighed.failures + weighed.slow;
-  uint32_t good = weighed.requests > bad ? weighed.requests - bad : 0;
+  uint32_t bad = likelihood.failures + likelihood.slow;
+  uint32_t good = likelihood.requests > bad ? likelihood.requests - bad : 0;
   readmission_trial_update (&target->readmission, &detector->readmission,
-                            now_us, good, weighed.ratios);
+                            now_us, good, likelihood.ratios);
 }
 
 void
@@ -191,7 +195,7 @@
         detection_target_add (target, now_us, host_key, dc_key,
                               &detector->tests, evidence);
       else if (target->readmission.state == DETECTION_ON_TRIAL)
-        try_target (detector, now_us, target, evidence);
+        update_trial (detector, now_us, target, evidence);
     }
 }
 
--- a/policy/detection/detector.h
+++ b/policy/detection/detector.h
@@ -1,17 +1,18 @@
 /** @file
- * Which targets of one service to eject and which to let return: the pure
- * machine at the service's owner.
+ * Decides which targets of one service to eject and which to return to
+ * service: a deterministic state machine without I/O, run by the service's
+ * owner.
  *
- * Reports of hosts go in, with health hints and probe results;
- * detection_detector_step() says what should change.  The caller decides what
- * the floor allows, carries it out, and tells the detector by
+ * Inputs are reports from the hosts, health hints and probe results;
+ * detection_detector_step() returns the changes to make.  The caller decides
+ * what the floor allows, carries the changes out, and reports them back by
  * detection_detector_ejected() and the like.  Time is passed in as
- * microseconds that never go back.
+ * microseconds that never decrease.
  *
  * Scores are Page's cumulative sums of log-likelihood ratios against the
- * service's own learned baseline.  A detector that was just created (a new
- * owner) knows nothing and ejects nothing until the baseline has enough
- * evidence.
+ * baseline learned from the service itself.  A detector that was just created
+ * (by a new owner) has no evidence and ejects nothing until the baseline has
+ * enough.
  */
 #ifndef POLICY_DETECTION_DETECTOR_H
 #define POLICY_DETECTION_DETECTOR_H
@@ -23,19 +24,20 @@
 #include "policy/detection/explanation.h"
 #include "policy/detection/recorder.h"
 
-/** Preferences and bounds; a 0 takes the default in brackets. */
+/** Preferences and bounds; 0 selects the default in brackets. */
 struct detection_detector_options
 {
-  bool prefer_faster_detection; /**< sets the threshold, nothing else */
-  bool has_repeatable_routes;   /**< false: return needs probes first */
-  int64_t backoff_us;           /**< first ejection's length [10 s] */
-  int64_t backoff_max_us;       /**< longest [10 min] */
-  int64_t backoff_decay_us; /**< good time that forgives one flap [5 min] */
-  int64_t warm_up_us;       /**< slow start after a return [10 s] */
+  bool prefer_faster_detection; /**< affects only the threshold */
+  bool has_repeatable_routes; /**< false: probes must succeed before a trial */
+  int64_t backoff_us;         /**< duration of the first ejection [10 s] */
+  int64_t backoff_max_us;     /**< maximum duration [10 min] */
+  int64_t backoff_decay_us;   /**< removes one flap [5 min] */
+  int64_t warm_up_us;         /**< slow start after reinstatement [10 s] */
 };
 
-/** What a health or load endpoint said.  Endpoints lag and mislead: a hint
- * only makes the owner look sooner, it neither ejects nor readmits. */
+/** Response of a health or load endpoint.  Endpoints lag and mislead, so a
+ * hint only makes the owner evaluate the target sooner; it neither ejects nor
+ * readmits. */
 enum detection_hint
 {
   DETECTION_HINT_HEALTHY,
@@ -49,10 +51,11 @@
   uint64_t target_key;
   enum detection_reason reason;
   double score;     /**< log-likelihood ratio */
-  double threshold; /**< it crossed this */
+  double threshold; /**< the score reached it */
 };
 
-/** A trickle or slow start to put in force at the hosts. */
+/** A reduced share of the traffic, for a trial or a slow start, to apply at
+ * the hosts. */
 struct detection_share
 {
   uint64_t target_key;
@@ -60,7 +63,8 @@
   uint32_t share_permille;    /**< of an even share of the traffic */
 };
 
-/** A path to avoid: DC (or one host of it) alone sees the target fail. */
+/** A path to avoid: only the hosts of the dc (or one host of it) observe
+ * failures of the target. */
 struct detection_path
 {
   uint64_t target_key;
@@ -68,18 +72,18 @@
   uint64_t host_key; /**< 0: the whole dc */
 };
 
-/** What should change.  The arrays belong to the detector and hold until the
- * next call of detection_detector_step(). */
+/** The changes to make.  The arrays are owned by the detector and valid until
+ * the next call of detection_detector_step(). */
 struct detection_decisions
 {
-  bool upstream_fault; /**< most targets look bad at once: eject none */
-  const struct detection_ejection *eject; /**< worst first */
+  bool upstream_fault; /**< most targets are unhealthy at once: eject none */
+  const struct detection_ejection *eject; /**< highest score first */
   size_t eject_count;
   const uint64_t *probe; /**< ejected targets to probe now */
   size_t probe_count;
   const struct detection_share *shares; /**< of targets on trial or warming */
   size_t share_count;
-  const uint64_t *reinstate; /**< fit to return to service, fittest first */
+  const uint64_t *reinstate; /**< targets that passed their trial */
   size_t reinstate_count;
   const struct detection_path *paths;
   size_t path_count;
@@ -91,51 +95,52 @@
 detection_detector_create (const struct detection_detector_options *options);
 void detection_detector_destroy (struct detection_detector *detector);
 
-/** Replace preferences and bounds; what was learned stays. */
+/** Replaces preferences and bounds; the learned baseline is kept. */
 void detection_detector_configure (
     struct detection_detector *detector,
     const struct detection_detector_options *options);
 
-/** Replace the target set; state follows the key, new keys start in service
+/** Replaces the target set.  State is kept by key; new keys start in service
  * and cold. */
 void detection_detector_set_targets (struct detection_detector *detector,
                                      int64_t now_us, const uint64_t *keys,
                                      size_t count);
 
-/** Take in what the host HOST_KEY in the dc DC_KEY saw since its last
- * report.  Keys are hashes of the names, not 0.  Reports must reach the
- * detector at most once. */
+/** Adds what the host HOST_KEY in the dc DC_KEY observed since its last
+ * report.  Keys are hashes of the names, not 0.  Each report must be passed at
+ * most once. */
 void detection_detector_report (struct detection_detector *detector,
                                 int64_t now_us, uint64_t host_key,
                                 uint64_t dc_key,
                                 const struct detection_report_item *items,
                                 size_t count);
 
-/** A health or load endpoint spoke. */
+/** Reports a response of a health or load endpoint. */
 void detection_detector_hint (struct detection_detector *detector,
                               int64_t now_us, uint64_t target_key,
                               enum detection_hint hint);
 
-/** A probe of an ejected target ended. */
+/** Reports the result of a probe of an ejected target. */
 void detection_detector_probe_result (struct detection_detector *detector,
                                       int64_t now_us, uint64_t target_key,
                                       bool ok);
 
-/** Decide.  Call every second or so and after reports; the decisions repeat
- * until they are carried out. */
+/** Evaluates all targets.  Call about once a second and after reports; a
+ * decision is repeated until it is carried out. */
 struct detection_decisions
 detection_detector_step (struct detection_detector *detector, int64_t now_us);
 
-/** The ejection of the target came into force, by this detector's advice, by
- * an operator, or found in the record by a new owner. */
+/** Reports that the ejection of the target took effect, whether decided by
+ * this detector, requested by an operator, or found in the record by a new
+ * owner. */
 void detection_detector_ejected (struct detection_detector *detector,
                                  int64_t now_us, uint64_t target_key);
 
-/** The target was put back in service; it warms up. */
+/** Reports that the target was returned to service; it starts to warm up. */
 void detection_detector_reinstated (struct detection_detector *detector,
                                     int64_t now_us, uint64_t target_key);
 
-/** What is believed of a target and why.
+/** Returns the state of a target and the reasons for it.
  * @return false for an unknown target */
 bool detection_detector_explain (const struct detection_detector *detector,
                                  int64_t now_us, uint64_t target_key,
--- a/policy/detection/detector_state.h
+++ b/policy/detection/detector_state.h
@@ -1,5 +1,5 @@
 /** @file
- * The fields of a detector, shared by its sources.  Internal.
+ * Fields of a detector, shared by its sources.  Internal.
  */
 #ifndef POLICY_DETECTION_DETECTOR_STATE_H
 #define POLICY_DETECTION_DETECTOR_STATE_H
@@ -16,7 +16,7 @@
   struct detection_tests tests;
   int64_t decayed_us;
   int64_t upstream_until_us;
-  size_t capacity; /* elements of each array below */
+  size_t capacity; /* of each array below, but not of paths */
   const struct baseline_target **baseline_targets;
   struct baseline_rank *order;
   struct detection_ejection *eject;
@@ -27,7 +27,7 @@
   size_t path_capacity;
 };
 
-/** Set the tests by the baseline and the preference as they stand. */
+/** Sets the tests from the current baseline and preference. */
 void detection_detector_set_tests (struct detection_detector *detector);
 
 #endif
--- a/policy/detection/detector_step.c
+++ b/policy/detection/detector_step.c
@@ -8,18 +8,18 @@
 
 enum
 {
-  LEARN_EVERY_US = 1000000,
-  OTHERS_WAIT_US = 5000000,   /* most wait for news of other targets */
-  UPSTREAM_HOLD_US = 5000000, /* after most targets last looked bad */
-  LATE_US = 30000000 /* evidence and convictions so new speak of now */
+  LEARN_INTERVAL_US = 1000000,
+  PEER_EVIDENCE_WAIT_US = 5000000, /* maximum wait */
+  UPSTREAM_HOLD_US = 5000000,      /* after most targets were last elevated */
+  RECENT_MAX_AGE_US = 30000000     /* of evidence and ejections */
 };
 
-/* Let the memories fade and learn from the targets in service. */
+/* Learns the baseline from the targets in service and decays their history. */
 static void
-learn (struct detection_detector *detector, int64_t now_us)
+update_baseline (struct detection_detector *detector, int64_t now_us)
 {
   int64_t elapsed_us = now_us - detector->decayed_us;
-  if (detector->decayed_us != 0 && elapsed_us < LEARN_EVERY_US)
+  if (detector->decayed_us != 0 && elapsed_us < LEARN_INTERVAL_US)
     return;
   size_t count = 0;
   for (struct detection_target *target = detector->targets; target != NULL;
@@ -41,22 +41,22 @@
 }
 
 static bool
-is_late (int64_t then_us, int64_t now_us)
+is_recent (int64_t then_us, int64_t now_us)
 {
-  return then_us > 0 && now_us - then_us <= LATE_US;
+  return then_us > 0 && now_us - then_us <= RECENT_MAX_AGE_US;
 }
 
-/* How many targets there is news of, and how many of them look bad. */
-struct census
+/* Numbers of targets with recent evidence and of those affected by a fault. */
+struct target_summary
 {
-  size_t heard;
-  size_t raised;
-  size_t cleared; /* heard of since a given time, with no failure left */
+  size_t reporting;
+  size_t elevated;
+  size_t healthy; /* reported since a given time, with no residual score */
   size_t bad;
 };
 
 static void
-judge_all (struct detection_detector *detector, int64_t now_us)
+evaluate_all (struct detection_detector *detector, int64_t now_us)
 {
   for (struct detection_target *target = detector->targets; target != NULL;
        target = target->hh.next)
@@ -67,51 +67,51 @@
     }
 }
 
-static struct census
+static struct target_summary
 count_targets (const struct detection_detector *detector, int64_t now_us,
                int64_t then_us)
 {
-  struct census census = { 0 };
+  struct target_summary summary = { 0 };
   for (const struct detection_target *target = detector->targets;
        target != NULL; target = target->hh.next)
     {
       if (!detection_target_serving (target))
         {
-          bool late = is_late (target->bad_ejected_us, now_us);
-          census.heard += late;
-          census.raised += late;
+          bool recent = is_recent (target->bad_ejected_us, now_us);
+          summary.reporting += recent;
+          summary.elevated += recent;
           continue;
         }
-      bool raised = detection_evaluation_elevated (target, &detector->tests);
-      census.heard += is_late (target->seen_us, now_us);
-      census.raised += raised;
-      census.cleared
+      bool elevated = detection_evaluation_elevated (target, &detector->tests);
+      summary.reporting += is_recent (target->seen_us, now_us);
+      summary.elevated += elevated;
+      summary.healthy
           += !detection_evaluation_residual (target, &detector->tests)
              && detection_target_reported_since (target, then_us);
-      census.bad += target->verdict == DETECTION_BAD;
+      summary.bad += target->verdict == DETECTION_BAD;
     }
-  return census;
+  return summary;
 }
 
-/* When what is behind the targets fails, or the requests are bad, all look
-   bad together; taking some out would only load the rest.  Scores cross the
-   threshold one after the other, so the first to cross is held against the
-   others: half of them must have been seen well since its fault began.  Until
-   as many have been heard of, it waits, but not for long.  A lone target has
-   nothing to be compared with.
-   @return whether most of the others look bad, too */
+/* If an upstream of the targets fails, or the requests themselves are bad, all
+   targets show it at once; ejecting some would only load the rest.  Scores
+   cross the threshold one after the other, so the first target to cross is
+   compared with the others: half of them must have been observed as healthy
+   since its fault began.  The verdict waits for reports on that many, but only
+   for a limited time.  A single target has no peers to compare it with.
+   @return whether most of the others are elevated, too */
 static bool
-compare_with_others (const struct detection_detector *detector, int64_t now_us,
-                     struct detection_target *target)
+compare_with_peers (const struct detection_detector *detector, int64_t now_us,
+                    struct detection_target *target)
 {
-  int64_t began_us = detection_evaluation_onset_us (target, &detector->tests);
-  struct census census = count_targets (detector, now_us, began_us);
-  size_t others = census.heard > 0 ? census.heard - 1 : 0;
-  size_t raised = census.raised > 0 ? census.raised - 1 : 0;
-  if (others == 0 || raised * 2 > others)
+  int64_t onset_us = detection_evaluation_onset_us (target, &detector->tests);
+  struct target_summary summary = count_targets (detector, now_us, onset_us);
+  size_t peers = summary.reporting > 0 ? summary.reporting - 1 : 0;
+  size_t elevated = summary.elevated > 0 ? summary.elevated - 1 : 0;
+  if (peers == 0 || elevated * 2 > peers)
     return true;
-  if (census.cleared * 2 < others
-      && now_us - target->crossed_us < OTHERS_WAIT_US)
+  if (summary.healthy * 2 < peers
+      && now_us - target->crossed_us < PEER_EVIDENCE_WAIT_US)
     target->verdict = DETECTION_SUSPECT;
   return false;
 }
@@ -119,33 +119,33 @@
 static bool
 is_upstream (const struct detection_detector *detector, int64_t now_us)
 {
-  struct census census = count_targets (detector, now_us, now_us);
-  if (census.bad == 0)
+  struct target_summary summary = count_targets (detector, now_us, now_us);
+  if (summary.bad == 0)
     return now_us < detector->upstream_until_us
-           && census.raised * 2 > census.heard;
+           && summary.elevated * 2 > summary.reporting;
   for (struct detection_target *target = detector->targets; target != NULL;
        target = target->hh.next)
     if (detection_target_serving (target) && target->verdict == DETECTION_BAD
-        && compare_with_others (detector, now_us, target))
+        && compare_with_peers (detector, now_us, target))
       return true;
   return false;
 }
 
-/* While the fault is upstream, scores stay low enough that each target must
-   be seen failing afresh afterwards: one that recovers last isn't ejected
-   for what was common to all. */
+/* During an upstream fault, scores are limited so that each target must show
+   new failures afterwards: one that recovers last is not ejected for the fault
+   common to all. */
 static void
-excuse_all (struct detection_detector *detector)
+cap_scores (struct detection_detector *detector)
 {
-  double most = detector->tests.threshold / 2;
+  double max_score = detector->tests.threshold / 2;
   for (struct detection_target *target = detector->targets; target != NULL;
        target = target->hh.next)
     {
       if (!detection_target_serving (target))
         continue;
       for (int t = 0; t < DETECTION_TESTS; t++)
-        if (target->scores[t] > most)
-          target->scores[t] = most;
+        if (target->scores[t] > max_score)
+          target->scores[t] = max_score;
       target->crossed_us = 0;
       if (detection_evaluation_elevated (target, &detector->tests))
         target->verdict = DETECTION_UPSTREAM_FAULT;
@@ -225,15 +225,15 @@
 struct detection_decisions
 detection_detector_step (struct detection_detector *detector, int64_t now_us)
 {
-  learn (detector, now_us);
-  judge_all (detector, now_us);
+  update_baseline (detector, now_us);
+  evaluate_all (detector, now_us);
   if (is_upstream (detector, now_us))
     detector->upstream_until_us = now_us + UPSTREAM_HOLD_US;
   struct detection_decisions decisions = {
     .upstream_fault = now_us < detector->upstream_until_us,
   };
   if (decisions.upstream_fault)
-    excuse_all (detector);
+    cap_scores (detector);
   for (const struct detection_target *target = detector->targets;
        target != NULL; target = target->hh.next)
     collect (detector, now_us, target, &decisions);
--- a/policy/detection/evidence.c
+++ b/policy/detection/evidence.c
@@ -4,17 +4,17 @@
 
 enum
 {
-  FIRST_OCTAVE = 8 /* 2^8 us = 256 us: below it lies bucket 0 */
+  LOWEST_OCTAVE = 8 /* 2^8 us = 256 us; lower latencies are in bucket 0 */
 };
 
 uint32_t
 detection_evidence_bucket (int64_t latency_us)
 {
-  if (latency_us < ((int64_t)1 << FIRST_OCTAVE))
+  if (latency_us < ((int64_t)1 << LOWEST_OCTAVE))
     return 0;
   uint32_t octave = 63 - (uint32_t)__builtin_clzll ((uint64_t)latency_us);
   uint32_t upper_half = (uint32_t)(latency_us >> (octave - 1)) & 1;
-  uint32_t bucket = 1 + 2 * (octave - FIRST_OCTAVE) + upper_half;
+  uint32_t bucket = 1 + 2 * (octave - LOWEST_OCTAVE) + upper_half;
   return bucket < DETECTION_LATENCY_BUCKETS ? bucket
                                             : DETECTION_LATENCY_BUCKETS - 1;
 }
@@ -24,7 +24,7 @@
 {
   if (bucket == 0)
     return 0;
-  uint32_t octave = FIRST_OCTAVE + (bucket - 1) / 2;
+  uint32_t octave = LOWEST_OCTAVE + (bucket - 1) / 2;
   int64_t start = (int64_t)1 << octave;
   return (bucket - 1) % 2 == 0 ? start : start + start / 2;
 }
@@ -68,10 +68,11 @@
       add_saturating (&evidence->sheds, 1);
       break;
     case ATTEMPT_CANCELLED:
-      /* Callers that give up on a hanging target would hide it: its attempts
-         end as cancelled, never as timed out.  What had already taken longer
-         than is normal is slow, however it ends; quick cancellations say
-         nothing. */
+      /* If callers give up on a hanging target before the timeout, its
+         attempts end as cancelled and never as timed out, and the target would
+         not be found.  An attempt that had already taken longer than normal
+         counts as slow, whatever its end; an early cancellation is no
+         evidence. */
       if (latency_us < slow_us)
         break;
       add_saturating (&evidence->requests, 1);
@@ -94,8 +95,8 @@
 }
 
 static bool
-went_back (const struct detection_evidence *later,
-           const struct detection_evidence *earlier)
+counter_decreased (const struct detection_evidence *later,
+                   const struct detection_evidence *earlier)
 {
   if (later->requests < earlier->requests
       || later->failures < earlier->failures
@@ -111,7 +112,7 @@
 detection_evidence_delta (const struct detection_evidence *later,
                           const struct detection_evidence *earlier)
 {
-  if (went_back (later, earlier))
+  if (counter_decreased (later, earlier))
     return *later;
   struct detection_evidence delta = {
     .requests = later->requests - earlier->requests,
--- a/policy/detection/explanation.c
+++ b/policy/detection/explanation.c
@@ -45,7 +45,7 @@
   return then_us > now_us ? (then_us - now_us + 999999) / 1000000 : 0;
 }
 
-/* What comes next, by state. */
+/* Describes the next state change. */
 static void
 format_next (const struct detection_explanation *e, int64_t now_us, char *text,
              size_t size)
@@ -64,8 +64,8 @@
       break;
     case DETECTION_ON_TRIAL:
       snprintf (text, size,
-                "gets %u/1000 of an even share; returns after %u more good "
-                "answers",
+                "gets %u/1000 of an even share; returns after %u more "
+                "successful responses",
                 e->share_permille, e->good_needed);
       break;
     case DETECTION_WARMING:
@@ -85,7 +85,7 @@
   return snprintf (
       text, size,
       "%s for %lld s, %s (%s): score %.1f of %.1f against %.2f%% normal "
-      "failures and %.2f%% beyond %.1f ms; ejected %u times of late; %s",
+      "failures and %.2f%% beyond %.1f ms; ejected %u times recently; %s",
       detection_state_name (e->state),
       (long long)((now_us - e->state_since_us) / 1000000),
       detection_verdict_name (e->verdict), detection_reason_name (e->reason),
--- a/policy/detection/observer.c
+++ b/policy/detection/observer.c
@@ -5,14 +5,15 @@
 
 #include "policy/detection/cusum.h"
 
-#define FADE_US 30e6
+#define DECAY_TIME_CONSTANT_US 30e6
 
 static void
-fade (struct detection_observer *observer, int64_t now_us)
+decay (struct detection_observer *observer, int64_t now_us)
 {
   if (now_us <= observer->seen_us)
     return;
-  double factor = exp (-(double)(now_us - observer->seen_us) / FADE_US);
+  double factor
+      = exp (-(double)(now_us - observer->seen_us) / DECAY_TIME_CONSTANT_US);
   observer->requests *= factor;
   observer->failures *= factor;
   observer->slow *= factor;
@@ -20,14 +21,14 @@
 
 void
 detection_observer_add (struct detection_observer *observer, int64_t now_us,
-                        const struct detection_likelihood *weighed,
-                        const struct detection_totals *all, double most)
+                        const struct detection_likelihood *likelihood,
+                        const struct detection_totals *all, double max_score)
 {
-  fade (observer, now_us);
+  decay (observer, now_us);
   observer->seen_us = now_us;
-  observer->requests += weighed->requests;
-  observer->failures += weighed->failures;
-  observer->slow += weighed->slow;
+  observer->requests += likelihood->requests;
+  observer->failures += likelihood->failures;
+  observer->slow += likelihood->slow;
   for (int t = 0; t < DETECTION_TESTS; t++)
     {
       if (observer->scores[t] <= 0)
@@ -37,11 +38,11 @@
           .own_ratio = observer->totals.ratios[t],
           .all_ratio = all->ratios[t],
         };
-      observer->scores[t]
-          = cusum_update (observer->scores[t], weighed->ratios[t], most);
-      observer->totals.ratios[t] += weighed->ratios[t];
+      observer->scores[t] = cusum_update (observer->scores[t],
+                                          likelihood->ratios[t], max_score);
+      observer->totals.ratios[t] += likelihood->ratios[t];
     }
-  observer->totals.requests += weighed->requests;
+  observer->totals.requests += likelihood->requests;
 }
 
 void
@@ -56,10 +57,10 @@
                            const struct detection_totals *all)
 {
   const struct detection_run *run = &observer->runs[test];
-  uint64_t seen = all->requests - run->all_requests;
+  uint64_t total = all->requests - run->all_requests;
   uint64_t own = observer->totals.requests - run->own_requests;
   struct detection_likelihood others = { 0 };
-  others.requests = seen > own ? (uint32_t)(seen - own) : 0;
+  others.requests = total > own ? (uint32_t)(total - own) : 0;
   others.ratios[test] = (all->ratios[test] - run->all_ratio)
                         - (observer->totals.ratios[test] - run->own_ratio);
   return others;
@@ -68,9 +69,9 @@
 double
 detection_observer_score (const struct detection_observer *observer)
 {
-  double most = 0;
+  double highest = 0;
   for (int t = 0; t < DETECTION_TESTS; t++)
-    if (observer->scores[t] > most)
-      most = observer->scores[t];
-  return most;
+    if (observer->scores[t] > highest)
+      highest = observer->scores[t];
+  return highest;
 }
--- a/policy/detection/observer.h
+++ b/policy/detection/observer.h
@@ -1,8 +1,8 @@
 /** @file
- * What one observer, a host or a dc as a whole, makes of one target.
+ * Evidence of one observer, a host or a dc as a whole, on one target.
  *
- * Kept beside the target's score over all observers, to see whether they
- * agree: a fault on the path shows at one of them only.
+ * Kept in addition to the target's score over all observers, to check whether
+ * they agree: a fault on the path shows at one observer only.
  */
 #ifndef POLICY_DETECTION_OBSERVER_H
 #define POLICY_DETECTION_OBSERVER_H
@@ -12,14 +12,14 @@
 
 #include "policy/detection/explanation.h"
 
-/** Running totals of evidence on a target, never faded. */
+/** Running totals of evidence on a target, without decay. */
 struct detection_totals
 {
   uint64_t requests;
   double ratios[DETECTION_TESTS]; /**< unclamped log-likelihood ratios */
 };
 
-/** The totals when a score last left 0: its run began there. */
+/** The totals when a score last rose from 0, where its run began. */
 struct detection_run
 {
   uint64_t own_requests;
@@ -30,21 +30,21 @@
 
 struct detection_observer
 {
-  uint64_t key;    /**< of the host, or of the dc */
+  uint64_t key;    /**< of the host or of the dc */
   uint64_t dc_key; /**< the dc it is in; its own key for a dc */
   bool is_dc;
-  bool excluded; /**< its path is at fault: judge without it */
+  bool excluded; /**< its path is faulty: evaluate without it */
   int64_t excluded_us;
-  int64_t seen_us; /**< newest evidence */
+  int64_t seen_us; /**< latest evidence */
   double scores[DETECTION_TESTS];
   struct detection_run runs[DETECTION_TESTS];
   struct detection_totals totals;
-  double requests; /**< fading over half a minute, as the next two */
+  double requests; /**< decays with a time constant of 30 s, as the next two */
   double failures;
   double slow;
 };
 
-/** Evidence as the tests see it. */
+/** Evidence with its log-likelihood ratio by each test. */
 struct detection_likelihood
 {
   uint32_t requests;
@@ -53,23 +53,25 @@
   double ratios[DETECTION_TESTS];
 };
 
-/** Take in evidence of this observer.
+/** Adds evidence of this observer.
  * @param all the target's totals before this evidence
- * @param most the highest score kept */
+ * @param max_score bound of the scores */
 void detection_observer_add (struct detection_observer *observer,
                              int64_t now_us,
-                             const struct detection_likelihood *weighed,
-                             const struct detection_totals *all, double most);
+                             const struct detection_likelihood *likelihood,
+                             const struct detection_totals *all,
+                             double max_score);
 
-/** Forget the scores. */
+/** Clears the scores and the exclusion. */
 void detection_observer_reset (struct detection_observer *observer);
 
-/** What all others saw since this observer's run on TEST began. */
+/** Returns the evidence of all other observers since the run of this observer
+ * on TEST began. */
 struct detection_likelihood
 detection_observer_others (const struct detection_observer *observer, int test,
                            const struct detection_totals *all);
 
-/** The highest of the scores. */
+/** Returns the highest score. */
 double detection_observer_score (const struct detection_observer *observer);
 
 #endif
--- a/policy/detection/readmission.c
+++ b/policy/detection/readmission.c
@@ -4,19 +4,19 @@
 
 enum
 {
-  PROBES_NEEDED = 3,       /* good ones in a row */
-  TRIAL_NEEDED = 30,       /* good requests that end a trial */
-  TRIAL_AFTER_PROBES = 10, /* the same where each one is at risk */
-  SHARE_FIRST = 50,
-  SHARE_LAST = 400,
-  SHARE_DOUBLES_AFTER = 8, /* good requests */
-  SHARE_AFTER_PROBES = 20,
-  SHARE_FULL = 1000,
-  FLAPS_MOST = 30
+  PROBES_TO_PASS = 3,           /* consecutive successes */
+  TRIAL_GOOD_TO_PASS = 30,      /* successful requests */
+  TRIAL_GOOD_AFTER_PROBES = 10, /* each risks an unrepeatable request */
+  TRIAL_SHARE_MIN_PERMILLE = 50,
+  TRIAL_SHARE_MAX_PERMILLE = 400,
+  TRIAL_SHARE_DOUBLING_GOOD = 8, /* successful requests */
+  PROBED_TRIAL_SHARE_PERMILLE = 20,
+  FULL_SHARE_PERMILLE = 1000,
+  FLAPS_MAX = 30
 };
 
-#define TRIAL_FAILS_AT 6.0
-#define TRIAL_PASSES_BELOW 1.5
+#define TRIAL_FAIL_SCORE 6.0
+#define TRIAL_PASS_SCORE_LIMIT 1.5
 
 void
 readmission_init (struct readmission *r, int64_t now_us)
@@ -29,7 +29,7 @@
 }
 
 static void
-enter (struct readmission *r, enum detection_state state, int64_t now_us)
+set_state (struct readmission *r, enum detection_state state, int64_t now_us)
 {
   r->state = state;
   r->since_us = now_us;
@@ -52,9 +52,9 @@
 {
   if (r->state != DETECTION_IN_SERVICE && r->state != DETECTION_WARMING)
     return;
-  if (r->flaps < FLAPS_MOST)
+  if (r->flaps < FLAPS_MAX)
     r->flaps++;
-  enter (r, DETECTION_EJECTED, now_us);
+  set_state (r, DETECTION_EJECTED, now_us);
   r->until_us = now_us + backoff (r, options);
 }
 
@@ -65,7 +65,7 @@
 {
   if (r->state == DETECTION_IN_SERVICE || r->state == DETECTION_WARMING)
     return;
-  enter (r, DETECTION_WARMING, now_us);
+  set_state (r, DETECTION_WARMING, now_us);
   r->until_us = now_us + options->warm_up_us;
   r->flap_decay_us = now_us;
 }
@@ -74,9 +74,10 @@
 start_trial (struct readmission *r, const struct readmission_options *options,
              int64_t now_us)
 {
-  enter (r, DETECTION_ON_TRIAL, now_us);
+  set_state (r, DETECTION_ON_TRIAL, now_us);
   r->trial_good = 0;
-  r->trial_needed = options->probe_first ? TRIAL_AFTER_PROBES : TRIAL_NEEDED;
+  r->trial_needed
+      = options->probe_first ? TRIAL_GOOD_AFTER_PROBES : TRIAL_GOOD_TO_PASS;
   memset (r->trial_scores, 0, sizeof r->trial_scores);
 }
 
@@ -89,13 +90,13 @@
       start_trial (r, options, now_us);
       return;
     }
-  enter (r, DETECTION_PROBING, now_us);
+  set_state (r, DETECTION_PROBING, now_us);
   r->probes_good = 0;
 }
 
 static void
-forgive (struct readmission *r, const struct readmission_options *options,
-         int64_t now_us)
+decay_flaps (struct readmission *r, const struct readmission_options *options,
+             int64_t now_us)
 {
   while (r->flaps > 0
          && now_us - r->flap_decay_us >= options->backoff_decay_us)
@@ -112,9 +113,9 @@
   if (r->state == DETECTION_EJECTED && now_us >= r->until_us)
     end_backoff (r, options, now_us);
   else if (r->state == DETECTION_WARMING && now_us >= r->until_us)
-    enter (r, DETECTION_IN_SERVICE, now_us);
+    set_state (r, DETECTION_IN_SERVICE, now_us);
   if (r->state == DETECTION_IN_SERVICE)
-    forgive (r, options, now_us);
+    decay_flaps (r, options, now_us);
 }
 
 void
@@ -125,7 +126,7 @@
   if (r->state != DETECTION_PROBING)
     return;
   r->probes_good = ok ? r->probes_good + 1 : 0;
-  if (r->probes_good >= PROBES_NEEDED)
+  if (r->probes_good >= PROBES_TO_PASS)
     start_trial (r, options, now_us);
 }
 
@@ -133,9 +134,9 @@
 fail_trial (struct readmission *r, const struct readmission_options *options,
             int64_t now_us)
 {
-  if (r->flaps < FLAPS_MOST)
+  if (r->flaps < FLAPS_MAX)
     r->flaps++;
-  enter (r, DETECTION_EJECTED, now_us);
+  set_state (r, DETECTION_EJECTED, now_us);
   r->until_us = now_us + backoff (r, options);
 }
 
@@ -153,7 +154,7 @@
     {
       double sum = r->trial_scores[t] + ratios[t];
       r->trial_scores[t] = sum > 0 ? sum : 0;
-      failed |= sum >= TRIAL_FAILS_AT;
+      failed |= sum >= TRIAL_FAIL_SCORE;
     }
   if (failed)
     fail_trial (r, options, now_us);
@@ -166,7 +167,7 @@
   if (r->state != DETECTION_ON_TRIAL || r->trial_good < r->trial_needed)
     return false;
   for (int t = 0; t < DETECTION_TESTS; t++)
-    if (r->trial_scores[t] >= TRIAL_PASSES_BELOW)
+    if (r->trial_scores[t] >= TRIAL_PASS_SCORE_LIMIT)
       return false;
   return true;
 }
@@ -184,25 +185,27 @@
              const struct readmission_options *options)
 {
   if (options->probe_first)
-    return SHARE_AFTER_PROBES;
-  uint32_t share = SHARE_FIRST;
-  for (uint32_t good = SHARE_DOUBLES_AFTER;
-       good <= r->trial_good && share < SHARE_LAST;
-       good += SHARE_DOUBLES_AFTER)
+    return PROBED_TRIAL_SHARE_PERMILLE;
+  uint32_t share = TRIAL_SHARE_MIN_PERMILLE;
+  for (uint32_t good = TRIAL_SHARE_DOUBLING_GOOD;
+       good <= r->trial_good && share < TRIAL_SHARE_MAX_PERMILLE;
+       good += TRIAL_SHARE_DOUBLING_GOOD)
     share *= 2;
   return share;
 }
 
 static uint32_t
-warm_share (const struct readmission *r,
-            const struct readmission_options *options, int64_t now_us)
+warm_up_share (const struct readmission *r,
+               const struct readmission_options *options, int64_t now_us)
 {
   int64_t length = r->until_us - r->since_us;
   if (length <= 0 || now_us >= r->until_us)
-    return SHARE_FULL;
-  uint32_t first = options->probe_first ? SHARE_AFTER_PROBES : SHARE_LAST;
+    return FULL_SHARE_PERMILLE;
+  uint32_t first = options->probe_first ? PROBED_TRIAL_SHARE_PERMILLE
+                                        : TRIAL_SHARE_MAX_PERMILLE;
   return first
-         + (uint32_t)((SHARE_FULL - first) * (now_us - r->since_us) / length);
+         + (uint32_t)((FULL_SHARE_PERMILLE - first) * (now_us - r->since_us)
+                      / length);
 }
 
 uint32_t
@@ -218,9 +221,9 @@
     case DETECTION_ON_TRIAL:
       return trial_share (r, options);
     case DETECTION_WARMING:
-      return warm_share (r, options, now_us);
+      return warm_up_share (r, options, now_us);
     case DETECTION_IN_SERVICE:
       break;
     }
-  return SHARE_FULL;
+  return FULL_SHARE_PERMILLE;
 }
--- a/policy/detection/readmission.h
+++ b/policy/detection/readmission.h
@@ -1,12 +1,13 @@
 /** @file
- * One target's way out of service and back: ejected for a back-off, on trial
- * with a trickle of real requests, warming up, in service.
+ * The ejection and return of one target: ejected for a back-off time, on trial
+ * with a small share of real requests, warming up, in service.
  *
- * A health endpoint that always says yes must not readmit, so only real
- * requests end a trial.  A service without repeatable routes sends its first
- * trial request only after probes have succeeded, and a smaller trickle.
- * Back-off doubles with each ejection that follows soon after a return, and
- * is forgiven with time in service.
+ * A health endpoint that always reports healthy must not readmit a target, so
+ * only real requests end a trial.  A service without repeatable routes sends
+ * its first trial request only after probes have succeeded, and uses a smaller
+ * trial share.  The back-off doubles with each ejection that follows soon
+ * after a return, and the number of counted ejections decreases with time in
+ * service.
  */
 #ifndef POLICY_DETECTION_READMISSION_H
 #define POLICY_DETECTION_READMISSION_H
@@ -29,54 +30,57 @@
 {
   enum detection_state state;
   int64_t since_us;
-  int64_t until_us;      /**< end of back-off or of warming */
-  int64_t flap_decay_us; /**< when a flap was last forgiven */
+  int64_t until_us;      /**< end of the back-off or of the warm-up */
+  int64_t flap_decay_us; /**< when the flap count last decayed */
   uint32_t flaps;
-  uint32_t probes_good;  /**< in a row */
-  uint32_t trial_good;   /**< good outcomes on this trial */
-  uint32_t trial_needed; /**< good outcomes a trial takes */
-  /** A fault's evidence on this trial, by test. */
+  uint32_t probes_good;  /**< consecutive */
+  uint32_t trial_good;   /**< successful requests on this trial */
+  uint32_t trial_needed; /**< successful requests needed to pass */
+  /** The score of this trial by each test. */
   double trial_scores[DETECTION_TESTS];
 };
 
 void readmission_init (struct readmission *r, int64_t now_us);
 
-/** The target was taken out of service. */
+/** Ejects the target if it is in service or warming. */
 void readmission_eject (struct readmission *r,
                         const struct readmission_options *options,
                         int64_t now_us);
 
-/** The target was put back. */
+/** Returns the target to service; it starts to warm up. */
 void readmission_reinstate (struct readmission *r,
                             const struct readmission_options *options,
                             int64_t now_us);
 
-/** Let time pass: back-off ends, warming ends, flaps are forgiven. */
+/** Advances to NOW_US: ends the back-off or the warm-up and decays the flap
+ * count. */
 void readmission_tick (struct readmission *r,
                        const struct readmission_options *options,
                        int64_t now_us);
 
-/** A probe ended. */
+/** Reports the result of a probe. */
 void readmission_probe_result (struct readmission *r,
                                const struct readmission_options *options,
                                int64_t now_us, bool ok);
 
-/** Real requests on trial ended, GOOD of them well, with the log-likelihood
- * RATIOS of a fault by each test.  A trial that fails ejects again, for
- * longer.
- * @return true when it failed */
+/** Reports real requests of a trial: GOOD of them succeeded, and RATIOS are
+ * the log-likelihood ratios by each test.  A failed trial ejects the target
+ * again, for longer.
+ * @return true if the trial failed */
 bool readmission_trial_update (struct readmission *r,
                                const struct readmission_options *options,
                                int64_t now_us, uint32_t good,
                                const double ratios[DETECTION_TESTS]);
 
-/** Has the trial been passed? */
+/** Returns whether the trial is passed. */
 bool readmission_trial_passed (const struct readmission *r);
 
-/** Good outcomes still missing until the trial is passed. */
+/** Returns the number of successful requests still needed to pass the trial.
+ */
 uint32_t readmission_good_needed (const struct readmission *r);
 
-/** Share of its even share of traffic that the target gets now, in 1/1000. */
+/** Returns the current traffic share of the target, in permille of an even
+ * share. */
 uint32_t readmission_share_permille (const struct readmission *r,
                                      const struct readmission_options *options,
                                      int64_t now_us);
--- a/policy/detection/recorder.c
+++ b/policy/detection/recorder.c
@@ -7,11 +7,11 @@
 
 enum
 {
-  FIRST_CAPACITY = 16, /* power of two */
-  URGENT_FAILURES = 1, /* since the last report */
-  URGENT_SHARE = 8,    /* at least one failure in so many requests */
-  SLOW_PERCENT = 5,    /* of all latencies are called slow */
-  SLOW_EVIDENCE = 100  /* latencies needed to say what is slow */
+  INITIAL_CAPACITY = 16, /* power of two */
+  URGENT_FAILURES = 1,   /* since the last report, for an urgent report */
+  URGENT_REQUESTS_PER_FAILURE = 8, /* maximum, for an urgent report */
+  SLOW_SHARE_PERCENT = 5,          /* share of latencies that count as slow */
+  SLOW_LATENCIES_MIN = 100         /* needed to set the limit */
 };
 
 struct slot
@@ -21,14 +21,15 @@
   struct detection_evidence evidence;
 };
 
-/* An open-addressed table, at most half full, so that probes stay short. */
+/* An open-addressed hash table, at most half full to keep probe sequences
+   short. */
 struct detection_recorder
 {
   struct slot *slots;
-  size_t capacity; /* power of two */
-  size_t next;     /* where taking goes on */
-  int64_t slow_us; /* from here on a cancelled attempt counts as slow */
-  uint32_t latency[DETECTION_LATENCY_BUCKETS]; /* halved as it fills */
+  size_t capacity;  /* power of two */
+  size_t next_slot; /* where the next collection continues */
+  int64_t slow_us;  /* a cancelled attempt counts as slow from here on */
+  uint32_t latency[DETECTION_LATENCY_BUCKETS]; /* halved if large */
 };
 
 static struct slot *
@@ -44,7 +45,7 @@
 detection_recorder_create (void)
 {
   struct detection_recorder *recorder = xcalloc (1, sizeof *recorder);
-  recorder->capacity = FIRST_CAPACITY;
+  recorder->capacity = INITIAL_CAPACITY;
   recorder->slots = xcalloc (recorder->capacity, sizeof *recorder->slots);
   recorder->slow_us = INT64_MAX;
   return recorder;
@@ -63,7 +64,7 @@
 detection_recorder_set_targets (struct detection_recorder *recorder,
                                 const uint64_t *keys, size_t count)
 {
-  size_t capacity = FIRST_CAPACITY;
+  size_t capacity = INITIAL_CAPACITY;
   while (capacity < 2 * count)
     capacity *= 2;
   struct slot *slots = xcalloc (capacity, sizeof *slots);
@@ -79,7 +80,7 @@
   free (recorder->slots);
   recorder->slots = slots;
   recorder->capacity = capacity;
-  recorder->next = 0;
+  recorder->next_slot = 0;
 }
 
 bool
@@ -94,13 +95,15 @@
   detection_evidence_add (evidence, end, latency_us, recorder->slow_us);
   return evidence->failures != failures
          && evidence->failures >= URGENT_FAILURES
-         && evidence->failures * (uint64_t)URGENT_SHARE >= evidence->requests;
+         && evidence->failures * (uint64_t)URGENT_REQUESTS_PER_FAILURE
+                >= evidence->requests;
 }
 
-/* The service's own high quantile as this host sees it. */
+/* Updates the latency from which on this host counts an attempt as slow, a
+   high quantile of the service's latencies. */
 static void
-learn_slow (struct detection_recorder *recorder,
-            const struct detection_evidence *evidence)
+update_slow_limit (struct detection_recorder *recorder,
+                   const struct detection_evidence *evidence)
 {
   uint64_t total = 0;
   for (uint32_t i = 0; i < DETECTION_LATENCY_BUCKETS; i++)
@@ -108,18 +111,18 @@
       recorder->latency[i] += evidence->latency[i];
       total += recorder->latency[i];
     }
-  if (total < SLOW_EVIDENCE)
+  if (total < SLOW_LATENCIES_MIN)
     return;
   uint32_t bucket = DETECTION_LATENCY_BUCKETS;
   uint64_t above = 0;
   while (bucket > 0
          && (above + recorder->latency[bucket - 1]) * 100
-                <= total * SLOW_PERCENT)
+                <= total * SLOW_SHARE_PERCENT)
     above += recorder->latency[--bucket];
   recorder->slow_us = bucket < DETECTION_LATENCY_BUCKETS
                           ? detection_evidence_bucket_min_us (bucket)
                           : INT64_MAX;
-  if (total < 100 * (uint64_t)SLOW_EVIDENCE)
+  if (total < 100 * (uint64_t)SLOW_LATENCIES_MIN)
     return;
   for (uint32_t i = 0; i < DETECTION_LATENCY_BUCKETS; i++)
     recorder->latency[i] /= 2;
@@ -127,16 +130,18 @@
 
 size_t
 detection_recorder_collect (struct detection_recorder *recorder,
-                            struct detection_report_item *items, size_t most)
+                            struct detection_report_item *items,
+                            size_t max_items)
 {
   size_t count = 0;
-  for (size_t seen = 0; seen < recorder->capacity && count < most; seen++)
+  for (size_t i = 0; i < recorder->capacity && count < max_items; i++)
     {
-      struct slot *slot = &recorder->slots[recorder->next];
-      recorder->next = (recorder->next + 1) & (recorder->capacity - 1);
+      struct slot *slot = &recorder->slots[recorder->next_slot];
+      recorder->next_slot
+          = (recorder->next_slot + 1) & (recorder->capacity - 1);
       if (!slot->used || detection_evidence_empty (&slot->evidence))
         continue;
-      learn_slow (recorder, &slot->evidence);
+      update_slow_limit (recorder, &slot->evidence);
       items[count++] = (struct detection_report_item){
         .target_key = slot->key,
         .evidence = slot->evidence,
--- a/policy/detection/target.c
+++ b/policy/detection/target.c
@@ -5,8 +5,9 @@
 
 #include "base/xmalloc.h"
 
-/* Scores are kept up to this many thresholds. */
-#define SCORE_MOST 1.5
+/* Maximum score, in thresholds.  It bounds how long the score of a recovered
+   target stays above the threshold. */
+#define SCORE_MAX_THRESHOLDS 1.5
 
 struct detection_target *
 detection_target_create (uint64_t key, int64_t now_us)
@@ -44,16 +45,16 @@
     detection_observer_reset (&target->observers[i]);
 }
 
-/* The place of an observer, made if need be.  Hosts beyond the most that are
-   kept apart share a place: they then count as one observer, which makes
-   their evidence weigh less, never more. */
+/* Returns the index of an observer, adding it if needed.  Hosts beyond the
+   maximum share entries: they count as one observer, which gives their
+   evidence less weight, never more. */
 static size_t
 find_observer (struct detection_target *target, uint64_t key, uint64_t dc_key,
                bool is_dc)
 {
   size_t same_kind = 0;
   size_t shared = 0;
-  size_t most = is_dc ? DETECTION_DCS_MAX : DETECTION_HOSTS_MAX;
+  size_t max_observers = is_dc ? DETECTION_DCS_MAX : DETECTION_HOSTS_MAX;
   for (size_t i = 0; i < target->observer_count; i++)
     {
       const struct detection_observer *observer = &target->observers[i];
@@ -61,10 +62,10 @@
         continue;
       if (observer->key == key)
         return i;
-      if (same_kind++ == key % most)
+      if (same_kind++ == key % max_observers)
         shared = i;
     }
-  if (same_kind == most)
+  if (same_kind == max_observers)
     return shared;
   target->observers
       = xreallocarray (target->observers, target->observer_count + 1,
@@ -83,35 +84,35 @@
                              const struct detection_tests *tests,
                              const struct detection_evidence *evidence)
 {
-  struct detection_likelihood weighed = {
+  struct detection_likelihood likelihood = {
     .requests = evidence->requests,
     .failures = evidence->failures,
     .slow = detection_evidence_slow (evidence, tests->slow_bucket),
   };
   uint32_t good = evidence->requests - evidence->failures;
   for (int t = 0; t < DETECTION_REASON_SLOW; t++)
-    weighed.ratios[t]
+    likelihood.ratios[t]
         = cusum_ratio (&tests->tests[t], evidence->failures, good);
   uint32_t latencies = detection_evidence_latencies (evidence);
   if (now_us >= target->cold_until_us)
-    weighed.ratios[DETECTION_REASON_SLOW]
-        = cusum_ratio (&tests->tests[DETECTION_REASON_SLOW], weighed.slow,
-                       latencies - weighed.slow);
-  return weighed;
+    likelihood.ratios[DETECTION_REASON_SLOW]
+        = cusum_ratio (&tests->tests[DETECTION_REASON_SLOW], likelihood.slow,
+                       latencies - likelihood.slow);
+  return likelihood;
 }
 
 static void
-note_report (struct detection_target *target, int64_t now_us,
-             uint32_t requests)
+record_report_times (struct detection_target *target, int64_t now_us,
+                     uint32_t requests)
 {
   enum
   {
-    KEPT = DETECTION_REFERENCE_REQUESTS
+    KEPT_REQUESTS = DETECTION_REFERENCE_REQUESTS
   };
   int64_t *times = target->reported_us;
-  uint32_t fresh = requests < KEPT ? requests : KEPT;
-  memmove (times + fresh, times, (KEPT - fresh) * sizeof *times);
-  for (uint32_t i = 0; i < fresh; i++)
+  uint32_t added = requests < KEPT_REQUESTS ? requests : KEPT_REQUESTS;
+  memmove (times + added, times, (KEPT_REQUESTS - added) * sizeof *times);
+  for (uint32_t i = 0; i < added; i++)
     times[i] = now_us;
 }
 
@@ -137,24 +138,24 @@
     baseline_target_add (&target->history, evidence);
   if (!tests->ready)
     return;
-  struct detection_likelihood weighed
+  struct detection_likelihood likelihood
       = detection_target_likelihood (target, now_us, tests, evidence);
-  double most = SCORE_MOST * tests->threshold;
-  detection_observer_add (&target->observers[host], now_us, &weighed,
-                          &target->totals, most);
-  detection_observer_add (&target->observers[dc], now_us, &weighed,
-                          &target->totals, most);
+  double max_score = SCORE_MAX_THRESHOLDS * tests->threshold;
+  detection_observer_add (&target->observers[host], now_us, &likelihood,
+                          &target->totals, max_score);
+  detection_observer_add (&target->observers[dc], now_us, &likelihood,
+                          &target->totals, max_score);
   if (excluded)
     return;
-  note_report (target, now_us, weighed.requests);
-  target->totals.requests += weighed.requests;
+  record_report_times (target, now_us, likelihood.requests);
+  target->totals.requests += likelihood.requests;
   for (int t = 0; t < DETECTION_TESTS; t++)
     {
-      target->totals.ratios[t] += weighed.ratios[t];
+      target->totals.ratios[t] += likelihood.ratios[t];
       if (target->scores[t] <= 0)
         target->run_start_us[t] = now_us;
       target->scores[t]
-          = cusum_update (target->scores[t], weighed.ratios[t], most);
+          = cusum_update (target->scores[t], likelihood.ratios[t], max_score);
     }
 }
 
@@ -162,13 +163,13 @@
 detection_target_score (const struct detection_target *target,
                         enum detection_reason *reason)
 {
-  double most = 0;
+  double highest = 0;
   *reason = DETECTION_REASON_NONE;
   for (int t = 0; t < DETECTION_TESTS; t++)
-    if (target->scores[t] > most)
+    if (target->scores[t] > highest)
       {
-        most = target->scores[t];
+        highest = target->scores[t];
         *reason = (enum detection_reason)t;
       }
-  return most;
+  return highest;
 }
--- a/policy/detection/target.h
+++ b/policy/detection/target.h
@@ -1,6 +1,6 @@
 /** @file
- * What the owner knows of one target: its scores, who saw what, and where it
- * stands.  Internal to the detector.
+ * The owner's data on one target: scores, evidence by observer, and state.
+ * Internal to the detector.
  */
 #ifndef POLICY_DETECTION_TARGET_H
 #define POLICY_DETECTION_TARGET_H
@@ -18,11 +18,11 @@
 
 enum
 {
-  DETECTION_HOSTS_MAX = 32, /**< observed apart; further ones share places */
-  DETECTION_REFERENCE_REQUESTS = 8 /**< make a target a fresh reference */
+  DETECTION_HOSTS_MAX = 32,        /**< further ones share entries */
+  DETECTION_REFERENCE_REQUESTS = 8 /**< needed for a recent reference */
 };
 
-/** The service's tests as they stand now. */
+/** The service's current tests. */
 struct detection_tests
 {
   struct cusum tests[DETECTION_TESTS];
@@ -38,21 +38,22 @@
   struct baseline_target history;
   struct readmission readmission;
   double scores[DETECTION_TESTS]; /**< without excluded observers */
-  struct detection_totals totals; /**< the same */
+  struct detection_totals totals; /**< likewise */
   struct detection_observer *observers;
   size_t observer_count;
-  int64_t run_start_us[DETECTION_TESTS]; /**< when each score last left 0 */
-  /** When the newest requests were reported, newest first. */
+  int64_t run_start_us[DETECTION_TESTS]; /**< when a score last rose from 0 */
+  /** When the latest requests were reported, latest first. */
   int64_t reported_us[DETECTION_REFERENCE_REQUESTS];
-  int64_t seen_us;       /**< newest evidence; 0: none */
-  int64_t cold_until_us; /**< slowness is excused until then */
-  int64_t crossed_us;    /**< a score reached the threshold; 0: none has */
-  int64_t hint_us;       /**< newest bad hint */
-  uint32_t hints_bad;    /**< in a row */
+  int64_t seen_us;       /**< latest evidence; 0: none */
+  int64_t cold_until_us; /**< slowness is ignored until then */
+  int64_t crossed_us; /**< when a score reached the threshold; 0: none has */
+  int64_t hint_us;    /**< latest hint other than HEALTHY */
+  uint32_t hints_bad; /**< consecutive */
   enum detection_verdict verdict;
-  enum detection_reason reason; /**< of the highest score, or conviction */
-  double score;                 /**< at the last verdict or conviction */
-  int64_t bad_ejected_us;       /**< 0: not of late */
+  enum detection_reason reason; /**< of the highest score or the ejection */
+  double score;                 /**< at the last evaluation */
+  int64_t bad_ejected_us; /**< when it was ejected on a verdict of BAD; 0: not
+                             since its return */
   UT_hash_handle hh;
 };
 
@@ -60,31 +61,32 @@
                                                   int64_t now_us);
 void detection_target_destroy (struct detection_target *target);
 
-/** In the traffic's full view: in service or warming. */
+/** Returns whether the target is in service or warming. */
 bool detection_target_serving (const struct detection_target *target);
 
-/** Start afresh, as after an ejection or a return. */
+/** Clears scores and history, as after an ejection or a reinstatement. */
 void detection_target_reset (struct detection_target *target);
 
-/** Take in evidence on a target in service. */
+/** Adds evidence on a target in service. */
 void detection_target_add (struct detection_target *target, int64_t now_us,
                            uint64_t host_key, uint64_t dc_key,
                            const struct detection_tests *tests,
                            const struct detection_evidence *evidence);
 
-/** What EVIDENCE says by TESTS; slowness of a cold target says nothing. */
+/** Returns the log-likelihood ratios of EVIDENCE by TESTS; slowness of a cold
+ * target is ignored. */
 struct detection_likelihood
 detection_target_likelihood (const struct detection_target *target,
                              int64_t now_us,
                              const struct detection_tests *tests,
                              const struct detection_evidence *evidence);
 
-/** Have enough requests been reported since THEN_US to tell whether the target
- * shares in a fault that began then? */
+/** Returns whether enough requests were reported since THEN_US to tell whether
+ * the target is affected by a fault that began then. */
 bool detection_target_reported_since (const struct detection_target *target,
                                       int64_t then_us);
 
-/** The highest score and its test. */
+/** Returns the highest score and its test. */
 double detection_target_score (const struct detection_target *target,
                                enum detection_reason *reason);
 
--- a/policy/detection/tests/baseline_test.cc
+++ b/policy/detection/tests/baseline_test.cc
@@ -8,8 +8,9 @@
 namespace
 {
 
-/* Two minutes of ten targets, 19 requests a second each; the first BAD of
-   them fail half of their requests, the others one in a hundred. */
+/* Learns from two minutes of ten targets with 19 requests a second each;
+   the first BAD of them fail half of their requests, the others one in a
+   hundred. */
 baseline
 learn (uint32_t bad)
 {
@@ -38,9 +39,9 @@
   return learned;
 }
 
-/* Some targets are gray for minutes because ejection is paused.  If they
-   dragged what counts as normal, no target could be found bad any more. */
-TEST (Baseline, GrayTargetsDontDragIt)
+/* While ejection is paused, failing targets stay in service for minutes.  If
+   they raised the baseline, no target could be evaluated as bad any more. */
+TEST (Baseline, FailingTargetsDontShiftIt)
 {
   for (uint32_t bad = 0; bad <= 4; bad++)
     {
@@ -51,8 +52,8 @@
     }
 }
 
-/* When most targets fail it is no longer theirs: that is what is normal. */
-TEST (Baseline, FollowsWhatMostTargetsDo)
+/* If most targets fail, their share of failures becomes the baseline. */
+TEST (Baseline, FollowsMostTargets)
 {
   EXPECT_GT (learn (10).failures, 0.15);
 }
--- a/policy/detection/tests/detection_differential_test.cc
+++ b/policy/detection/tests/detection_differential_test.cc
@@ -20,12 +20,13 @@
 
 constexpr int64_t second_us = 1000000;
 
-/* Page's test as in the textbook: one outcome at a time, the least partial
-   sum kept, the score being how far the sum is above it. */
-class TextbookCusum
+/* Reference implementation of Page's test: one outcome at a time, with the
+   minimum of the partial sums; the score is the distance of the sum from
+   it. */
+class ReferenceCusum
 {
 public:
-  TextbookCusum (double normal, double faulty)
+  ReferenceCusum (double normal, double faulty)
       : normal_ (normal), faulty_ (faulty)
   {
   }
@@ -35,37 +36,37 @@
   {
     sum_ += bad ? std::log (faulty_ / normal_)
                 : std::log ((1 - faulty_) / (1 - normal_));
-    least_ = std::min (least_, sum_);
+    min_ = std::min (min_, sum_);
   }
 
   double
   score () const
   {
-    return sum_ - least_;
+    return sum_ - min_;
   }
 
 private:
   double normal_;
   double faulty_;
   double sum_ = 0;
-  double least_ = 0;
+  double min_ = 0;
 };
 
-/* Outcome by outcome the score must be the textbook's; in batches it may
+/* Outcome by outcome the score must equal the reference; in batches it may
    only be lower.  The first event that differs is the end of the shortest
    failing prefix. */
-TEST (Differential, CusumIsTheTextbooks)
+TEST (Differential, CusumEqualsReference)
 {
-  constexpr double boundless = 1e300;
+  constexpr double no_limit = 1e300;
   for (uint64_t seed = 1; seed <= 40; seed++)
     {
       rng rng;
       rng_seed (&rng, seed);
       double normal = 0.002 + 0.2 * rng_unit (&rng);
       double faulty = normal + (0.95 - normal) * (0.1 + rng_unit (&rng) * 0.9);
-      double truth = rng_unit (&rng) < 0.5 ? normal : faulty;
+      double actual = rng_unit (&rng) < 0.5 ? normal : faulty;
       cusum test = cusum_make (normal, faulty);
-      TextbookCusum textbook (normal, faulty);
+      ReferenceCusum reference (normal, faulty);
       double single = 0;
       double batched = 0;
       uint32_t hits = 0;
@@ -73,19 +74,19 @@
       uint64_t next_batch = 1 + rng_below (&rng, 40);
       for (int event = 1; event <= 15000; event++)
         {
-          bool bad = rng_unit (&rng) < truth;
-          textbook.add (bad);
+          bool bad = rng_unit (&rng) < actual;
+          reference.add (bad);
           single = cusum_update (single, cusum_ratio (&test, bad, !bad),
-                                 boundless);
-          ASSERT_NEAR (single, textbook.score (),
-                       1e-7 * (1 + textbook.score ()))
+                                 no_limit);
+          ASSERT_NEAR (single, reference.score (),
+                       1e-7 * (1 + reference.score ()))
               << "seed " << seed << ", shortest failing prefix " << event;
           hits += bad;
           misses += !bad;
           if (--next_batch > 0)
             continue;
           batched = cusum_update (batched, cusum_ratio (&test, hits, misses),
-                                  boundless);
+                                  no_limit);
           ASSERT_LE (batched, single + 1e-7 * (1 + single))
               << "seed " << seed << ", shortest failing prefix " << event;
           hits = misses = 0;
@@ -94,7 +95,7 @@
     }
 }
 
-/* Every outcome ever recorded, to be counted anew. */
+/* A recorded outcome, to be counted again. */
 struct Outcome
 {
   uint64_t key;
@@ -137,8 +138,9 @@
   return equal;
 }
 
-/* Random outcomes, target changes and takes against a recount of the list. */
-TEST (Differential, RecorderIsARecount)
+/* Compares random outcomes, target changes and collections with a recount of
+   the list. */
+TEST (Differential, RecorderEqualsRecount)
 {
   for (uint64_t seed = 1; seed <= 50; seed++)
     {
@@ -166,7 +168,7 @@
             }
           if (rng_below (&rng, 200) != 0)
             {
-              /* Some keys are unknown; cancellations all quick. */
+              /* Some keys are unknown; all cancellations are early. */
               uint64_t key = rng_below (&rng, keys.size () + 2) * 8 + seed;
               auto end = (attempt_end)rng_below (&rng, ATTEMPT_CANCELLED + 1);
               int64_t latency_us
@@ -178,10 +180,10 @@
                 outcomes.push_back ({ key, end, latency_us });
               continue;
             }
-          size_t most = 1 + rng_below (&rng, 60);
-          std::vector<detection_report_item> items (most);
-          size_t count
-              = detection_recorder_collect (recorder, items.data (), most);
+          size_t max_items = 1 + rng_below (&rng, 60);
+          std::vector<detection_report_item> items (max_items);
+          size_t count = detection_recorder_collect (recorder, items.data (),
+                                                     max_items);
           for (size_t i = 0; i < count; i++)
             {
               uint64_t key = items[i].target_key;
@@ -194,7 +196,7 @@
                                               }),
                               outcomes.end ());
             }
-          if (count == most)
+          if (count == max_items)
             continue;
           for (const Outcome &o : outcomes)
             {
@@ -206,9 +208,9 @@
     }
 }
 
-/* Any order of reports, hints, probes, ejections and target changes: the
-   advice must stay lawful, also where the caller doesn't follow it. */
-TEST (Differential, AdviceIsLawfulInAnyOrder)
+/* The decisions must be consistent in any order of reports, hints, probes,
+   ejections and target changes, also if the caller doesn't follow them. */
+TEST (Differential, DecisionsAreConsistentInAnyOrder)
 {
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
@@ -220,7 +222,7 @@
       options.backoff_us = second_us;
       detection_detector *detector = detection_detector_create (&options);
       std::vector<uint64_t> keys;
-      /* What the caller did last: out of service or not. */
+      /* Whether the caller last ejected the target. */
       std::map<uint64_t, bool> out;
       uint64_t reported = 0;
       int64_t now_us = 1;
@@ -301,7 +303,7 @@
                          out[d.shares[i].target_key])
                   << where;
             }
-          /* The caller follows now and then. */
+          /* The caller follows some decisions. */
           if (d.eject_count > 0 && rng_below (&rng, 2) == 0)
             {
               uint64_t bad = d.eject[0].target_key;
@@ -319,8 +321,8 @@
     }
 }
 
-/* Callers give up on a hanging target before its deadline: all its attempts
-   end as cancelled.  Those that had already taken long must show. */
+/* If callers give up on a hanging target before its deadline, all its attempts
+   end as cancelled; those that had already been slow must be counted. */
 TEST (Recorder, LongCancelledAttemptsCountAsSlow)
 {
   detection_recorder *recorder = detection_recorder_create ();
@@ -339,7 +341,7 @@
   detection_recorder_destroy (recorder);
 }
 
-TEST (Evidence, DeltaUndoesMergeAndSurvivesARestart)
+TEST (Evidence, DeltaUndoesMergeAndHandlesARestart)
 {
   detection_evidence first{};
   detection_evidence_add (&first, ATTEMPT_ANSWERED, 5000, INT64_MAX);
--- a/policy/detection/tests/fake_pool.c
+++ b/policy/detection/tests/fake_pool.c
@@ -8,13 +8,13 @@
 
 enum
 {
-  REPORT_US = 1000000,
-  HURRIED_US = 100000,
-  STEP_US = 100000,
-  USUAL_LATENCY_US = 20000,
+  REPORT_INTERVAL_US = 1000000,
+  URGENT_REPORT_US = 100000,
+  STEP_INTERVAL_US = 100000,
+  TYPICAL_LATENCY_US = 20000,
   TIMEOUT_US = 1000000,
-  FULL_SHARE = 1000,
-  DRAWS_MOST = 10000
+  FULL_SHARE_PERMILLE = 1000,
+  DRAWS_MAX = 10000
 };
 
 void
@@ -30,12 +30,12 @@
     .now_us = 1,
   };
   for (uint32_t i = 0; i < FAKE_TARGETS_MAX; i++)
-    pool->shares[i] = FULL_SHARE;
+    pool->shares[i] = FULL_SHARE_PERMILLE;
   rng_seed (&pool->rng, seed);
 }
 
 static bool
-is_hit (const struct fake_pool *pool, const struct fake_outcome *o)
+is_affected (const struct fake_pool *pool, const struct fake_outcome *o)
 {
   const struct fake_fault *f = &pool->fault;
   if (o->target >= f->targets || o->now_us < f->start_us
@@ -49,25 +49,26 @@
          || (o->now_us - f->start_us) % f->period_us < f->period_us / 2;
 }
 
-/* Spread by a factor of three or so either way. */
+/* Latencies vary by a factor of about three in both directions. */
 static int64_t
 draw_latency (struct fake_pool *pool, double factor)
 {
   double sum = 0;
   for (int i = 0; i < 4; i++)
     sum += rng_unit (&pool->rng) - 0.5;
-  return (int64_t)(USUAL_LATENCY_US * factor * exp (0.8 * sum));
+  return (int64_t)(TYPICAL_LATENCY_US * factor * exp (0.8 * sum));
 }
 
-/* By share; when nobody has one, as when all were ejected, anyone. */
+/* Draws a target by its share, or any target if all shares are 0, as when all
+   are ejected. */
 static uint32_t
 draw_target (struct fake_pool *pool)
 {
   uint32_t target = 0;
-  for (int tries = 0; tries < DRAWS_MOST; tries++)
+  for (int tries = 0; tries < DRAWS_MAX; tries++)
     {
       target = (uint32_t)rng_below (&pool->rng, pool->targets);
-      if (rng_below (&pool->rng, FULL_SHARE) < pool->shares[target])
+      if (rng_below (&pool->rng, FULL_SHARE_PERMILLE) < pool->shares[target])
         break;
     }
   return target;
@@ -83,13 +84,13 @@
     .target = draw_target (pool),
     .host = (uint32_t)rng_below (&pool->rng, pool->hosts),
   };
-  bool hit = is_hit (pool, &o);
+  bool affected = is_affected (pool, &o);
   double chance = rng_unit (&pool->rng);
   double slow
-      = hit && pool->fault.slow_factor > 0 ? pool->fault.slow_factor : 1;
-  double timeouts = hit ? pool->fault.timeouts : 0;
+      = affected && pool->fault.slow_factor > 0 ? pool->fault.slow_factor : 1;
+  double timeouts = affected ? pool->fault.timeouts : 0;
   double failures = pool->background;
-  if (hit && pool->fault.failures > failures)
+  if (affected && pool->fault.failures > failures)
     failures = pool->fault.failures;
   o.latency_us = draw_latency (pool, slow);
   o.end = ATTEMPT_ANSWERED;
@@ -130,7 +131,7 @@
       detection_recorder_set_targets (fleet->recorders[i], fleet->keys,
                                       pool->targets);
       fleet->reported_us[i]
-          = pool->now_us - (int64_t)i * REPORT_US / pool->hosts;
+          = pool->now_us - (int64_t)i * REPORT_INTERVAL_US / pool->hosts;
     }
   fleet->detector = detection_detector_create (options);
   detection_detector_set_targets (fleet->detector, pool->now_us, fleet->keys,
@@ -161,14 +162,14 @@
 fake_fleet_feed (struct fake_fleet *fleet, const struct fake_outcome *o,
                  struct detection_decisions *decisions)
 {
-  bool hurry = detection_recorder_record (fleet->recorders[o->host],
-                                          fleet->keys[o->target], o->end,
-                                          o->latency_us);
+  bool urgent = detection_recorder_record (fleet->recorders[o->host],
+                                           fleet->keys[o->target], o->end,
+                                           o->latency_us);
   int64_t since_us = o->now_us - fleet->reported_us[o->host];
-  bool hurried = hurry && since_us >= HURRIED_US;
-  if (hurried || since_us >= REPORT_US)
+  bool urgent_report = urgent && since_us >= URGENT_REPORT_US;
+  if (urgent_report || since_us >= REPORT_INTERVAL_US)
     report (fleet, o->now_us, o->host);
-  if (!hurried && o->now_us - fleet->stepped_us < STEP_US)
+  if (!urgent_report && o->now_us - fleet->stepped_us < STEP_INTERVAL_US)
     return false;
   fleet->stepped_us = o->now_us;
   *decisions = detection_detector_step (fleet->detector, o->now_us);
--- a/policy/detection/tests/fake_pool.h
+++ b/policy/detection/tests/fake_pool.h
@@ -1,6 +1,6 @@
 /** @file
- * A seeded stream of request outcomes of one service, and the hosts and the
- * owner that watch it: for tests and benchmarks of detection.
+ * A seeded stream of request outcomes of one service, with the reporting hosts
+ * and the owner, for tests and benchmarks of detection.
  */
 #ifndef POLICY_DETECTION_TESTS_FAKE_POOL_H
 #define POLICY_DETECTION_TESTS_FAKE_POOL_H
@@ -18,16 +18,16 @@
   FAKE_ALL = -1
 };
 
-/** What is wrong, with the first `targets` targets, seen from one dc, one
- * host or from all. */
+/** A fault of the first `targets` targets, observed from one dc, by one host
+ * or by all. */
 struct fake_fault
 {
   uint32_t targets;
-  int32_t dc;   /**< FAKE_ALL: seen from everywhere */
-  int32_t host; /**< FAKE_ALL: by every host */
+  int32_t dc;   /**< FAKE_ALL: observed from all */
+  int32_t host; /**< FAKE_ALL: observed by all */
   int64_t start_us;
   int64_t end_us;     /**< 0: never */
-  int64_t period_us;  /**< bad in the first half of each; 0: always bad */
+  int64_t period_us;  /**< faulty in the first half of each; 0: always */
   double failures;    /**< share of failing requests */
   double timeouts;    /**< share of requests that time out */
   double slow_factor; /**< on latency; 0 is 1 */
@@ -40,7 +40,7 @@
   uint32_t dcs;
   uint32_t hosts;             /**< host H is in dc H % dcs */
   double requests_per_second; /**< per target */
-  double background;          /**< share of failures that is normal */
+  double background;          /**< normal share of failures */
   struct fake_fault fault;
   uint32_t shares[FAKE_TARGETS_MAX]; /**< of an even share, in 1/1000 */
   int64_t now_us;
@@ -74,14 +74,14 @@
                       const struct detection_detector_options *options);
 void fake_fleet_clear (struct fake_fleet *fleet);
 
-/** Record one outcome; hosts report every second, or after a tenth when
- * failures are many; the owner decides after a report that hurried and else
- * every tenth of a second.
+/** Records one outcome.  Hosts report every second, or after 0.1 s if there
+ * are many failures; the owner decides after such an urgent report and
+ * otherwise every 0.1 s.
  * @return whether the owner decided */
 bool fake_fleet_feed (struct fake_fleet *fleet, const struct fake_outcome *o,
                       struct detection_decisions *decisions);
 
-/** The number of the target with KEY. */
+/** Returns the number of the target with KEY. */
 uint32_t fake_fleet_target (const struct fake_fleet *fleet, uint64_t key);
 uint64_t fake_dc_key (uint32_t dc);
 uint64_t fake_host_key (uint32_t host);
--- a/policy/detection/tests/readmission_test.cc
+++ b/policy/detection/tests/readmission_test.cc
@@ -21,9 +21,9 @@
   return options;
 }
 
-/* A target passes its trial and fails again at once, over and over: it must
-   cost callers less each time, but not stay out for ever. */
-TEST (Readmission, BackoffDoublesToABoundAndIsForgiven)
+/* A target that repeatedly passes its trial and fails at once must stay out
+   longer each time, so that fewer requests fail, but only up to a bound. */
+TEST (Readmission, BackoffDoublesToABoundAndDecays)
 {
   readmission_options options = test_options ();
   readmission r;
@@ -47,7 +47,7 @@
 }
 
 /* A failed trial counts as a flap, too. */
-TEST (Readmission, AFailedTrialEjectsForLonger)
+TEST (Readmission, FailedTrialEjectsForLonger)
 {
   readmission_options options = test_options ();
   readmission r;
@@ -62,7 +62,8 @@
   EXPECT_FALSE (readmission_trial_passed (&r));
 }
 
-/* The trickle grows with good answers and the slow start with time. */
+/* The trial share grows with successful requests and the slow start with
+   time. */
 TEST (Readmission, SharesGrow)
 {
   readmission_options options = test_options ();
