--- a/policy/floor/floor_claims.c
+++ b/policy/floor/floor_claims.c
@@ -18,17 +18,19 @@
   return floor_spec_capacity_of (&owner->spec, claim->target);
 }
 
-/* Can an earlier owner still eject the target of CLAIM? */
+/* Returns whether an earlier owner may still eject the target of CLAIM. */
 static bool
-is_held (const struct floor_owner *owner, const struct floor_claim *claim)
+is_enforced_by_predecessor (const struct floor_owner *owner,
+                            const struct floor_claim *claim)
 {
   return claim->inherited && !owner->claims.settled;
 }
 
-/* Capacity above the floor after the old reserve and all claims, those left
-   out that this owner's hosts give back by themselves if RELEASED. */
+/* Returns the capacity above the floor after the old reserve and all claims,
+   if WITHOUT_RELEASED without the releasing ones that expire at the hosts of
+   this owner. */
 static int64_t
-slack_after (const struct floor_owner *owner, bool released)
+slack_after (const struct floor_owner *owner, bool without_released)
 {
   int64_t slack = (int64_t)floor_spec_capacity (&owner->spec)
                   - (int64_t)owner->spec.floor_capacity
@@ -36,8 +38,8 @@
   for (size_t i = 0; i < owner->claims.claim_count; i++)
     {
       const struct floor_claim *claim = &owner->claims.claims[i];
-      if (!released || claim->state != FLOOR_CLAIM_RELEASING
-          || is_held (owner, claim))
+      if (!without_released || claim->state != FLOOR_CLAIM_RELEASING
+          || is_enforced_by_predecessor (owner, claim))
         slack -= capacity_of (owner, claim);
     }
   return slack;
@@ -49,9 +51,9 @@
   return slack_after (owner, false);
 }
 
-/* Half of what is above the floor, at least one target where that fits: all
-   of it would let one lost owner block every ejection for its hold time,
-   none would make every ejection wait for the platform. */
+/* Half of the capacity above the floor, but at least one target if that fits:
+   with all of it a single unreachable owner would block every ejection for its
+   hold time, and with none every ejection would wait for the platform. */
 uint64_t
 floor_claims_reserve (const struct floor_owner *owner)
 {
@@ -68,9 +70,11 @@
   return reserve < (uint64_t)slack ? reserve : (uint64_t)slack;
 }
 
-/* The claim in STATE that is least (or, if WORST, most) bad. */
+/* Returns the claim in STATE with the lowest (or, if HIGHEST, highest)
+   score. */
 static struct floor_claim *
-pick (struct floor_owner *owner, enum floor_claim_state state, bool worst)
+find_by_score (struct floor_owner *owner, enum floor_claim_state state,
+               bool highest)
 {
   struct floor_claim *best = NULL;
   for (size_t i = 0; i < owner->claims.claim_count; i++)
@@ -78,7 +82,7 @@
       struct floor_claim *claim = &owner->claims.claims[i];
       if (claim->state != state)
         continue;
-      if (best == NULL || (claim->score > best->score) == worst)
+      if (best == NULL || (claim->score > best->score) == highest)
         best = claim;
     }
   return best;
@@ -104,17 +108,18 @@
     release_claim (owner, now_ms, claim);
 }
 
-/* Guards against two targets out where one was allowed: a host that missed
-   the reinstatement of the first enforces it until its own time is over, and
-   after a takeover hosts may still obey the earlier owner.  Only then is the
-   capacity granted again. */
+/* A host that missed a reinstatement enforces the ejection until its own time
+   ends, and after a takeover hosts may still obey the earlier owner.  The
+   capacity is granted again only after that; earlier, two targets could be
+   ejected where one is allowed. */
 static void
 free_released (struct floor_owner *owner, int64_t now_ms)
 {
   for (size_t i = owner->claims.claim_count; i > 0; i--)
     {
       struct floor_claim *claim = &owner->claims.claims[i - 1];
-      if (claim->state == FLOOR_CLAIM_RELEASING && !is_held (owner, claim)
+      if (claim->state == FLOOR_CLAIM_RELEASING
+          && !is_enforced_by_predecessor (owner, claim)
           && claim->free_at_ms <= now_ms)
         floor_record_remove (&owner->claims, claim);
     }
@@ -145,35 +150,38 @@
     }
 }
 
-/* Guards against a floor that was raised, or capacity that left, under
-   targets already out: the least bad come back first until it holds.  What an
-   earlier owner may still eject counts in full, as it may have changed its
-   choice among its claims: two owners that each kept a part within the raised
-   floor would breach it together. */
+/* If the floor is raised or capacity is lost under existing ejections, the
+   targets with the lowest score are returned first until the floor holds.
+   What an earlier owner may still eject counts in full, as it may have changed
+   its choice among its claims: two owners that each kept a part within the
+   raised floor would breach it together. */
 static void
-shed (struct floor_owner *owner, int64_t now_ms)
+release_excess (struct floor_owner *owner, int64_t now_ms)
 {
   struct floor_claim *claim;
   while (floor_claims_slack (owner) < 0
-         && (claim = pick (owner, FLOOR_CLAIM_PLANNED, false)) != NULL)
+         && (claim = find_by_score (owner, FLOOR_CLAIM_PLANNED, false))
+                != NULL)
     floor_record_remove (&owner->claims, claim);
   while (slack_after (owner, true) < 0
-         && (claim = pick (owner, FLOOR_CLAIM_EJECTED, false)) != NULL)
+         && (claim = find_by_score (owner, FLOOR_CLAIM_EJECTED, false))
+                != NULL)
     release_claim (owner, now_ms, claim);
   while (floor_stored_min_reserve_left (&owner->stored, &owner->claims,
                                         &owner->spec, false)
              < 0
-         && (claim = pick (owner, FLOOR_CLAIM_EJECTED, false)) != NULL)
+         && (claim = find_by_score (owner, FLOOR_CLAIM_EJECTED, false))
+                != NULL)
     release_claim (owner, now_ms, claim);
 }
 
-/* Eject what is planned, worst first, as far as every record that the
-   platform may hold covers it. */
+/* Ejects planned targets, highest score first, as long as every record that
+   the platform may hold covers them. */
 static void
-promote (struct floor_owner *owner)
+eject_planned (struct floor_owner *owner)
 {
   struct floor_claim *claim;
-  while ((claim = pick (owner, FLOOR_CLAIM_PLANNED, true)) != NULL)
+  while ((claim = find_by_score (owner, FLOOR_CLAIM_PLANNED, true)) != NULL)
     {
       claim->state = FLOOR_CLAIM_EJECTED;
       if (floor_stored_min_reserve_left (&owner->stored, &owner->claims,
@@ -185,12 +193,14 @@
     }
 }
 
-/* Was TARGET told?  Most likely at PLACE, as both lists have one order. */
+/* Returns whether TARGET is in the current decision.  It is most likely at
+   INDEX, as both lists are in the same order. */
 static bool
-told (const struct floor_owner *owner, const char *target, size_t place)
+is_announced (const struct floor_owner *owner, const char *target,
+              size_t index)
 {
-  if (place < owner->announced_count
-      && strcmp (owner->announced[place], target) == 0)
+  if (index < owner->announced_count
+      && strcmp (owner->announced[index], target) == 0)
     return true;
   for (size_t i = 0; i < owner->announced_count; i++)
     if (strcmp (owner->announced[i], target) == 0)
@@ -199,7 +209,7 @@
 }
 
 static bool
-decision_current (const struct floor_owner *owner)
+decision_is_current (const struct floor_owner *owner)
 {
   size_t count = 0;
   for (size_t i = 0; i < owner->claims.claim_count; i++)
@@ -207,7 +217,7 @@
       const struct floor_claim *claim = &owner->claims.claims[i];
       if (claim->state != FLOOR_CLAIM_EJECTED)
         continue;
-      if (!told (owner, claim->target, count))
+      if (!is_announced (owner, claim->target, count))
         return false;
       count++;
     }
@@ -217,7 +227,7 @@
 static void
 rebuild_decision (struct floor_owner *owner)
 {
-  if (decision_current (owner))
+  if (decision_is_current (owner))
     return;
   owner->sequence++;
   owner->announced_count = 0;
@@ -238,14 +248,15 @@
   settle (owner, now_ms);
   free_released (owner, now_ms);
   release_removed (owner, now_ms);
-  shed (owner, now_ms);
-  promote (owner);
+  release_excess (owner, now_ms);
+  eject_planned (owner);
   rebuild_decision (owner);
 }
 
-/* Guards against an earlier owner that is frozen or cut off and doesn't know
-   that it was replaced: what it had claimed stays claimed, what it might have
-   ejected from its reserve counts as ejected, until it is surely over. */
+/* An earlier owner that is suspended or can't reach the platform doesn't know
+   that it was replaced.  Until its decisions have expired, its claims stay,
+   and what it may have ejected from its reserve counts as ejected; otherwise
+   both owners together could breach the floor. */
 void
 floor_claims_begin_ownership (struct floor_owner *owner, int64_t now_ms)
 {
--- a/policy/floor/floor_owner.c
+++ b/policy/floor/floor_owner.c
@@ -7,7 +7,7 @@
 #include "base/xmalloc.h"
 #include "policy/floor/floor_owner_state.h"
 
-static const char *const verdict_names[]
+static const char *const eject_result_names[]
     = { [FLOOR_EJECT_EJECTED] = "ejected",
         [FLOOR_EJECT_PLANNED] = "planned",
         [FLOOR_EJECT_ALREADY] = "already",
@@ -18,9 +18,9 @@
         [FLOOR_EJECT_SETTINGS_BEHIND] = "settings-behind" };
 
 const char *
-floor_eject_result_name (enum floor_eject_result verdict)
+floor_eject_result_name (enum floor_eject_result result)
 {
-  return verdict_names[verdict];
+  return eject_result_names[result];
 }
 
 struct floor_owner *
@@ -68,7 +68,7 @@
   if (!candidate || owner->role != FLOOR_ROLE_NONE)
     return;
   owner->role = FLOOR_ROLE_ACQUIRING;
-  owner->must_read = true;
+  owner->read_needed = true;
 }
 
 void
@@ -80,12 +80,13 @@
 }
 
 static enum floor_eject_result
-refusal (const struct floor_owner *owner, const char *target, bool manual)
+check_ejectable (const struct floor_owner *owner, const char *target,
+                 bool manual)
 {
   if (owner->role != FLOOR_ROLE_OWNER || owner->releasing)
     return FLOOR_EJECT_NOT_OWNER;
-  /* Guards against an owner that hasn't heard of a raised floor which a
-     earlier owner already knew. */
+  /* An owner with older settings could breach a raised floor that an earlier
+     owner already kept. */
   if (owner->spec.version < owner->stored.known.spec_version)
     return FLOOR_EJECT_SETTINGS_BEHIND;
   if (!floor_spec_active (&owner->spec, target))
@@ -96,21 +97,21 @@
 }
 
 static void
-mark (struct floor_claim *claim, uint32_t score, bool manual)
+set_score (struct floor_claim *claim, uint32_t score, bool manual)
 {
   claim->manual = claim->manual || manual;
   claim->score = claim->manual ? UINT32_MAX : score;
 }
 
-/* A target on its way back is still counted, so it may go out again. */
+/* A releasing target is still counted, so it may be ejected again. */
 static enum floor_eject_result
-eject_again (struct floor_owner *owner, struct floor_claim *claim,
-             uint32_t score, bool manual)
+eject_releasing (struct floor_owner *owner, struct floor_claim *claim,
+                 uint32_t score, bool manual)
 {
   if (floor_claims_slack (owner) < 0)
     return FLOOR_EJECT_BELOW_FLOOR;
   claim->state = FLOOR_CLAIM_EJECTED;
-  mark (claim, score, manual);
+  set_score (claim, score, manual);
   return FLOOR_EJECT_EJECTED;
 }
 
@@ -121,12 +122,12 @@
   if (floor_claims_slack (owner)
       < (int64_t)floor_spec_capacity_of (&owner->spec, target))
     return FLOOR_EJECT_BELOW_FLOOR;
-  mark (floor_record_add (&owner->claims, target), score, manual);
+  set_score (floor_record_add (&owner->claims, target), score, manual);
   return FLOOR_EJECT_PLANNED;
 }
 
 static enum floor_eject_result
-verdict_of (const struct floor_claim *claim)
+result_of_claim (const struct floor_claim *claim)
 {
   if (claim == NULL || claim->state == FLOOR_CLAIM_RELEASING)
     return FLOOR_EJECT_BELOW_FLOOR;
@@ -139,23 +140,23 @@
                    const char *target, uint32_t score, bool manual)
 {
   floor_claims_refresh (owner, now_ms);
-  enum floor_eject_result verdict = refusal (owner, target, manual);
-  if (verdict != FLOOR_EJECT_EJECTED)
-    return verdict;
+  enum floor_eject_result result = check_ejectable (owner, target, manual);
+  if (result != FLOOR_EJECT_EJECTED)
+    return result;
   struct floor_claim *claim = floor_record_find (&owner->claims, target);
   if (claim != NULL && claim->state != FLOOR_CLAIM_RELEASING)
     {
-      mark (claim, score, manual);
+      set_score (claim, score, manual);
       return FLOOR_EJECT_ALREADY;
     }
   if (claim != NULL)
-    verdict = eject_again (owner, claim, score, manual);
+    result = eject_releasing (owner, claim, score, manual);
   else
-    verdict = eject_new (owner, target, score, manual);
-  if (verdict == FLOOR_EJECT_BELOW_FLOOR)
-    return verdict;
+    result = eject_new (owner, target, score, manual);
+  if (result == FLOOR_EJECT_BELOW_FLOOR)
+    return result;
   floor_claims_refresh (owner, now_ms);
-  return verdict_of (floor_record_find (&owner->claims, target));
+  return result_of_claim (floor_record_find (&owner->claims, target));
 }
 
 bool
@@ -190,7 +191,7 @@
   if (epoch > owner->highest_epoch)
     owner->highest_epoch = epoch;
   if (owner->role != FLOOR_ROLE_NONE && epoch > owner->stored.known.epoch)
-    owner->must_read = true;
+    owner->read_needed = true;
 }
 
 void
@@ -200,10 +201,10 @@
   if (owner->role != FLOOR_ROLE_OWNER || owner->claims.settled
       || !owner->takeover_settled || epoch + 1 != owner->claims.epoch)
     return;
-  const int64_t over_ms
+  const int64_t expires_ms
       = now_ms + floor_drift_adjusted_ms (owner->options.enforce_ms);
-  if (over_ms < owner->settles_at_ms)
-    owner->settles_at_ms = over_ms;
+  if (expires_ms < owner->settles_at_ms)
+    owner->settles_at_ms = expires_ms;
 }
 
 void
@@ -212,9 +213,9 @@
   floor_claims_refresh (owner, now_ms);
 }
 
-/* Guards against an owner that was frozen: it wakes with its decision ready
-   to be told, long after another took over.  It may tell it only within the
-   time that its successor waits for. */
+/* An owner that was suspended may resume with its decision long after another
+   one took over.  It may send it only within the time that its successor waits
+   for. */
 bool
 floor_owner_decision (struct floor_owner *owner, int64_t now_ms,
                       struct floor_decision *decision)
@@ -275,12 +276,12 @@
 {
   if (owner->role != FLOOR_ROLE_OWNER)
     return 0;
-  const int64_t spare = floor_stored_min_reserve_left (
+  const int64_t left = floor_stored_min_reserve_left (
       &owner->stored, &owner->claims, &owner->spec, true);
   const uint64_t slack = floor_owner_slack (owner);
-  if (spare <= 0)
+  if (left <= 0)
     return 0;
-  return (uint64_t)spare < slack ? (uint64_t)spare : slack;
+  return (uint64_t)left < slack ? (uint64_t)left : slack;
 }
 
 uint64_t
--- a/policy/floor/floor_owner_call.c
+++ b/policy/floor/floor_owner_call.c
@@ -8,9 +8,9 @@
 
 enum
 {
-  /* The record is read this many times within the time that a reading lets
-     an owner go on. */
-  CONFIRMS_PER_AUTHORITY = 4,
+  /* Number of reads of the record within the time for which one read renews
+     the authority. */
+  CONFIRMS_PER_AUTHORITY_PERIOD = 4,
 };
 
 static uint32_t
@@ -20,14 +20,14 @@
 }
 
 static uint64_t
-write_id (struct floor_owner *owner)
+new_write_id (struct floor_owner *owner)
 {
   return rng_next (&owner->rng) | 1;
 }
 
-/* Fill in what every record of this owner says. */
+/* Sets the fields common to all records of this owner. */
 static void
-sign (struct floor_owner *owner, struct floor_record *record)
+set_owner_fields (struct floor_owner *owner, struct floor_record *record)
 {
   snprintf (record->owner, sizeof record->owner, "%s", owner->host);
   record->incarnation = owner->options.incarnation;
@@ -35,10 +35,9 @@
     record->spec_version = owner->spec.version;
 }
 
-/* Guards against a record that somebody deleted: the hosts know a higher
-   epoch than a first record would have, and nobody knows what its owner has
-   ejected.  So the epoch goes on, and all counts as spent for the hold
-   time. */
+/* The record was deleted: the hosts know a higher epoch than a first record
+   would have, and the ejections of its owner are unknown.  So the next epoch
+   is used, and all capacity counts as ejected for the hold time. */
 static void
 assume_deleted (struct floor_owner *owner)
 {
@@ -49,9 +48,9 @@
   owner->takeover_settled = false;
 }
 
-/* The record that takes the service over from the known one. */
+/* Prepares the record that takes over the service from the known one. */
 static void
-draft_takeover (struct floor_owner *owner)
+prepare_takeover (struct floor_owner *owner)
 {
   const struct floor_record *known = &owner->stored.known;
   struct floor_record *next = &owner->claims;
@@ -65,25 +64,25 @@
     assume_deleted (owner);
   if (hold_ms (owner) > next->hold_ms)
     next->hold_ms = hold_ms (owner);
-  sign (owner, next);
+  set_owner_fields (owner, next);
   next->reserve = floor_claims_reserve (owner);
 }
 
 static void
-draft_owned (struct floor_owner *owner)
+prepare_owned (struct floor_owner *owner)
 {
   struct floor_record *next = &owner->claims;
   next->spec_version = owner->stored.known.spec_version;
-  sign (owner, next);
+  set_owner_fields (owner, next);
   next->reserve = floor_claims_reserve (owner);
 }
 
-/* The record that gives the service up.  Nothing is told any more, so what
-   hosts still enforce is over after one enforcement time. */
+/* Prepares the record that releases the service.  No decision is sent any
+   more, so hosts enforce the last one for at most one enforcement time. */
 static void
-draft_release (struct floor_owner *owner)
+prepare_release (struct floor_owner *owner)
 {
-  draft_owned (owner);
+  prepare_owned (owner);
   struct floor_record *next = &owner->claims;
   next->owner[0] = '\0';
   next->incarnation = 0;
@@ -93,14 +92,14 @@
 }
 
 static void
-draft (struct floor_owner *owner)
+prepare_record (struct floor_owner *owner)
 {
   if (owner->role == FLOOR_ROLE_ACQUIRING)
-    draft_takeover (owner);
+    prepare_takeover (owner);
   else if (owner->releasing)
-    draft_release (owner);
+    prepare_release (owner);
   else
-    draft_owned (owner);
+    prepare_owned (owner);
 }
 
 static bool
@@ -108,7 +107,7 @@
 {
   if (owner->role == FLOOR_ROLE_NONE || !owner->has_spec)
     return false;
-  draft (owner);
+  prepare_record (owner);
   return owner->stored.pending_count > 0
          || !floor_record_equivalent (&owner->claims, &owner->stored.known);
 }
@@ -121,8 +120,8 @@
   return (struct floor_request){ .call = FLOOR_CALL_READ };
 }
 
-/* A write that was read back without effect goes out again as it was, under
-   its own id, unless something else is to be written by now. */
+/* A write that a read shows to have had no effect is repeated unchanged, with
+   its id, unless the record to write has changed since. */
 static struct floor_request
 start_write (struct floor_owner *owner, int64_t now_ms)
 {
@@ -133,7 +132,7 @@
     record = &newest->record;
   if (record == NULL)
     {
-      owner->claims.write_id = write_id (owner);
+      owner->claims.write_id = new_write_id (owner);
       record = floor_stored_push (&owner->stored, &owner->claims);
     }
   owner->call_in_flight = FLOOR_CALL_WRITE;
@@ -153,25 +152,26 @@
   floor_claims_refresh (owner, now_ms);
   const bool confirm
       = owner->role == FLOOR_ROLE_OWNER && now_ms >= owner->confirm_at_ms;
-  if (owner->must_read || confirm)
+  if (owner->read_needed || confirm)
     return start_read (owner, now_ms);
   if (write_due (owner))
     return start_write (owner, now_ms);
   return none;
 }
 
-/* The platform was seen to hold our record by a call sent at sent_ms. */
+/* A call sent at call_sent_ms found the record of this owner at the
+   platform. */
 static void
-confirmed (struct floor_owner *owner)
+renew_authority (struct floor_owner *owner)
 {
   const int64_t authority_ms = owner->options.authority_ms;
   owner->authority_until_ms = owner->call_sent_ms + authority_ms;
   owner->confirm_at_ms
-      = owner->call_sent_ms + authority_ms / CONFIRMS_PER_AUTHORITY;
+      = owner->call_sent_ms + authority_ms / CONFIRMS_PER_AUTHORITY_PERIOD;
 }
 
 static void
-replaced (struct floor_owner *owner)
+handle_replaced (struct floor_owner *owner)
 {
   owner->stopped_epoch = owner->claims.epoch;
   floor_claims_end_ownership (owner);
@@ -195,36 +195,37 @@
 }
 
 static void
-owner_read (struct floor_owner *owner, int64_t now_ms,
-            const struct floor_reply *reply)
+handle_owner_read (struct floor_owner *owner, int64_t now_ms,
+                   const struct floor_reply *reply)
 {
   if (reply->version < owner->stored.version)
     {
-      owner->must_read = true;
+      owner->read_needed = true;
       back_off (owner, now_ms);
       return;
     }
-  const bool ours = is_ours (owner, reply->record);
+  const bool own_record = is_ours (owner, reply->record);
   floor_stored_observe (&owner->stored, reply->version, reply->record);
-  if (!ours)
-    replaced (owner);
+  if (!own_record)
+    handle_replaced (owner);
   else
-    confirmed (owner);
+    renew_authority (owner);
 }
 
 static void
-candidate_read (struct floor_owner *owner, int64_t now_ms,
-                const struct floor_reply *reply)
+handle_candidate_read (struct floor_owner *owner, int64_t now_ms,
+                       const struct floor_reply *reply)
 {
   const struct floor_record *record = reply->record;
-  const bool ours = floor_stored_has_write (&owner->stored, record->write_id)
-                    && record->incarnation == owner->options.incarnation
-                    && strcmp (record->owner, owner->host) == 0;
+  const bool own_record
+      = floor_stored_has_write (&owner->stored, record->write_id)
+        && record->incarnation == owner->options.incarnation
+        && strcmp (record->owner, owner->host) == 0;
   floor_stored_observe (&owner->stored, reply->version, record);
-  if (ours)
+  if (own_record)
     {
       floor_claims_begin_ownership (owner, now_ms);
-      confirmed (owner);
+      renew_authority (owner);
       return;
     }
   const bool vacant
@@ -234,10 +235,10 @@
 }
 
 static void
-read_done (struct floor_owner *owner, int64_t now_ms,
-           const struct floor_reply *reply)
+handle_read (struct floor_owner *owner, int64_t now_ms,
+             const struct floor_reply *reply)
 {
-  owner->must_read = false;
+  owner->read_needed = false;
   if (reply->status == FLOOR_REPLY_OK
       && reply->record->epoch > owner->highest_epoch)
     owner->highest_epoch = reply->record->epoch;
@@ -245,19 +246,19 @@
     {
       floor_stored_observe (&owner->stored, 0, NULL);
       if (owner->role == FLOOR_ROLE_OWNER)
-        replaced (owner);
+        handle_replaced (owner);
     }
   else if (owner->role == FLOOR_ROLE_OWNER)
-    owner_read (owner, now_ms, reply);
+    handle_owner_read (owner, now_ms, reply);
   else if (owner->role == FLOOR_ROLE_ACQUIRING)
-    candidate_read (owner, now_ms, reply);
+    handle_candidate_read (owner, now_ms, reply);
   else
     floor_stored_observe (&owner->stored, reply->version, reply->record);
 }
 
 static void
-write_done (struct floor_owner *owner, int64_t now_ms,
-            const struct floor_reply *reply)
+handle_write (struct floor_owner *owner, int64_t now_ms,
+              const struct floor_reply *reply)
 {
   floor_stored_confirm (&owner->stored, reply->version);
   if (owner->stored.known.epoch > owner->highest_epoch)
@@ -269,25 +270,25 @@
     }
   if (owner->role != FLOOR_ROLE_OWNER)
     floor_claims_begin_ownership (owner, now_ms);
-  confirmed (owner);
+  renew_authority (owner);
 }
 
-/* Guards against the answer lost after the write took effect: it is neither
-   taken for failed nor repeated, but read back. */
+/* If the result of a write is lost after it took effect, the write must count
+   neither as failed nor be repeated; the record is read back instead. */
 static void
-call_failed (struct floor_owner *owner, int64_t now_ms, enum floor_call call,
-             enum floor_reply_status status)
+handle_failure (struct floor_owner *owner, int64_t now_ms,
+                enum floor_call call, enum floor_reply_status status)
 {
   struct floor_pending *newest = floor_stored_newest (&owner->stored);
   if (call == FLOOR_CALL_READ)
-    owner->must_read = true;
+    owner->read_needed = true;
   else if (status == FLOOR_REPLY_UNREACHABLE)
     floor_stored_drop_unsent (&owner->stored);
   else
     {
       assert (newest != NULL);
       newest->in_doubt = true;
-      owner->must_read = true;
+      owner->read_needed = true;
     }
   if (status != FLOOR_REPLY_CONFLICT)
     back_off (owner, now_ms);
@@ -299,18 +300,18 @@
 {
   const enum floor_call call = owner->call_in_flight;
   owner->call_in_flight = FLOOR_CALL_NONE;
-  const bool ended
+  const bool succeeded
       = reply->status == FLOOR_REPLY_OK
         || (call == FLOOR_CALL_READ && reply->status == FLOOR_REPLY_NOT_FOUND);
-  if (!ended)
-    call_failed (owner, now_ms, call, reply->status);
+  if (!succeeded)
+    handle_failure (owner, now_ms, call, reply->status);
   else
     {
       owner->backoff_ms = owner->options.retry_ms;
       if (call == FLOOR_CALL_READ)
-        read_done (owner, now_ms, reply);
+        handle_read (owner, now_ms, reply);
       else
-        write_done (owner, now_ms, reply);
+        handle_write (owner, now_ms, reply);
     }
   floor_claims_refresh (owner, now_ms);
 }
--- a/policy/floor/floor_owner_state.h
+++ b/policy/floor/floor_owner_state.h
@@ -1,5 +1,5 @@
 /** @file
- * Inside of floor_owner.h, shared by its sources only.
+ * State of struct floor_owner, shared by its sources.  Internal.
  */
 #ifndef POLICY_FLOOR_FLOOR_OWNER_STATE_H
 #define POLICY_FLOOR_FLOOR_OWNER_STATE_H
@@ -10,9 +10,9 @@
 
 enum
 {
-  /* What two clocks may differ by in rate, and a bit for rounding: five
-     hundred parts in a million is the most that time synchronisation slews,
-     and this is twenty times that. */
+  /* Maximum difference in rate between two clocks, and an allowance for
+     rounding: time synchronisation slews by at most 500 parts per million, and
+     this is twenty times that. */
   FLOOR_DRIFT_PERMILLE = 10,
   FLOOR_ROUNDING_MS = 2,
 };
@@ -23,58 +23,60 @@
   char host[FLOOR_NAME_SIZE];
   struct rng rng;
   enum floor_role role;
-  bool releasing; /* gives up ownership in good order */
+  bool releasing; /* is releasing ownership */
 
   struct floor_spec spec;
   bool has_spec;
 
   struct floor_stored stored;
-  /* The claims as they truly are; epoch, owner and amounts as the next
-     record will have them. */
+  /* The claims with their current states; epoch, owner and amounts are those
+     of the next record. */
   struct floor_record claims;
 
   /* Of the record that was taken over. */
   uint32_t takeover_hold_ms;
   bool takeover_settled;
-  int64_t settles_at_ms; /* when earlier owners are surely over */
+  int64_t settles_at_ms; /* when decisions of earlier owners expire */
 
-  int64_t authority_until_ms; /* until when decisions may be told */
+  int64_t authority_until_ms; /* until when decisions may be sent */
   uint64_t sequence;
-  char (*announced)[FLOOR_NAME_SIZE]; /* as last told */
+  char (*announced)[FLOOR_NAME_SIZE]; /* targets of the current decision */
   size_t announced_count;
 
   enum floor_call call_in_flight;
   int64_t call_sent_ms;
-  bool must_read;
-  int64_t confirm_at_ms; /* when to read the record just to stay owner */
+  bool read_needed;
+  int64_t confirm_at_ms; /* when to read the record to renew the authority */
   int64_t call_not_before_ms;
   uint32_t backoff_ms;
   uint64_t silent_epoch;
-  uint64_t highest_epoch; /* heard of anywhere */
+  uint64_t highest_epoch; /* reported by a record or another host */
   uint64_t stopped_epoch;
 };
 
-/* MS as another clock may count it at most. */
+/* Returns an upper bound of MS as measured by another clock. */
 int64_t floor_drift_adjusted_ms (uint32_t ms);
 
-/* Capacity above the floor after all claims and the old reserve. */
+/* Returns the capacity above the floor after all claims and the old
+   reserve. */
 int64_t floor_claims_slack (const struct floor_owner *owner);
 
-/* The reserve the next record should have. */
+/* Returns the reserve of the next record. */
 uint64_t floor_claims_reserve (const struct floor_owner *owner);
 
-/* Bring the claims up to date with time, settings and what the platform is
-   known to hold, and the decision with the claims. */
+/* Updates the claims to the time, the settings and the state known of the
+   platform, and the decision to the claims. */
 void floor_claims_refresh (struct floor_owner *owner, int64_t now_ms);
 
-/* Bring one claim back: a planned one at once, others in time. */
+/* Releases one claim: a planned one at once, others when hosts no longer
+   enforce it. */
 void floor_claims_release (struct floor_owner *owner, int64_t now_ms,
                            struct floor_claim *claim);
 
-/* Become owner of the known record. */
+/* Starts ownership with the claims of the known record. */
 void floor_claims_begin_ownership (struct floor_owner *owner, int64_t now_ms);
 
-/* No longer owner. */
+/* Ends ownership. */
 void floor_claims_end_ownership (struct floor_owner *owner);
 
 #endif
--- a/policy/floor/floor_record.c
+++ b/policy/floor/floor_record.c
@@ -62,8 +62,8 @@
   return claimed;
 }
 
-/* To every other owner a planned claim is as good as an ejected one, so the
-   step from one to the other needs no write. */
+/* Other owners treat a planned claim as an ejected one, so the step from one
+   to the other needs no write. */
 static bool
 same_claim (const struct floor_claim *a, const struct floor_claim *b)
 {
--- a/policy/floor/floor_record_json.c
+++ b/policy/floor/floor_record_json.c
@@ -9,8 +9,8 @@
 
 #include "base/xmalloc.h"
 
-/* JSON readers in between may round numbers beyond 2^53, and identities use
-   all 64 bits: those are written as text. */
+/* JSON implementations may round numbers beyond 2^53, and ids use all 64 bits,
+   so ids are written as text. */
 enum
 {
   ID_TEXT_SIZE = 17,
@@ -87,8 +87,8 @@
 bad_member (const char *key)
 {
   return status_set (STATUS_INVALID,
-                     "ejection record: member \"%s\" is missing or not as "
-                     "expected; restore the object's last version",
+                     "ejection record: member \"%s\" is missing or "
+                     "invalid; restore the last version of the object",
                      key);
 }
 
@@ -250,8 +250,8 @@
   struct json_object *object = json_tokener_parse (text);
   if (object == NULL)
     return status_set (STATUS_INVALID,
-                       "ejection record: not JSON; restore the object's last "
-                       "version");
+                       "ejection record: not JSON; restore the last version "
+                       "of the object");
   const enum status status = read_record (object, record);
   if (status != STATUS_OK)
     floor_record_clear (record);
--- a/policy/floor/floor_spec.h
+++ b/policy/floor/floor_spec.h
@@ -1,5 +1,5 @@
 /** @file
- * What the floor authority needs to know of a service.
+ * The settings of a service that the floor depends on.
  */
 #ifndef POLICY_FLOOR_FLOOR_SPEC_H
 #define POLICY_FLOOR_FLOOR_SPEC_H
@@ -10,7 +10,7 @@
 
 #define FLOOR_NAME_SIZE 64
 
-/** A target and what it counts towards the floor. */
+/** A target and its capacity towards the floor. */
 struct floor_target
 {
   char name[FLOOR_NAME_SIZE];
@@ -18,35 +18,35 @@
   bool active; /**< false: drained or leaving, counts as no capacity */
 };
 
-/** The service by one version of its settings. */
+/** One version of the settings of a service. */
 struct floor_spec
 {
   uint64_t version;
-  uint32_t floor_capacity; /**< healthy capacity to keep */
-  bool paused;             /**< no automatic ejection */
+  uint32_t floor_capacity; /**< capacity to keep in service */
+  bool paused;             /**< automatic ejection is paused */
   struct floor_target *targets;
   size_t count;
-  bool is_sorted; /**< targets are in the order of their names */
+  bool is_sorted; /**< targets are sorted by name */
 };
 
-/** Capacity of all active targets. */
+/** Returns the capacity of all active targets. */
 uint64_t floor_spec_capacity (const struct floor_spec *spec);
 
-/** What target NAME counts now: 0 when unknown, drained or leaving. */
+/** Returns the capacity of target NAME: 0 if unknown, drained or leaving. */
 uint32_t floor_spec_capacity_of (const struct floor_spec *spec,
                                  const char *name);
 
-/** Is there a target NAME that is active? */
+/** Returns whether target NAME exists and is active. */
 bool floor_spec_active (const struct floor_spec *spec, const char *name);
 
-/** Is there a target NAME, active or not? */
+/** Returns whether target NAME exists, active or not. */
 bool floor_spec_has (const struct floor_spec *spec, const char *name);
 
-/** Make *TO a copy of FROM with its targets sorted, so that they are found by
- * halves, releasing what it held. */
+/** Releases *TO and makes it a copy of FROM with its targets sorted for binary
+ * search. */
 void floor_spec_assign (struct floor_spec *to, const struct floor_spec *from);
 
-/** Release what SPEC holds. */
+/** Releases the memory of SPEC. */
 void floor_spec_clear (struct floor_spec *spec);
 
 #endif
--- a/policy/floor/floor_stored.c
+++ b/policy/floor/floor_stored.c
@@ -3,48 +3,48 @@
 #include <string.h>
 
 void
-floor_stored_clear (struct floor_stored *possible)
+floor_stored_clear (struct floor_stored *stored)
 {
-  floor_record_clear (&possible->known);
+  floor_record_clear (&stored->known);
   for (size_t i = 0; i < FLOOR_PENDING_WRITES_MAX; i++)
-    floor_record_clear (&possible->pending[i].record);
-  possible->pending_count = 0;
-  possible->version = 0;
+    floor_record_clear (&stored->pending[i].record);
+  stored->pending_count = 0;
+  stored->version = 0;
 }
 
 void
-floor_stored_observe (struct floor_stored *possible, uint64_t version,
+floor_stored_observe (struct floor_stored *stored, uint64_t version,
                       const struct floor_record *record)
 {
-  if (version != possible->version)
-    possible->pending_count = 0;
-  possible->version = version;
+  if (version != stored->version)
+    stored->pending_count = 0;
+  stored->version = version;
   if (record != NULL)
-    floor_record_assign (&possible->known, record);
+    floor_record_assign (&stored->known, record);
   else
-    floor_record_clear (&possible->known);
+    floor_record_clear (&stored->known);
 }
 
 struct floor_pending *
-floor_stored_newest (struct floor_stored *possible)
+floor_stored_newest (struct floor_stored *stored)
 {
-  if (possible->pending_count == 0)
+  if (stored->pending_count == 0)
     return NULL;
-  return &possible->pending[possible->pending_count - 1];
+  return &stored->pending[stored->pending_count - 1];
 }
 
 void
-floor_stored_confirm (struct floor_stored *possible, uint64_t version)
+floor_stored_confirm (struct floor_stored *stored, uint64_t version)
 {
-  const struct floor_pending *newest = floor_stored_newest (possible);
-  floor_record_assign (&possible->known, &newest->record);
-  possible->version = version;
-  possible->pending_count = 0;
+  const struct floor_pending *newest = floor_stored_newest (stored);
+  floor_record_assign (&stored->known, &newest->record);
+  stored->version = version;
+  stored->pending_count = 0;
 }
 
-/* Leave in TO only what both records allow. */
+/* Reduces TO to what both records allow. */
 static void
-merge (struct floor_record *to, const struct floor_record *from)
+intersect (struct floor_record *to, const struct floor_record *from)
 {
   if (from->reserve < to->reserve)
     to->reserve = from->reserve;
@@ -55,53 +55,54 @@
 }
 
 static void
-make_room (struct floor_stored *possible)
+merge_oldest (struct floor_stored *stored)
 {
-  merge (&possible->pending[0].record, &possible->pending[1].record);
+  intersect (&stored->pending[0].record, &stored->pending[1].record);
   for (size_t i = 1; i + 1 < FLOOR_PENDING_WRITES_MAX; i++)
     {
-      struct floor_pending *to = &possible->pending[i];
-      floor_record_assign (&to->record, &possible->pending[i + 1].record);
-      to->in_doubt = possible->pending[i + 1].in_doubt;
+      struct floor_pending *to = &stored->pending[i];
+      floor_record_assign (&to->record, &stored->pending[i + 1].record);
+      to->in_doubt = stored->pending[i + 1].in_doubt;
     }
-  possible->pending_count--;
+  stored->pending_count--;
 }
 
 const struct floor_record *
-floor_stored_push (struct floor_stored *possible,
+floor_stored_push (struct floor_stored *stored,
                    const struct floor_record *record)
 {
-  if (possible->pending_count == FLOOR_PENDING_WRITES_MAX)
-    make_room (possible);
-  struct floor_pending *pending = &possible->pending[possible->pending_count];
-  possible->pending_count++;
+  if (stored->pending_count == FLOOR_PENDING_WRITES_MAX)
+    merge_oldest (stored);
+  struct floor_pending *pending = &stored->pending[stored->pending_count];
+  stored->pending_count++;
   floor_record_assign (&pending->record, record);
   pending->in_doubt = false;
   return &pending->record;
 }
 
 void
-floor_stored_drop_unsent (struct floor_stored *possible)
+floor_stored_drop_unsent (struct floor_stored *stored)
 {
-  const struct floor_pending *newest = floor_stored_newest (possible);
+  const struct floor_pending *newest = floor_stored_newest (stored);
   if (newest != NULL && !newest->in_doubt)
-    possible->pending_count--;
+    stored->pending_count--;
 }
 
 bool
-floor_stored_has_write (const struct floor_stored *possible, uint64_t write_id)
+floor_stored_has_write (const struct floor_stored *stored, uint64_t write_id)
 {
-  for (size_t i = 0; i < possible->pending_count; i++)
-    if (possible->pending[i].record.write_id == write_id && write_id != 0)
+  for (size_t i = 0; i < stored->pending_count; i++)
+    if (stored->pending[i].record.write_id == write_id && write_id != 0)
       return true;
   return false;
 }
 
 static int64_t
-spare_of (const struct floor_record *record, const struct floor_record *claims,
-          const struct floor_spec *spec, bool count_releasing)
+reserve_left (const struct floor_record *record,
+              const struct floor_record *claims, const struct floor_spec *spec,
+              bool count_releasing)
 {
-  int64_t spare = (int64_t)record->reserve;
+  int64_t left = (int64_t)record->reserve;
   for (size_t i = 0; i < claims->claim_count; i++)
     {
       const struct floor_claim *claim = &claims->claims[i];
@@ -109,28 +110,29 @@
           || (claim->state == FLOOR_CLAIM_RELEASING && !count_releasing))
         continue;
       if (floor_record_find (record, claim->target) == NULL)
-        spare -= floor_spec_capacity_of (spec, claim->target);
+        left -= floor_spec_capacity_of (spec, claim->target);
     }
-  return spare;
+  return left;
 }
 
-/* Guards against the write whose answer was lost: the record with the claim,
-   the one without it, and an older write that arrives late are all possible,
-   and a next owner may take over from any of them.  What is ejected must be
-   counted by each. */
+/* While the outcome of a write is unknown, the record with the claim, the one
+   without it, and an earlier delayed write are all possible, and the next
+   owner may take over from any of them.  If one of them didn't count an
+   ejected target, that owner could eject others in its place and breach the
+   floor.  So every record must cover what is ejected. */
 int64_t
-floor_stored_min_reserve_left (const struct floor_stored *possible,
+floor_stored_min_reserve_left (const struct floor_stored *stored,
                                const struct floor_record *claims,
                                const struct floor_spec *spec,
                                bool count_releasing)
 {
-  int64_t least = spare_of (&possible->known, claims, spec, count_releasing);
-  for (size_t i = 0; i < possible->pending_count; i++)
+  int64_t min = reserve_left (&stored->known, claims, spec, count_releasing);
+  for (size_t i = 0; i < stored->pending_count; i++)
     {
-      const int64_t spare = spare_of (&possible->pending[i].record, claims,
-                                      spec, count_releasing);
-      if (spare < least)
-        least = spare;
+      const int64_t left = reserve_left (&stored->pending[i].record, claims,
+                                         spec, count_releasing);
+      if (left < min)
+        min = left;
     }
-  return least;
+  return min;
 }
--- a/policy/floor/floor_view.c
+++ b/policy/floor/floor_view.c
@@ -7,10 +7,10 @@
 
 struct floor_view
 {
-  uint64_t known_epoch; /* highest heard of; lower ones don't refresh */
-  uint64_t epoch;       /* of the decision held */
+  uint64_t known_epoch; /* highest one reported; lower ones are ignored */
+  uint64_t epoch;       /* of the current decision */
   uint64_t sequence;
-  int64_t until_ms; /* INT64_MIN: nothing is enforced */
+  int64_t until_ms; /* INT64_MIN: nothing is in force */
   char (*targets)[FLOOR_NAME_SIZE];
   size_t count;
 };
@@ -33,7 +33,7 @@
 }
 
 static bool
-lapse (struct floor_view *view)
+expire (struct floor_view *view)
 {
   const bool changed = view->count > 0;
   view->count = 0;
@@ -53,7 +53,7 @@
 }
 
 static bool
-adopt (struct floor_view *view, const struct floor_decision *decision)
+set_targets (struct floor_view *view, const struct floor_decision *decision)
 {
   if (same_targets (view, decision))
     return false;
@@ -66,13 +66,15 @@
   return true;
 }
 
-/* Guards against two owners at once.  One that was replaced while it was
-   frozen, or is cut off from the platform, goes on telling decisions; obeyed
-   beside the new owner's they would stack below the floor.  Once this host
-   knows the higher epoch the lower one refreshes nothing, and what it
-   ordered before ends by itself; the new owner counts it until then. */
+/* An owner that was replaced while it was suspended, or that can't reach
+   the platform, continues to send decisions.  If a host obeyed them beside
+   those of the new owner, the ejections of both would add up below the
+   floor.  So once this host knows the higher epoch, decisions of the lower
+   one are ignored and its earlier ones expire; the new owner counts them
+   until then. */
 static bool
-outdated (const struct floor_view *view, const struct floor_decision *decision)
+is_outdated (const struct floor_view *view,
+             const struct floor_decision *decision)
 {
   if (decision->epoch < view->known_epoch)
     return true;
@@ -83,22 +85,22 @@
 floor_view_apply (struct floor_view *view, int64_t now_ms, int64_t poll_ms,
                   const struct floor_decision *decision)
 {
-  const bool lapsed = floor_view_tick (view, now_ms);
-  if (poll_ms > now_ms || outdated (view, decision))
-    return lapsed;
+  const bool expired = floor_view_tick (view, now_ms);
+  if (poll_ms > now_ms || is_outdated (view, decision))
+    return expired;
   const bool known
       = decision->epoch == view->epoch && decision->sequence == view->sequence;
   const int64_t until_ms = poll_ms + decision->enforce_ms;
   view->known_epoch = decision->epoch;
   view->epoch = decision->epoch;
   view->sequence = decision->sequence;
-  /* Guards against an answer that was long under way: its time started at
-     the poll, so an old one takes nothing out of work. */
+  /* The time of a decision starts at the poll, so an answer that was delayed
+     beyond it ejects nothing. */
   if (until_ms <= now_ms)
-    return known ? lapsed : lapse (view) || lapsed;
+    return known ? expired : expire (view) || expired;
   if (!known || until_ms > view->until_ms)
     view->until_ms = until_ms;
-  return adopt (view, decision) || lapsed;
+  return set_targets (view, decision) || expired;
 }
 
 void
@@ -111,7 +113,7 @@
 bool
 floor_view_tick (struct floor_view *view, int64_t now_ms)
 {
-  return view->until_ms <= now_ms && lapse (view);
+  return view->until_ms <= now_ms && expire (view);
 }
 
 bool
--- a/policy/floor/tests/floor_model_test.cc
+++ b/policy/floor/tests/floor_model_test.cc
@@ -1,13 +1,13 @@
-// Model test of the floor authority: hosts with clocks of their own, several
-// of which believe to be owner, a platform and a network that lose, delay and
-// cut.  After each event the floor is recounted naively over the targets that
-// any host keeps out of work.
+// Model test of the floor: hosts with clocks of their own, several of which
+// consider themselves owner, and a platform and a network that lose and delay
+// messages and fail.  After each event the floor is checked by a plain count
+// over the targets that any host enforces as ejected.
 //
 // What must hold at each moment t: with the settings in force at any time in
-// [t - SETTLE, t], counting each target's capacity at its best and each
-// ejected one at its least, capacity - ejected anywhere >= lowest floor.
-// While no settings changed within SETTLE this is the floor itself.  SETTLE
-// is the stated bound: the hold time of an owner that can't be heard from.
+// [t - SETTLE, t], counting each target's capacity at its maximum and each
+// ejected one at its minimum, capacity - ejected anywhere >= lowest floor.
+// While no settings changed within SETTLE this is the floor itself.  SETTLE is
+// the stated bound: the hold time of an owner that can't be reached.
 #include <cstdio>
 #include <cstdlib>
 
@@ -21,30 +21,30 @@
 void
 report_shortest (uint64_t seed, uint64_t prefix)
 {
-  std::string fault;
+  std::string violation;
   for (uint64_t s = seed; s < seed + 300; s++)
     {
-      tally counts = {};
-      world w (s, &counts);
+      counters counts = {};
+      simulation w (s, &counts);
       const uint64_t failed = w.run (prefix);
       if (failed == 0)
         continue;
-      seed = failed < prefix || fault.empty () ? s : seed;
+      seed = failed < prefix || violation.empty () ? s : seed;
       prefix = failed;
-      fault = w.fault ();
+      violation = w.violation ();
     }
   ADD_FAILURE () << "seed " << seed << " fails after " << prefix
-                 << " events: " << fault;
+                 << " events: " << violation;
 }
 
 TEST (FloorModel, NeverBelowTheFloorOverAllHosts)
 {
-  tally counts = {};
-  const char *wanted = getenv ("FLOOR_MODEL_EVENTS");
-  const uint64_t events = wanted ? strtoull (wanted, nullptr, 10) : 1000000;
+  counters counts = {};
+  const char *setting = getenv ("FLOOR_MODEL_EVENTS");
+  const uint64_t events = setting ? strtoull (setting, nullptr, 10) : 1000000;
   for (uint64_t seed = 1; counts.events < events; seed++)
     {
-      world w (seed, &counts);
+      simulation w (seed, &counts);
       const uint64_t failed = w.run (20000);
       if (failed > 0)
         {
@@ -57,7 +57,7 @@
           counts.events, counts.ejected, counts.freed, counts.takeovers,
           counts.lost, counts.two_owners, counts.tight,
           counts.outage_ejections);
-  // The model must have gone where the dangers are.
+  // The model must have covered the critical cases.
   EXPECT_GT (counts.ejected, events / 2000);
   EXPECT_GT (counts.takeovers, events / 2000);
   EXPECT_GT (counts.lost, events / 5000);
--- a/policy/floor/tests/floor_owner_test.cc
+++ b/policy/floor/tests/floor_owner_test.cc
@@ -1,4 +1,4 @@
-// One or two owners over a platform of one record, step by step.
+// One or more owners with a platform of one record, step by step.
 #include <string>
 #include <vector>
 
@@ -14,9 +14,9 @@
 constexpr uint32_t enforce_ms = 1000;
 constexpr uint32_t authority_ms = 10000;
 
-// Clocks may differ by a percent; what is counted is never less than this.
+// Maximum duration on a clock that differs by a percent.
 constexpr int64_t
-longest (int64_t ms)
+max_duration (int64_t ms)
 {
   return ms + ms / 100;
 }
@@ -60,8 +60,8 @@
                            targets.data (), targets.size (), false };
     floor_owner_set_spec (owner, now, &s);
   }
-  // One call, if any is due; it ends with STATUS, and a lost write has taken
-  // effect if EFFECT.
+  // Makes one call, if any is due; it ends with STATUS, and a write of unknown
+  // outcome has taken effect if EFFECT.
   floor_call
   call (int64_t now, floor_reply_status status = FLOOR_REPLY_OK,
         bool effect = true)
@@ -113,11 +113,11 @@
     return floor_owner_eject (owner, now, target, score, manual);
   }
   std::string
-  out (int64_t now)
+  ejected (int64_t now)
   {
     floor_decision d;
     if (!floor_owner_decision (owner, now, &d))
-      return "nothing told";
+      return "no decision";
     std::string names;
     for (size_t i = 0; i < d.count; i++)
       names += d.targets[i] + std::string (" ");
@@ -139,7 +139,7 @@
   }
 };
 
-TEST_F (FloorOwner, EjectsFromItsReserveThenByRecordThenNoMore)
+TEST_F (FloorOwner, EjectsFromReserveThenByRecordUpToTheFloor)
 {
   EXPECT_EQ (floor_owner_reserve_left (a.owner), 3U);
   EXPECT_EQ (a.eject (1, "t0"), FLOOR_EJECT_EJECTED);
@@ -148,12 +148,12 @@
   EXPECT_EQ (a.eject (1, "t2", 50), FLOOR_EJECT_BELOW_FLOOR);
   EXPECT_EQ (a.eject (1, "t9"), FLOOR_EJECT_NO_SUCH_TARGET);
   EXPECT_EQ (b.eject (1, "t2"), FLOOR_EJECT_NOT_OWNER);
-  EXPECT_EQ (a.out (1), "t0 ");
+  EXPECT_EQ (a.ejected (1), "t0 ");
   a.settle (2);
-  EXPECT_EQ (a.out (2), "t0 t1 ");
+  EXPECT_EQ (a.ejected (2), "t0 t1 ");
 }
 
-TEST_F (FloorOwner, PausedItEjectsForOperatorsOnly)
+TEST_F (FloorOwner, WhilePausedOnlyOperatorsEject)
 {
   EXPECT_TRUE (floor_owner_pause (a.owner, 1, true));
   EXPECT_FALSE (floor_owner_pause (a.owner, 1, true));
@@ -165,21 +165,21 @@
   EXPECT_TRUE (floor_owner_reinstate (a.owner, 3, "t0", true));
 }
 
-TEST_F (FloorOwner, OfTwoThatMustShrinkTheWorstStaysOut)
+TEST_F (FloorOwner, RaisedFloorKeepsTheHighestScoreEjected)
 {
   a.eject (1, "t0", 5);
   a.settle (1);
   a.eject (2, "t1", 9);
   a.settle (2);
   a.spec (3, 2, 9, { 3, 3, 3, 3 });
-  EXPECT_EQ (a.out (3), "t1 ");
+  EXPECT_EQ (a.ejected (3), "t1 ");
   EXPECT_EQ (a.eject (4, "t0", 50), FLOOR_EJECT_BELOW_FLOOR);
-  EXPECT_EQ (a.out (4), "t1 ");
+  EXPECT_EQ (a.ejected (4), "t1 ");
 }
 
-// Two targets would be out where one was allowed: a host that missed the
-// reinstatement still enforces it, on a clock a little slower than the
-// owner's.
+// A host that missed a reinstatement still enforces the ejection, on a clock a
+// little slower than the owner's.  If the capacity were granted at once, two
+// targets would be ejected where one is allowed.
 TEST_F (FloorOwner, FreedCapacityWaitsForTheSlowestClock)
 {
   a.spec (0, 2, 9, { 3, 3, 3, 3 });
@@ -187,16 +187,17 @@
   EXPECT_EQ (a.eject (100, "t0"), FLOOR_EJECT_EJECTED);
   a.settle (100);
   floor_owner_reinstate (a.owner, 200, "t0", false);
-  EXPECT_EQ (a.out (200), "");
-  EXPECT_EQ (a.eject (200 + longest (enforce_ms) - 1, "t1"),
+  EXPECT_EQ (a.ejected (200), "");
+  EXPECT_EQ (a.eject (200 + max_duration (enforce_ms) - 1, "t1"),
              FLOOR_EJECT_BELOW_FLOOR);
-  EXPECT_EQ (a.eject (200 + longest (enforce_ms) + 10, "t1"),
+  EXPECT_EQ (a.eject (200 + max_duration (enforce_ms) + 10, "t1"),
              FLOOR_EJECT_PLANNED);
 }
 
-// The floor would be breached by two owners: the first is cut off from the
-// platform and spends its reserve on hosts that only it reaches.
-TEST_F (FloorOwner, AnOldReserveCountsUntilItIsSurelyOver)
+// An owner that can't reach the platform uses its reserve on hosts that only
+// it reaches.  If the new owner didn't count that reserve, both together would
+// breach the floor.
+TEST_F (FloorOwner, OldReserveCountsUntilItExpires)
 {
   EXPECT_EQ (a.eject (50, "t0"), FLOOR_EJECT_EJECTED);
   b.own (100);
@@ -204,19 +205,19 @@
   EXPECT_EQ (b.eject (100, "t1"), FLOOR_EJECT_EJECTED);
   b.settle (100);
   EXPECT_EQ (b.eject (101, "t2"), FLOOR_EJECT_BELOW_FLOOR);
-  const int64_t over = 100 + longest (authority_ms + enforce_ms);
-  EXPECT_EQ (b.eject (over - 1, "t2"), FLOOR_EJECT_BELOW_FLOOR);
-  EXPECT_EQ (b.eject (over + 10, "t2"), FLOOR_EJECT_PLANNED);
-  EXPECT_EQ (a.out (authority_ms), "nothing told");
+  const int64_t expiry_ms = 100 + max_duration (authority_ms + enforce_ms);
+  EXPECT_EQ (b.eject (expiry_ms - 1, "t2"), FLOOR_EJECT_BELOW_FLOOR);
+  EXPECT_EQ (b.eject (expiry_ms + 10, "t2"), FLOOR_EJECT_PLANNED);
+  EXPECT_EQ (a.ejected (authority_ms), "no decision");
 }
 
-// The floor would be breached by two owners that each obey it: three targets
-// are out by the record when the floor is raised to allow one.  The first
-// owner, cut off from the platform, changes its choice among them; the next
-// one keeps the worst.
-TEST_F (FloorOwner, AnOverfullRecordLeavesTheChoiceToOneOwner)
+// Three targets are ejected by the record when the floor is raised to allow
+// one.  The first owner, which can't reach the platform, changes its choice
+// among them; the next one keeps the one with the highest score.  Both
+// together would breach the floor.
+TEST_F (FloorOwner, RecordAboveTheFloorLeavesTheChoiceToOneOwner)
 {
-  const int64_t later = 100 + longest (enforce_ms) + 10;
+  const int64_t later = 100 + max_duration (enforce_ms) + 10;
   a.spec (1, 2, 3, { 3, 3, 3, 3 });
   a.settle (1);
   for (const char *t : { "t0", "t1", "t2" })
@@ -224,30 +225,31 @@
       a.eject (2, t, 9);
       a.settle (2);
     }
-  ASSERT_EQ (a.out (2), "t0 t1 t2 ");
+  ASSERT_EQ (a.ejected (2), "t0 t1 t2 ");
   a.spec (100, 3, 9, { 3, 3, 3, 3 });
   b.spec (100, 3, 9, { 3, 3, 3, 3 });
   for (const char *t : { "t0", "t1", "t2" })
     floor_owner_reinstate (a.owner, 100, t, false);
   ASSERT_EQ (a.eject (later, "t1"), FLOOR_EJECT_EJECTED);
   b.own (later);
-  EXPECT_EQ (a.out (later), "t1 ");
-  EXPECT_EQ (b.out (later), "");
+  EXPECT_EQ (a.ejected (later), "t1 ");
+  EXPECT_EQ (b.ejected (later), "");
 }
 
-TEST_F (FloorOwner, AnOwnerThatSaysItStoppedIsOverSooner)
+TEST_F (FloorOwner, StoppedOwnerSettlesEarly)
 {
   b.own (100);
   floor_owner_predecessor_stopped (b.owner, 200, 1);
   EXPECT_FALSE (floor_owner_claims (b.owner)->settled);
-  floor_owner_tick (b.owner, 200 + longest (enforce_ms) + 10);
+  floor_owner_tick (b.owner, 200 + max_duration (enforce_ms) + 10);
   EXPECT_TRUE (floor_owner_claims (b.owner)->settled);
   EXPECT_EQ (floor_owner_slack (b.owner), 6U);
 }
 
-// The floor would be breached: word that an owner long gone has stopped
-// arrives late and is taken for that of the last one.
-TEST_F (FloorOwner, WordOfAnEarlierOwnerSettlesNothing)
+// A notice that an earlier owner stopped arrives late and is taken for that of
+// the last one, so that its claims are dropped too early and the floor is
+// breached.
+TEST_F (FloorOwner, NoticeOfAnEarlierOwnerSettlesNothing)
 {
   b.own (100);
   a.own (200);
@@ -266,23 +268,24 @@
   EXPECT_FALSE (floor_owner_claims (c.owner)->settled);
 }
 
-TEST_F (FloorOwner, AReleasedServiceIsSettledAfterOneEnforcement)
+TEST_F (FloorOwner, ReleasedServiceSettlesAfterOneEnforcement)
 {
   a.eject (1, "t0");
   floor_owner_release (a.owner, 100);
-  EXPECT_EQ (a.out (100), "nothing told");
+  EXPECT_EQ (a.ejected (100), "no decision");
   a.settle (100);
   EXPECT_STREQ (at.record.owner, "");
   b.own (200);
   EXPECT_EQ (floor_owner_claims (b.owner)->old_reserve, 0U);
-  EXPECT_EQ (b.out (200), "t0 ");
-  floor_owner_tick (b.owner, 200 + longest (enforce_ms) + 10);
+  EXPECT_EQ (b.ejected (200), "t0 ");
+  floor_owner_tick (b.owner, 200 + max_duration (enforce_ms) + 10);
   EXPECT_TRUE (floor_owner_claims (b.owner)->settled);
 }
 
-// The floor would be breached by the owner before the last: the last one
-// leaves in good order, and with it what it still had to wait for.
-TEST_F (FloorOwner, AReleaseHandsOnWhatIsStillUnsettled)
+// The last owner releases the service while the one before it may still eject
+// targets.  If the release ended that waiting time, the floor would be
+// breached.
+TEST_F (FloorOwner, ReleaseKeepsTheUnsettledReserve)
 {
   b.own (100);
   floor_owner_release (b.owner, 200);
@@ -293,22 +296,23 @@
   EXPECT_FALSE (floor_owner_claims (a.owner)->settled);
 }
 
-// A target would be out that no record counts: the write that would have
-// allowed it was lost before it took effect, the one before came late.
+// The write that would allow an ejection was lost before it took effect, and
+// an earlier one took effect late.  A target ejected by it would be in no
+// record.
 TEST_F (FloorOwner, OnlyWhatEveryPossibleRecordAllowsIsEjected)
 {
   a.eject (1, "t0");
   ASSERT_EQ (a.call (1, FLOOR_REPLY_UNKNOWN, false), FLOOR_CALL_WRITE);
   EXPECT_EQ (a.eject (2, "t1"), FLOOR_EJECT_PLANNED);
-  EXPECT_EQ (a.out (2), "t0 ");
+  EXPECT_EQ (a.ejected (2), "t0 ");
   EXPECT_EQ (a.call (300), FLOOR_CALL_READ);
-  EXPECT_EQ (a.out (300), "t0 ");
+  EXPECT_EQ (a.ejected (300), "t0 ");
   a.settle (301);
-  EXPECT_EQ (a.out (301), "t0 t1 ");
+  EXPECT_EQ (a.ejected (301), "t0 t1 ");
 }
 
-// As before, with so many lost writes that some are remembered together.
-TEST_F (FloorOwner, ManyLostWritesAllowTheLeastOfAll)
+// As before, with more writes of unknown outcome than are kept separately.
+TEST_F (FloorOwner, ManyUnknownWritesAllowOnlyTheirMinimum)
 {
   for (uint64_t i = 0; i < 9; i++)
     {
@@ -324,7 +328,7 @@
   EXPECT_EQ (floor_owner_reserve_left (a.owner), 0U);
 }
 
-TEST_F (FloorOwner, ALostTakeoverIsReadBack)
+TEST_F (FloorOwner, UnknownTakeoverIsReadBack)
 {
   floor_owner_set_candidate (b.owner, 100, true, UINT64_MAX);
   EXPECT_EQ (b.call (100), FLOOR_CALL_READ);
@@ -336,7 +340,7 @@
   EXPECT_EQ (at.version, version);
 }
 
-TEST_F (FloorOwner, AnUnknownWriteGoesOutAgainUnderItsId)
+TEST_F (FloorOwner, UnknownWriteIsRepeatedWithItsId)
 {
   a.eject (1, "t0");
   const floor_request first = floor_owner_next_request (a.owner, 1);
@@ -347,7 +351,7 @@
   EXPECT_EQ (floor_owner_next_request (a.owner, 200).record->write_id, id);
 }
 
-TEST_F (FloorOwner, TheLoserOfARaceWaitsForTheWinner)
+TEST_F (FloorOwner, LosingCandidateWaitsForTheOwner)
 {
   node c{ "c", &at };
   c.spec (0, 1, 6, { 3, 3, 3, 3 });
@@ -362,19 +366,19 @@
   EXPECT_EQ (floor_owner_epoch (c.owner), 2U);
 }
 
-TEST_F (FloorOwner, AReplacedOwnerStopsAndSaysSo)
+TEST_F (FloorOwner, ReplacedOwnerStopsAndAnnouncesIt)
 {
   b.own (100);
   floor_owner_epoch_seen (a.owner, 150, 2);
   a.settle (150);
-  EXPECT_EQ (a.out (150), "nothing told");
+  EXPECT_EQ (a.ejected (150), "no decision");
   EXPECT_EQ (floor_owner_take_stopped_epoch (a.owner), 1U);
   EXPECT_EQ (floor_owner_take_stopped_epoch (a.owner), 0U);
 }
 
-// The raised floor would be ignored: the new owner's settings are older than
-// those by which the record was written.
-TEST_F (FloorOwner, SettingsBehindTheRecordEjectNothing)
+// The new owner's settings are older than those by which the record was
+// written, so it would ignore a raised floor.
+TEST_F (FloorOwner, OlderSettingsThanTheRecordEjectNothing)
 {
   a.spec (10, 5, 9, { 3, 3, 3, 3 });
   a.settle (10);
@@ -386,9 +390,9 @@
   EXPECT_NE (b.eject (101, "t0"), FLOOR_EJECT_SETTINGS_BEHIND);
 }
 
-// Hosts would ignore every decision and the floor would be counted from
-// nothing: somebody deleted the record.
-TEST_F (FloorOwner, ADeletedRecordIsTakenForAllSpent)
+// The record was deleted.  With a first epoch hosts would ignore every
+// decision, and earlier ejections would not be counted.
+TEST_F (FloorOwner, DeletedRecordCountsAllCapacityAsEjected)
 {
   at.version = 0;
   floor_owner_epoch_seen (b.owner, 100, 1);
@@ -399,21 +403,21 @@
   EXPECT_EQ (b.eject (30001, "t0"), FLOOR_EJECT_EJECTED);
 }
 
-// A target whose capacity grew while it was out on reserve would be counted
-// too small by the next owner.
-TEST_F (FloorOwner, WhatTheReserveNoLongerCoversComesBack)
+// A target whose capacity grew while it was ejected from the reserve would be
+// counted with too little capacity by the next owner.
+TEST_F (FloorOwner, TargetNotCoveredByTheReserveIsReinstated)
 {
   EXPECT_EQ (a.eject (1, "t0"), FLOOR_EJECT_EJECTED);
   a.spec (2, 2, 2, { 9, 3, 3, 3 });
-  EXPECT_EQ (a.out (2), "");
+  EXPECT_EQ (a.ejected (2), "");
 }
 
-TEST_F (FloorOwner, ARemovedTargetIsForgotten)
+TEST_F (FloorOwner, RemovedTargetIsReleased)
 {
   a.eject (1, "t3");
   a.settle (1);
   a.spec (2, 2, 3, { 3, 3, 3 });
-  EXPECT_EQ (a.out (2), "");
+  EXPECT_EQ (a.ejected (2), "");
   a.settle (5000);
   EXPECT_EQ (at.record.claim_count, 0U);
 }
--- a/policy/floor/tests/floor_record_test.cc
+++ b/policy/floor/tests/floor_record_test.cc
@@ -47,7 +47,7 @@
   }
 };
 
-TEST_F (FloorRecord, ComesBackFromItsText)
+TEST_F (FloorRecord, ParsesItsOwnText)
 {
   ASSERT_EQ (floor_record_parse (format (record).c_str (), &other), STATUS_OK);
   EXPECT_TRUE (floor_record_equivalent (&record, &other));
@@ -57,7 +57,7 @@
   EXPECT_EQ (format (record), format (other));
 }
 
-TEST_F (FloorRecord, RefusesWhatIsNotOne)
+TEST_F (FloorRecord, RejectsInvalidText)
 {
   const std::string good = format (record);
   const char *const bad[][2] = { { "\"epoch\":7", "\"epoch\":0" },
@@ -85,7 +85,7 @@
   EXPECT_EQ (floor_record_parse ("[]", &other), STATUS_INVALID);
 }
 
-TEST_F (FloorRecord, APlannedClaimIsAsGoodAsAnEjectedOne)
+TEST_F (FloorRecord, PlannedAndEjectedClaimsAreEquivalent)
 {
   floor_record_assign (&other, &record);
   floor_record_find (&other, "t1")->state = FLOOR_CLAIM_PLANNED;
--- a/policy/floor/tests/floor_simulation.h
+++ b/policy/floor/tests/floor_simulation.h
@@ -1,4 +1,4 @@
-// Hosts, platform and network of the floor's model test, driven by seeded
+// Hosts, platform and network of the model test of the floor, driven by seeded
 // events; see floor_model_test.cc.
 #ifndef POLICY_FLOOR_TESTS_FLOOR_SIMULATION_H
 #define POLICY_FLOOR_TESTS_FLOOR_SIMULATION_H
@@ -7,13 +7,14 @@
 
 namespace
 {
-class world
+class simulation
 {
 public:
-  world (uint64_t seed, tally *counts) : counts_ (counts)
+  simulation (uint64_t seed, counters *counts) : counts_ (counts)
   {
     rng_seed (&rng_, seed);
-    // Calm worlds, and some in which owners change within a hold time.
+    // Some seeds change owners rarely, others several times within a hold
+    // time.
     takeover_permille_ = chance (500) ? 60 : 60 + below (600);
     release_permille_ = chance (700) ? 60 : 600;
     std::vector<floor_target> targets (targets_count);
@@ -30,12 +31,12 @@
         hosts_[i].rate = 0.996 + 0.008 * rng_unit (&rng_);
         hosts_[i].offset_ms = below (1000000);
         start (i);
-        poll_later (i);
+        schedule_poll (i);
       }
-    meddle_later ();
+    schedule_fault ();
   }
 
-  ~world ()
+  ~simulation ()
   {
     for (auto &h : hosts_)
       {
@@ -45,7 +46,8 @@
     floor_record_clear (&stored_);
   }
 
-  // The number of the first event after which an invariant was broken, or 0.
+  // Returns the number of the first event after which an invariant is broken,
+  // or 0.
   uint64_t
   run (uint64_t limit)
   {
@@ -56,17 +58,17 @@
         now_us_ = std::max (now_us_, e.at_us);
         dispatch (e);
         counts_->events++;
-        recount ();
-        if (!fault_.empty ())
+        check_floor ();
+        if (!violation_.empty ())
           return n;
       }
     return 0;
   }
 
   const std::string &
-  fault () const
+  violation () const
   {
-    return fault_;
+    return violation_;
   }
 
 private:
@@ -108,9 +110,9 @@
         host &h = hosts_[e.at_host];
         if (e.incarnation != h.incarnation)
           return;
-        if (h.frozen_until_us > now_us_)
+        if (h.suspended_until_us > now_us_)
           {
-            e.at_us = h.frozen_until_us;
+            e.at_us = h.suspended_until_us;
             queue_.push (e);
             return;
           }
@@ -139,27 +141,28 @@
   }
 
   void
-  poll_later (int i)
+  schedule_poll (int i)
   {
     post (poll_us / 2 + below (poll_us), i, [this, i] { poll (i); });
   }
 
-  // A host asks every other for its decision, drives its calls and wishes.
+  // A host polls every other one for its decision, starts its calls and
+  // requests random changes.
   void
   poll (int i)
   {
     host &h = hosts_[i];
     const int64_t poll_ms = clock_ms (i);
     for (int j = 0; j < hosts_count; j++)
-      if (!cut_[i][j])
+      if (!link_failed_[i][j])
         post (delay_us (), j,
               [this, i, j, poll_ms] { answer_poll (i, j, poll_ms); });
     floor_view_tick (h.view, poll_ms);
     floor_owner_tick (h.owner, poll_ms);
     for (int k = 0; k < 3; k++)
-      wish (i);
-    drive (i);
-    poll_later (i);
+      request_random_change (i);
+    start_call (i);
+    schedule_poll (i);
   }
 
   void
@@ -169,19 +172,21 @@
     floor_owner_epoch_seen (h.owner, clock_ms (j),
                             floor_view_epoch (hosts_[from].view));
     floor_decision d;
-    if (!floor_owner_decision (h.owner, clock_ms (j), &d) || cut_[j][from])
+    if (!floor_owner_decision (h.owner, clock_ms (j), &d)
+        || link_failed_[j][from])
       return;
     std::vector<std::string> names;
     for (size_t k = 0; k < d.count; k++)
       names.emplace_back (d.targets[k]);
-    post (delay_us (), from,
-          [this, from, d, names, poll_ms] { hear (from, d, names, poll_ms); });
-    drive (j);
+    post (delay_us (), from, [this, from, d, names, poll_ms] {
+      receive_decision (from, d, names, poll_ms);
+    });
+    start_call (j);
   }
 
   void
-  hear (int i, floor_decision d, const std::vector<std::string> &names,
-        int64_t poll_ms)
+  receive_decision (int i, floor_decision d,
+                    const std::vector<std::string> &names, int64_t poll_ms)
   {
     std::vector<std::array<char, FLOOR_NAME_SIZE>> buffer (names.size ());
     for (size_t k = 0; k < names.size (); k++)
@@ -191,7 +196,7 @@
   }
 
   void
-  wish (int i)
+  request_random_change (int i)
   {
     host &h = hosts_[i];
     const int64_t now_ms = clock_ms (i);
@@ -213,7 +218,7 @@
   }
 
   void
-  drive (int i)
+  start_call (int i)
   {
     host &h = hosts_[i];
     const floor_request r = floor_owner_next_request (h.owner, clock_ms (i));
@@ -224,7 +229,7 @@
     const bool write = r.call == FLOOR_CALL_WRITE;
     const uint64_t id = ++calls_;
     call_of_[i] = id;
-    // The answer that is given when none came in time.
+    // The result that is given after a timeout.
     post (400000, i, [this, i, id] { reply (i, id, FLOOR_REPLY_UNKNOWN); });
     if (h.platform_out && chance (500))
       {
@@ -277,16 +282,16 @@
   }
 
   // The invariant of the record: every write keeps the floor by the settings
-  // its writer knew, or allows no more than the record it replaces.
+  // of its writer, or allows no more than the record it replaces.
   void
   store (const std::string &text)
   {
     floor_record next = {};
     if (floor_record_parse (text.c_str (), &next) != STATUS_OK)
-      fault_ = "unreadable record";
+      violation_ = "unreadable record";
     else if (version_ > 0
              && (next.epoch < stored_.epoch || next.epoch > stored_.epoch + 1))
-      fault_ = "epoch jumped";
+      violation_ = "epoch jumped";
     else
       check_record (next);
     if (next.epoch > stored_.epoch)
@@ -308,8 +313,8 @@
     const int64_t allowed
         = (int64_t)floor_spec_capacity (&s) - s.floor_capacity;
     if (total > allowed && total > before)
-      fault_ = "record allows " + std::to_string (total) + " of "
-               + std::to_string (allowed);
+      violation_ = "record allows " + std::to_string (total) + " of "
+                   + std::to_string (allowed);
   }
 
   void
@@ -325,14 +330,14 @@
     const floor_reply r = { status, version, &record };
     floor_owner_handle_reply (hosts_[i].owner, clock_ms (i), &r);
     floor_record_clear (&record);
-    drive (i);
+    start_call (i);
   }
 
   void
   announce (int i, uint64_t epoch)
   {
     for (int j = 0; j < hosts_count; j++)
-      if (j != i && !cut_[i][j])
+      if (j != i && !link_failed_[i][j])
         post (delay_us (), j, [this, j, epoch] {
           floor_owner_predecessor_stopped (hosts_[j].owner, clock_ms (j),
                                            epoch);
@@ -340,20 +345,20 @@
   }
 
   void
-  meddle_later ()
+  schedule_fault ()
   {
-    post (2000 + below (40000), -1, [this] { meddle (); });
+    post (2000 + below (40000), -1, [this] { inject_fault (); });
   }
 
   void
-  meddle ()
+  inject_fault ()
   {
     const int i = below (hosts_count);
     host &h = hosts_[i];
     switch (below (14))
       {
       case 0:
-        cut_[i][below (hosts_count)] = chance (300);
+        link_failed_[i][below (hosts_count)] = chance (300);
         break;
       case 1:
         h.platform_out = chance (250);
@@ -366,14 +371,14 @@
         break;
       case 4:
         if (chance (300))
-          h.frozen_until_us = now_us_ + below (2500000);
+          h.suspended_until_us = now_us_ + below (2500000);
         break;
       case 5:
         if (chance (60))
           {
             call_of_[i] = 0;
             start (i);
-            poll_later (i);
+            schedule_poll (i);
           }
         break;
       case 6:
@@ -385,16 +390,16 @@
           floor_owner_release (h.owner, clock_ms (i));
         break;
       default:
-        if (h.frozen_until_us <= now_us_
+        if (h.suspended_until_us <= now_us_
             && chance (vacant () ? 900 : takeover_permille_))
           floor_owner_set_candidate (h.owner, clock_ms (i), chance (800),
                                      chance (300) ? UINT64_MAX
                                                   : stored_.epoch);
       }
-    meddle_later ();
+    schedule_fault ();
   }
 
-  // Does no host believe to be owner?
+  // Returns whether no host considers itself owner.
   bool
   vacant () const
   {
@@ -429,53 +434,55 @@
   }
 
   void
-  recount ()
+  check_floor ()
   {
-    std::set<std::string> out;
+    std::set<std::string> ejected;
     int deciding = 0;
     for (int i = 0; i < hosts_count; i++)
       {
         for (int k = 0; k < targets_count; k++)
           if (floor_view_ejected (hosts_[i].view, clock_ms (i),
                                   target_name (k).c_str ()))
-            out.insert (target_name (k));
+            ejected.insert (target_name (k));
         deciding += floor_owner_role (hosts_[i].owner) == FLOOR_ROLE_OWNER;
       }
     counts_->two_owners += deciding > 1;
     int64_t lowest_floor = INT64_MAX;
-    std::map<std::string, int64_t> most, least;
+    std::map<std::string, int64_t> max_capacity, min_capacity;
     for (auto s = specs_.rbegin ();
-         s != specs_.rend () && s->end_us >= now_us_ - settle_us; s++)
+         s != specs_.rend () && s->end_us >= now_us_ - settle_bound_us; s++)
       {
         lowest_floor = std::min<int64_t> (lowest_floor, s->floor_capacity);
         for (const auto &t : s->targets)
           {
             const int64_t c = s->capacity_of (t.name);
-            most[t.name] = std::max (most[t.name], c);
-            least[t.name]
-                = least.count (t.name) ? std::min (least[t.name], c) : c;
+            max_capacity[t.name] = std::max (max_capacity[t.name], c);
+            min_capacity[t.name] = min_capacity.count (t.name)
+                                       ? std::min (min_capacity[t.name], c)
+                                       : c;
           }
       }
     int64_t slack = -lowest_floor;
-    for (const auto &m : most)
-      slack += m.second - (out.count (m.first) ? least[m.first] : 0);
-    // A floor that no ejection breaches may be above all capacity.
+    for (const auto &m : max_capacity)
+      slack
+          += m.second - (ejected.count (m.first) ? min_capacity[m.first] : 0);
+    // A floor above all capacity is not breached by ejections.
     bool counted = false;
-    for (const auto &name : out)
-      counted |= least[name] > 0;
+    for (const auto &name : ejected)
+      counted |= min_capacity[name] > 0;
     counts_->tight += counted && slack == 0;
     if (slack < 0 && counted)
-      fault_ = "floor short by " + std::to_string (-slack) + " with "
-               + std::to_string (out.size ()) + " targets out";
+      violation_ = "floor short by " + std::to_string (-slack) + " with "
+                   + std::to_string (ejected.size ()) + " targets ejected";
   }
 
-  tally *counts_;
+  counters *counts_;
   rng rng_;
   uint32_t takeover_permille_, release_permille_;
   int64_t now_us_ = 0;
   uint64_t order_ = 0, calls_ = 0;
   host hosts_[hosts_count];
-  bool cut_[hosts_count][hosts_count] = {};
+  bool link_failed_[hosts_count][hosts_count] = {};
   uint64_t call_of_[hosts_count] = {};
   std::priority_queue<event> queue_;
   std::vector<spec> specs_;
@@ -483,7 +490,7 @@
   uint64_t version_ = 0;
   floor_record stored_ = {};
   std::string stored_text_;
-  std::string fault_;
+  std::string violation_;
 };
 }
 
--- a/policy/floor/tests/floor_simulation_types.h
+++ b/policy/floor/tests/floor_simulation_types.h
@@ -1,4 +1,4 @@
-// What the floor's model test is made of; see floor_simulation.h.
+// Types of the model test of the floor; see floor_simulation.h.
 #ifndef POLICY_FLOOR_TESTS_FLOOR_SIMULATION_TYPES_H
 #define POLICY_FLOOR_TESTS_FLOOR_SIMULATION_TYPES_H
 
@@ -28,7 +28,7 @@
 constexpr uint32_t enforce_ms = 200;
 constexpr uint32_t authority_ms = 1200;
 constexpr int64_t poll_us = 60000;
-constexpr int64_t settle_us = (enforce_ms + authority_ms) * 1010 + 40000;
+constexpr int64_t settle_bound_us = (enforce_ms + authority_ms) * 1010 + 40000;
 
 struct spec
 {
@@ -60,17 +60,17 @@
   double rate = 1;
   double offset_ms = 0;
   uint64_t incarnation = 0;
-  int64_t frozen_until_us = 0;
+  int64_t suspended_until_us = 0;
   floor_owner *owner = nullptr;
   floor_view *view = nullptr;
-  bool platform_out = false, platform_in = false; // one-way cuts
+  bool platform_out = false, platform_in = false; // one-way link failures
 };
 
 struct event
 {
   int64_t at_us;
   uint64_t order;
-  int at_host; // -1: the world
+  int at_host; // -1: the simulation
   uint64_t incarnation;
   std::function<void ()> run;
   bool
@@ -80,7 +80,7 @@
   }
 };
 
-struct tally
+struct counters
 {
   uint64_t events, ejected, takeovers, lost, two_owners, tight, freed,
       outage_ejections;
--- a/policy/floor/tests/floor_spec_test.cc
+++ b/policy/floor/tests/floor_spec_test.cc
@@ -11,9 +11,9 @@
 
 namespace
 {
-// A target would count as no capacity: settings list targets in any order,
-// and the search by halves misses it.
-TEST (FloorSpec, ASortedCopyFindsWhatTheListHolds)
+// Settings list targets in any order; if the binary search missed one, it
+// would count as no capacity.
+TEST (FloorSpec, SortedCopyFindsAllTargets)
 {
   struct rng rng;
   rng_seed (&rng, 41);
--- a/policy/floor/tests/floor_view_test.cc
+++ b/policy/floor/tests/floor_view_test.cc
@@ -19,8 +19,8 @@
     floor_view_destroy (view);
   }
   bool
-  hear (int64_t now_ms, int64_t poll_ms, uint64_t epoch, uint64_t sequence,
-        std::initializer_list<const char *> targets)
+  apply (int64_t now_ms, int64_t poll_ms, uint64_t epoch, uint64_t sequence,
+         std::initializer_list<const char *> targets)
   {
     char names[4][FLOOR_NAME_SIZE] = {};
     size_t count = 0;
@@ -30,87 +30,87 @@
     return floor_view_apply (view, now_ms, poll_ms, &decision);
   }
   bool
-  out (int64_t now_ms, const char *target)
+  ejected (int64_t now_ms, const char *target)
   {
     return floor_view_ejected (view, now_ms, target);
   }
 };
 
-TEST_F (FloorView, EnforcesForItsTimeFromThePoll)
+TEST_F (FloorView, EnforcesFromThePollForItsTime)
 {
-  EXPECT_TRUE (hear (1010, 1000, 1, 1, { "a" }));
-  EXPECT_TRUE (out (1099, "a"));
-  EXPECT_FALSE (out (1099, "b"));
-  EXPECT_FALSE (out (1100, "a"));
+  EXPECT_TRUE (apply (1010, 1000, 1, 1, { "a" }));
+  EXPECT_TRUE (ejected (1099, "a"));
+  EXPECT_FALSE (ejected (1099, "b"));
+  EXPECT_FALSE (ejected (1100, "a"));
   EXPECT_FALSE (floor_view_tick (view, 1099));
   EXPECT_TRUE (floor_view_tick (view, 1100));
   EXPECT_FALSE (floor_view_tick (view, 1101));
 }
 
-TEST_F (FloorView, RefreshesWithoutChange)
+TEST_F (FloorView, RenewsWithoutChange)
 {
-  hear (1010, 1000, 1, 1, { "a" });
-  EXPECT_FALSE (hear (1060, 1050, 1, 1, { "a" }));
-  EXPECT_TRUE (out (1149, "a"));
-  EXPECT_FALSE (hear (1070, 1020, 1, 1, { "a" }));
-  EXPECT_TRUE (out (1149, "a"));
+  apply (1010, 1000, 1, 1, { "a" });
+  EXPECT_FALSE (apply (1060, 1050, 1, 1, { "a" }));
+  EXPECT_TRUE (ejected (1149, "a"));
+  EXPECT_FALSE (apply (1070, 1020, 1, 1, { "a" }));
+  EXPECT_TRUE (ejected (1149, "a"));
 }
 
-// A user would see a target without work although its owner counts it as
-// back: the answer to an old poll was held up on the way and arrives when its
-// time is over.
-TEST_F (FloorView, AnAnswerLongUnderWayTakesNothingOut)
+// The answer to an old poll was delayed and arrives when its time is over.  If
+// it were applied, a target that its owner counts as reinstated would be
+// ejected.
+TEST_F (FloorView, DelayedAnswerEjectsNothing)
 {
-  EXPECT_FALSE (hear (1100, 1000, 1, 1, { "a" }));
-  EXPECT_FALSE (out (1100, "a"));
+  EXPECT_FALSE (apply (1100, 1000, 1, 1, { "a" }));
+  EXPECT_FALSE (ejected (1100, "a"));
 }
 
-// A user would see two targets out where one was allowed: the old owner was
-// cut off from the platform, doesn't know of its successor and tells its
-// decision to a host that has already heard the new one.
-TEST_F (FloorView, ALowerEpochRefreshesNothing)
+// The old owner can't reach the platform, has no notice of its successor and
+// sends its decision to a host that already received the new one.  If it were
+// applied, two targets would be ejected where one is allowed.
+TEST_F (FloorView, LowerEpochIsIgnored)
 {
-  hear (1010, 1000, 2, 1, { "b" });
-  EXPECT_FALSE (hear (1020, 1015, 1, 9, { "a" }));
-  EXPECT_FALSE (out (1020, "a"));
-  EXPECT_TRUE (out (1020, "b"));
+  apply (1010, 1000, 2, 1, { "b" });
+  EXPECT_FALSE (apply (1020, 1015, 1, 9, { "a" }));
+  EXPECT_FALSE (ejected (1020, "a"));
+  EXPECT_TRUE (ejected (1020, "b"));
 }
 
-TEST_F (FloorView, AnEpochHeardElsewhereLetsTheLowerOneLapse)
+TEST_F (FloorView, EpochReportedElsewhereLetsTheLowerOneExpire)
 {
-  hear (1010, 1000, 1, 1, { "a" });
+  apply (1010, 1000, 1, 1, { "a" });
   floor_view_epoch_seen (view, 2);
-  EXPECT_FALSE (hear (1050, 1040, 1, 1, { "a" }));
-  EXPECT_TRUE (out (1099, "a"));
-  EXPECT_FALSE (out (1100, "a"));
+  EXPECT_FALSE (apply (1050, 1040, 1, 1, { "a" }));
+  EXPECT_TRUE (ejected (1099, "a"));
+  EXPECT_FALSE (ejected (1100, "a"));
   EXPECT_EQ (floor_view_epoch (view), 2U);
 }
 
-// A user would see a reinstated target lose its work again: two decisions of
-// one owner overtake each other.
-TEST_F (FloorView, DecisionsOvertakingEachOther)
+// Two decisions of one owner arrive out of order.  If the older one were
+// applied, a reinstated target would be ejected again.
+TEST_F (FloorView, ReorderedDecisions)
 {
-  hear (1010, 1000, 1, 2, {});
-  EXPECT_FALSE (hear (1012, 1005, 1, 1, { "a" }));
-  EXPECT_FALSE (out (1012, "a"));
+  apply (1010, 1000, 1, 2, {});
+  EXPECT_FALSE (apply (1012, 1005, 1, 1, { "a" }));
+  EXPECT_FALSE (ejected (1012, "a"));
 }
 
-// A user would see a target out for very long: the answer is to a poll of
-// this host before its machine rebooted and its clock began anew.
-TEST_F (FloorView, APollOfTheFutureIsNotOurs)
+// The answer is to a poll that this host sent before a reboot reset its clock.
+// If it were applied, a target would stay ejected far too long.
+TEST_F (FloorView, PollTimeInTheFutureIsIgnored)
 {
-  EXPECT_FALSE (hear (1000, 500000, 1, 1, { "a" }));
-  EXPECT_FALSE (out (1000, "a"));
+  EXPECT_FALSE (apply (1000, 500000, 1, 1, { "a" }));
+  EXPECT_FALSE (ejected (1000, "a"));
 }
 
-TEST_F (FloorView, TakesTheNewDecisionWhole)
+TEST_F (FloorView, AppliesTheWholeNewDecision)
 {
-  hear (1010, 1000, 1, 1, { "a", "b" });
-  EXPECT_TRUE (hear (1020, 1015, 1, 2, { "b", "c" }));
+  apply (1010, 1000, 1, 1, { "a", "b" });
+  EXPECT_TRUE (apply (1020, 1015, 1, 2, { "b", "c" }));
   const char (*targets)[FLOOR_NAME_SIZE];
   EXPECT_EQ (floor_view_targets (view, &targets), 2U);
-  EXPECT_FALSE (out (1030, "a"));
-  EXPECT_TRUE (out (1030, "c"));
+  EXPECT_FALSE (ejected (1030, "a"));
+  EXPECT_TRUE (ejected (1030, "c"));
   EXPECT_EQ (floor_view_until_ms (view), 1115);
 }
 }
--- a/policy/floor/tests/ticket_table_test.cc
+++ b/policy/floor/tests/ticket_table_test.cc
@@ -1,4 +1,4 @@
-// The ledger against a list that remembers everything, and its text form.
+// The ticket table against a list that keeps every claim, and its text form.
 #include <algorithm>
 #include <cstdio>
 #include <string>
@@ -24,10 +24,10 @@
                     (uint64_t)expires_ms);
 }
 
-struct TicketLedger : testing::Test
+struct TicketTable : testing::Test
 {
   uint64_t key = 99;
-  ticket_table *ledger = make (3);
+  ticket_table *table = make (3);
   ticket first = {};
 
   ticket_table *
@@ -40,20 +40,20 @@
   void
   SetUp () override
   {
-    ASSERT_EQ (ticket_table_issue (ledger, 0, &first), STATUS_OK);
+    ASSERT_EQ (ticket_table_issue (table, 0, &first), STATUS_OK);
   }
-  ~TicketLedger () override
+  ~TicketTable () override
   {
-    ticket_table_destroy (ledger);
+    ticket_table_destroy (table);
   }
   ticket_claim
   claim (int64_t now_ms, const ticket &t)
   {
-    return ticket_table_claim (ledger, now_ms, &t);
+    return ticket_table_claim (table, now_ms, &t);
   }
 };
 
-TEST_F (TicketLedger, TextFormComesBack)
+TEST_F (TicketTable, ParsesItsOwnTextForm)
 {
   char text[TICKET_TEXT_SIZE];
   ticket_format (&first, text);
@@ -69,27 +69,27 @@
   EXPECT_FALSE (ticket_parse (std::string (300, 'h').c_str (), &back));
 }
 
-// A couple would hold two dates: their browser sent the hold again while the
-// first try still ran, or after its answer was lost on the way to them.
-TEST_F (TicketLedger, ASecondClaimNeverRuns)
+// The caller sends a request again while the first one still runs, or after
+// its response was lost.  A second claim would run it twice.
+TEST_F (TicketTable, SecondClaimNeverRuns)
 {
   EXPECT_EQ (claim (1, first), TICKET_CLAIM_RUN);
   EXPECT_EQ (claim (2, first), TICKET_CLAIM_DUPLICATE_RUNNING);
-  ticket_table_finish (ledger, 3, first.sequence, TICKET_END_ANSWERED, 201);
+  ticket_table_finish (table, 3, first.sequence, TICKET_END_ANSWERED, 201);
   EXPECT_EQ (claim (4, first), TICKET_CLAIM_DUPLICATE_ANSWERED);
-  EXPECT_EQ (ticket_table_answer_code (ledger, first.sequence), 201);
+  EXPECT_EQ (ticket_table_answer_code (table, first.sequence), 201);
 }
 
-TEST_F (TicketLedger, OnlyASureNotRunMayRunAgain)
+TEST_F (TicketTable, OnlyNotRunMayRunAgain)
 {
   EXPECT_EQ (claim (1, first), TICKET_CLAIM_RUN);
-  ticket_table_finish (ledger, 2, first.sequence, TICKET_END_NOT_RUN, 0);
+  ticket_table_finish (table, 2, first.sequence, TICKET_END_NOT_RUN, 0);
   EXPECT_EQ (claim (3, first), TICKET_CLAIM_RUN);
-  ticket_table_finish (ledger, 4, first.sequence, TICKET_END_UNKNOWN, 0);
+  ticket_table_finish (table, 4, first.sequence, TICKET_END_UNKNOWN, 0);
   EXPECT_EQ (claim (5, first), TICKET_CLAIM_DUPLICATE_UNKNOWN);
 }
 
-TEST_F (TicketLedger, TellsWhoseTicketItIs)
+TEST_F (TicketTable, IdentifiesTheIssuer)
 {
   ticket other = first;
   snprintf (other.host, sizeof other.host, "south");
@@ -99,9 +99,9 @@
   EXPECT_EQ (claim (1, other), TICKET_CLAIM_WRONG_INCARNATION);
 }
 
-// A payout would run twice: a caller claims a sequence that is issued later
-// to another one, or makes its own ticket's life longer.
-TEST_F (TicketLedger, ATicketNobodyIssuedNeverRuns)
+// A caller claims a sequence that is issued to another one later, or extends
+// the lifetime of its own ticket.  An unrepeatable request would run twice.
+TEST_F (TicketTable, ForgedTicketNeverRuns)
 {
   ticket forged = first;
   forged.expires_ms++;
@@ -112,38 +112,39 @@
   EXPECT_EQ (claim (1, forged), TICKET_CLAIM_FORGED);
 }
 
-// A payout would run twice: its run takes longer than its ticket lives, the
-// claim is dropped at expiry, and the caller sends again.
-TEST_F (TicketLedger, ARunOutlivesItsTicket)
+// A run takes longer than the lifetime of its ticket, the claim is dropped at
+// expiry, and the caller sends again.  An unrepeatable request would run
+// twice.
+TEST_F (TicketTable, RunOutlivesItsTicket)
 {
   EXPECT_EQ (claim (1, first), TICKET_CLAIM_RUN);
   EXPECT_EQ (claim (5000, first), TICKET_CLAIM_DUPLICATE_RUNNING);
-  ticket_table_finish (ledger, 5001, first.sequence, TICKET_END_ANSWERED, 0);
+  ticket_table_finish (table, 5001, first.sequence, TICKET_END_ANSWERED, 0);
   ticket next;
   for (int i = 0; i < 9; i++)
-    ASSERT_EQ (ticket_table_issue (ledger, 6000, &next), STATUS_OK);
-  EXPECT_EQ (ticket_table_count (ledger), 0U);
+    ASSERT_EQ (ticket_table_issue (table, 6000, &next), STATUS_OK);
+  EXPECT_EQ (ticket_table_count (table), 0U);
   EXPECT_EQ (claim (6000, first), TICKET_CLAIM_EXPIRED);
 }
 
-// A hold would be placed twice: the ledger is full, the oldest claim makes
-// room for the newest, and the oldest caller sends again.
-TEST_F (TicketLedger, FullRefusesAndForgetsNothing)
+// The table is full, the oldest claim is replaced by the newest, and the
+// oldest caller sends again.  An unrepeatable request would run twice.
+TEST_F (TicketTable, FullTableRefusesAndKeepsAllClaims)
 {
   std::vector<ticket> tickets (4);
   for (auto &t : tickets)
-    ASSERT_EQ (ticket_table_issue (ledger, 10, &t), STATUS_OK);
+    ASSERT_EQ (ticket_table_issue (table, 10, &t), STATUS_OK);
   for (int i = 0; i < 3; i++)
     EXPECT_EQ (claim (20, tickets[i]), TICKET_CLAIM_RUN);
   EXPECT_EQ (claim (20, tickets[3]), TICKET_CLAIM_FULL);
   ticket refused;
-  EXPECT_EQ (ticket_table_issue (ledger, 20, &refused), STATUS_LIMIT);
+  EXPECT_EQ (ticket_table_issue (table, 20, &refused), STATUS_LIMIT);
   EXPECT_EQ (claim (20, tickets[0]), TICKET_CLAIM_DUPLICATE_RUNNING);
-  ticket_table_finish (ledger, 21, tickets[0].sequence, TICKET_END_NOT_RUN, 0);
+  ticket_table_finish (table, 21, tickets[0].sequence, TICKET_END_NOT_RUN, 0);
   EXPECT_EQ (claim (22, tickets[3]), TICKET_CLAIM_RUN);
 }
 
-// What the list remembers of a ticket.
+// The state of a ticket in the list.
 struct listed
 {
   ticket t;
@@ -155,10 +156,10 @@
     UNKNOWN
   } state
       = UNUSED;
-  int runs = 0; // counted again from 0 by a sure "not run"
+  int runs = 0; // reset to 0 by a "not run"
 };
 
-// What the naive list says a claim must find; FULL is judged apart.
+// Returns the result of a claim by the list; FULL is checked separately.
 ticket_claim
 expected (const listed &l, int64_t now_ms)
 {
@@ -178,7 +179,7 @@
     }
 }
 
-// After expiry the ledger may still know the claim or not; both are refused.
+// After expiry the table may still hold the claim or not; both are refused.
 bool
 agrees (ticket_claim got, ticket_claim want)
 {
@@ -187,7 +188,7 @@
   return got == want || (want == TICKET_CLAIM_EXPIRED && late);
 }
 
-TEST_F (TicketLedger, AgreesWithAListThatForgetsNothing)
+TEST_F (TicketTable, AgreesWithAListOfAllClaims)
 {
   constexpr uint64_t events = 1000000;
   constexpr uint32_t capacity = 64;
@@ -195,13 +196,13 @@
   uint64_t full = 0, duplicates = 0, runs = 0;
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
-      ticket_table_destroy (ledger);
-      ledger = make (capacity);
+      ticket_table_destroy (table);
+      table = make (capacity);
       rng random;
       rng_seed (&random, seed);
       std::vector<listed> list;
-      std::vector<size_t> running; // so that old runs end too
-      // In every other run work piles up, until the ledger is full.
+      std::vector<size_t> running; // so that old runs end, too
+      // With every other seed fewer runs end, so that the table becomes full.
       const uint64_t finish_from = seed % 2 == 0 ? 94 : 60;
       int64_t now_ms = 0;
       for (uint64_t n = 0; n < events / 20; n++)
@@ -211,7 +212,7 @@
           if (act < 25 || list.empty ())
             {
               listed l;
-              if (ticket_table_issue (ledger, now_ms, &l.t) == STATUS_OK)
+              if (ticket_table_issue (table, now_ms, &l.t) == STATUS_OK)
                 list.push_back (l);
               continue;
             }
@@ -229,7 +230,7 @@
                 {
                   full++;
                   ASSERT_EQ (want, TICKET_CLAIM_RUN);
-                  ASSERT_EQ (ticket_table_count (ledger), capacity);
+                  ASSERT_EQ (ticket_table_count (table), capacity);
                   continue;
                 }
               ASSERT_TRUE (agrees (got, want))
@@ -248,7 +249,7 @@
             {
               running.erase (std::find (running.begin (), running.end (), at));
               const ticket_end end = (ticket_end)rng_below (&random, 3);
-              ticket_table_finish (ledger, now_ms, l.t.sequence, end, 0);
+              ticket_table_finish (table, now_ms, l.t.sequence, end, 0);
               l.runs -= end == TICKET_END_NOT_RUN;
               l.state = end == TICKET_END_ANSWERED  ? listed::ANSWERED
                         : end == TICKET_END_UNKNOWN ? listed::UNKNOWN
--- a/policy/floor/ticket.c
+++ b/policy/floor/ticket.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  NUMBERS = 4,
+  NUMBER_COUNT = 4,
   NUMBER_DIGITS_MAX = 16,
 };
 
@@ -20,8 +20,8 @@
             (uint64_t)ticket->expires_ms, ticket->mac);
 }
 
-/* One text form a ticket: two spellings of one ticket would be harmless, yet
-   make logs and caches lie. */
+/* Each ticket has only one text form: two forms would be harmless for
+   at-most-once, but a search of logs or a cache would miss one of them. */
 static bool
 parse_number (const char *text, uint64_t *number)
 {
@@ -34,11 +34,11 @@
   return true;
 }
 
-/* Host names may hold colons, so the numbers are cut off from the end. */
+/* Host names may contain colons, so the numbers are parsed from the end. */
 static bool
-parse_numbers (char *text, uint64_t numbers[NUMBERS])
+parse_numbers (char *text, uint64_t numbers[NUMBER_COUNT])
 {
-  for (int i = NUMBERS - 1; i >= 0; i--)
+  for (int i = NUMBER_COUNT - 1; i >= 0; i--)
     {
       char *colon = strrchr (text, ':');
       if (colon == NULL || !parse_number (colon + 1, &numbers[i]))
@@ -56,7 +56,7 @@
   if (length >= sizeof copy)
     return false;
   memcpy (copy, text, length + 1);
-  uint64_t numbers[NUMBERS];
+  uint64_t numbers[NUMBER_COUNT];
   if (!parse_numbers (copy, numbers))
     return false;
   const size_t host_length = strlen (copy);
--- a/policy/floor/ticket_table.c
+++ b/policy/floor/ticket_table.c
@@ -18,7 +18,7 @@
   ENTRY_UNKNOWN,
 };
 
-/** One claim; entries of a bucket, or the free ones, are chained. */
+/** One claim; the entries of a bucket, and the free ones, are linked. */
 struct entry
 {
   uint64_t sequence;
@@ -38,14 +38,14 @@
   uint32_t bucket_mask;
   uint32_t first_free;
   uint32_t count;
-  uint32_t sweep; /* next entry to look at for expiry */
+  uint32_t next_swept; /* next entry to check for expiry */
 };
 
 enum
 {
-  /* Entries looked at for expiry by each claim: more than one, so that the
-     sweep gains on new claims. */
-  SWEEP_STEPS = 4,
+  /* Entries checked for expiry by each claim: more than one, so that the sweep
+     is faster than new claims. */
+  SWEEP_ENTRIES_PER_CLAIM = 4,
 };
 
 static const char *const claim_names[]
@@ -79,123 +79,123 @@
 {
   assert (options->capacity > 0
           && options->capacity <= TICKET_TABLE_CAPACITY_MAX);
-  struct ticket_table *ledger = xcalloc (1, sizeof *ledger);
+  struct ticket_table *table = xcalloc (1, sizeof *table);
   const uint32_t buckets = bucket_count (options->capacity);
-  ledger->options = *options;
-  snprintf (ledger->host, sizeof ledger->host, "%s", options->host);
-  ledger->options.host = ledger->host;
-  ledger->entries = xcalloc (options->capacity, sizeof *ledger->entries);
-  ledger->buckets = xcalloc (buckets, sizeof *ledger->buckets);
-  ledger->bucket_mask = buckets - 1;
+  table->options = *options;
+  snprintf (table->host, sizeof table->host, "%s", options->host);
+  table->options.host = table->host;
+  table->entries = xcalloc (options->capacity, sizeof *table->entries);
+  table->buckets = xcalloc (buckets, sizeof *table->buckets);
+  table->bucket_mask = buckets - 1;
   for (uint32_t i = 0; i < buckets; i++)
-    ledger->buckets[i] = NO_ENTRY;
+    table->buckets[i] = NO_ENTRY;
   for (uint32_t i = 0; i < options->capacity; i++)
-    ledger->entries[i].next = i + 1 < options->capacity ? i + 1 : NO_ENTRY;
-  return ledger;
+    table->entries[i].next = i + 1 < options->capacity ? i + 1 : NO_ENTRY;
+  return table;
 }
 
 void
-ticket_table_destroy (struct ticket_table *ledger)
+ticket_table_destroy (struct ticket_table *table)
 {
-  if (ledger == NULL)
+  if (table == NULL)
     return;
-  free (ledger->entries);
-  free (ledger->buckets);
-  free (ledger);
+  free (table->entries);
+  free (table->buckets);
+  free (table);
 }
 
 static uint32_t *
-bucket_of (const struct ticket_table *ledger, uint64_t sequence)
+bucket_of (const struct ticket_table *table, uint64_t sequence)
 {
-  return &ledger->buckets[hash_pair (sequence, 0) & ledger->bucket_mask];
+  return &table->buckets[hash_pair (sequence, 0) & table->bucket_mask];
 }
 
 static struct entry *
-find (const struct ticket_table *ledger, uint64_t sequence)
+find (const struct ticket_table *table, uint64_t sequence)
 {
-  uint32_t i = *bucket_of (ledger, sequence);
-  while (i != NO_ENTRY && ledger->entries[i].sequence != sequence)
-    i = ledger->entries[i].next;
-  return i == NO_ENTRY ? NULL : &ledger->entries[i];
+  uint32_t i = *bucket_of (table, sequence);
+  while (i != NO_ENTRY && table->entries[i].sequence != sequence)
+    i = table->entries[i].next;
+  return i == NO_ENTRY ? NULL : &table->entries[i];
 }
 
 static void
-drop (struct ticket_table *ledger, struct entry *entry)
+drop (struct ticket_table *table, struct entry *entry)
 {
-  const uint32_t index = (uint32_t)(entry - ledger->entries);
-  uint32_t *link = bucket_of (ledger, entry->sequence);
+  const uint32_t index = (uint32_t)(entry - table->entries);
+  uint32_t *link = bucket_of (table, entry->sequence);
   while (*link != index)
-    link = &ledger->entries[*link].next;
+    link = &table->entries[*link].next;
   *link = entry->next;
   entry->state = ENTRY_FREE;
-  entry->next = ledger->first_free;
-  ledger->first_free = index;
-  ledger->count--;
+  entry->next = table->first_free;
+  table->first_free = index;
+  table->count--;
 }
 
-/* Guards at-most-once: a claim dropped while its ticket can still be claimed
-   would let a caller's re-send run the request again.  It goes only when the
-   ticket has expired, after which every claim is refused, and when its run
-   has ended. */
+/* If a claim were dropped while its ticket can still be claimed, a request
+   resent by the caller would run a second time.  So it is dropped only after
+   its run has ended and its ticket has expired, when every further claim is
+   refused. */
 static void
-sweep (struct ticket_table *ledger, int64_t now_ms, uint32_t steps)
+sweep_expired (struct ticket_table *table, int64_t now_ms, uint32_t count)
 {
-  for (uint32_t i = 0; i < steps; i++)
+  for (uint32_t i = 0; i < count; i++)
     {
-      struct entry *entry = &ledger->entries[ledger->sweep];
-      ledger->sweep = (ledger->sweep + 1) % ledger->options.capacity;
+      struct entry *entry = &table->entries[table->next_swept];
+      table->next_swept = (table->next_swept + 1) % table->options.capacity;
       const bool ended
           = entry->state == ENTRY_ANSWERED || entry->state == ENTRY_UNKNOWN;
       if (ended && entry->expires_ms <= now_ms)
-        drop (ledger, entry);
+        drop (table, entry);
     }
 }
 
 static bool
-has_room (struct ticket_table *ledger, int64_t now_ms)
+has_free_entry (struct ticket_table *table, int64_t now_ms)
 {
-  sweep (ledger, now_ms, SWEEP_STEPS);
-  if (ledger->first_free == NO_ENTRY)
-    sweep (ledger, now_ms, ledger->options.capacity);
-  return ledger->first_free != NO_ENTRY;
+  sweep_expired (table, now_ms, SWEEP_ENTRIES_PER_CLAIM);
+  if (table->first_free == NO_ENTRY)
+    sweep_expired (table, now_ms, table->options.capacity);
+  return table->first_free != NO_ENTRY;
 }
 
 enum status
-ticket_table_issue (struct ticket_table *ledger, int64_t now_ms,
+ticket_table_issue (struct ticket_table *table, int64_t now_ms,
                     struct ticket *ticket)
 {
-  const struct ticket_table_options *options = &ledger->options;
-  if (!has_room (ledger, now_ms))
+  const struct ticket_table_options *options = &table->options;
+  if (!has_free_entry (table, now_ms))
     return status_set (STATUS_LIMIT,
                        "all %u ticket claims of this host are in use; ask "
                        "another host for a ticket",
                        options->capacity);
   *ticket = (struct ticket){ .incarnation = options->incarnation,
-                             .sequence = ++ledger->last_sequence,
+                             .sequence = ++table->last_sequence,
                              .expires_ms = now_ms + options->lifetime_ms };
-  snprintf (ticket->host, sizeof ticket->host, "%s", ledger->host);
+  snprintf (ticket->host, sizeof ticket->host, "%s", table->host);
   ticket->mac
       = options->mac (options->key, ticket->sequence, ticket->expires_ms);
   return STATUS_OK;
 }
 
 static void
-insert (struct ticket_table *ledger, const struct ticket *ticket)
+insert (struct ticket_table *table, const struct ticket *ticket)
 {
-  const uint32_t index = ledger->first_free;
-  struct entry *entry = &ledger->entries[index];
-  uint32_t *bucket = bucket_of (ledger, ticket->sequence);
-  ledger->first_free = entry->next;
+  const uint32_t index = table->first_free;
+  struct entry *entry = &table->entries[index];
+  uint32_t *bucket = bucket_of (table, ticket->sequence);
+  table->first_free = entry->next;
   *entry = (struct entry){ .sequence = ticket->sequence,
                            .expires_ms = ticket->expires_ms,
                            .next = *bucket,
                            .state = ENTRY_RUNNING };
   *bucket = index;
-  ledger->count++;
+  table->count++;
 }
 
 static enum ticket_claim
-duplicate (const struct entry *entry)
+duplicate_result (const struct entry *entry)
 {
   if (entry->state == ENTRY_RUNNING)
     return TICKET_CLAIM_DUPLICATE_RUNNING;
@@ -204,51 +204,51 @@
   return TICKET_CLAIM_DUPLICATE_UNKNOWN;
 }
 
-/* Guards against a caller that makes up tickets: a sequence that was never
-   issued could later be issued to another caller and be found used.  The
-   check is keyed, so only this incarnation can have made it. */
+/* A caller could make up a ticket with a sequence number that is issued to
+   another caller later, who would then find it used.  The MAC is keyed, so
+   only this incarnation can have computed it. */
 static bool
-issued (const struct ticket_table *ledger, const struct ticket *ticket)
+is_issued (const struct ticket_table *table, const struct ticket *ticket)
 {
-  const struct ticket_table_options *options = &ledger->options;
-  if (ticket->sequence == 0 || ticket->sequence > ledger->last_sequence)
+  const struct ticket_table_options *options = &table->options;
+  if (ticket->sequence == 0 || ticket->sequence > table->last_sequence)
     return false;
   return ticket->mac
          == options->mac (options->key, ticket->sequence, ticket->expires_ms);
 }
 
 enum ticket_claim
-ticket_table_claim (struct ticket_table *ledger, int64_t now_ms,
+ticket_table_claim (struct ticket_table *table, int64_t now_ms,
                     const struct ticket *ticket)
 {
-  if (strcmp (ticket->host, ledger->host) != 0)
+  if (strcmp (ticket->host, table->host) != 0)
     return TICKET_CLAIM_NOT_ISSUED_HERE;
-  if (ticket->incarnation != ledger->options.incarnation)
+  if (ticket->incarnation != table->options.incarnation)
     return TICKET_CLAIM_WRONG_INCARNATION;
-  if (!issued (ledger, ticket))
+  if (!is_issued (table, ticket))
     return TICKET_CLAIM_FORGED;
-  const struct entry *entry = find (ledger, ticket->sequence);
+  const struct entry *entry = find (table, ticket->sequence);
   if (entry != NULL)
-    return duplicate (entry);
+    return duplicate_result (entry);
   if (ticket->expires_ms <= now_ms)
     return TICKET_CLAIM_EXPIRED;
-  if (!has_room (ledger, now_ms))
+  if (!has_free_entry (table, now_ms))
     return TICKET_CLAIM_FULL;
-  insert (ledger, ticket);
+  insert (table, ticket);
   return TICKET_CLAIM_RUN;
 }
 
 void
-ticket_table_finish (struct ticket_table *ledger, int64_t now_ms,
+ticket_table_finish (struct ticket_table *table, int64_t now_ms,
                      uint64_t sequence, enum ticket_end end,
                      uint16_t answer_code)
 {
-  struct entry *entry = find (ledger, sequence);
+  struct entry *entry = find (table, sequence);
   if (entry == NULL || entry->state != ENTRY_RUNNING)
     return;
   if (end == TICKET_END_NOT_RUN)
     {
-      drop (ledger, entry);
+      drop (table, entry);
       return;
     }
   entry->state = end == TICKET_END_ANSWERED ? ENTRY_ANSWERED : ENTRY_UNKNOWN;
@@ -256,14 +256,14 @@
 }
 
 uint16_t
-ticket_table_answer_code (const struct ticket_table *ledger, uint64_t sequence)
+ticket_table_answer_code (const struct ticket_table *table, uint64_t sequence)
 {
-  const struct entry *entry = find (ledger, sequence);
+  const struct entry *entry = find (table, sequence);
   return entry == NULL ? 0 : entry->answer_code;
 }
 
 uint32_t
-ticket_table_count (const struct ticket_table *ledger)
+ticket_table_count (const struct ticket_table *table)
 {
-  return ledger->count;
+  return table->count;
 }
