--- a/policy/detection/evaluation.c
+++ b/policy/detection/evaluation.c
@@ -8,7 +8,7 @@
   CORROBORATION_WAIT_US = 5000000, /* for other observers */
   HINT_VALID_US = 5000000,         /* how long a bad hint applies */
   EXCLUSION_MIN_US = 10000000,
-  EXCLUSION_SILENT_MAX_US = 60000000 /* maximum without evidence */
+  EXCLUSION_SILENT_MAX_US = 60000000 /* then the path is used again */
 };
 
 #define RESIDUAL_THRESHOLD_SHARE 0.1 /* reached by one or two failures */
--- a/policy/floor/floor_owner_state.h
+++ b/policy/floor/floor_owner_state.h
@@ -64,8 +64,8 @@
 /* Returns the reserve of the next record. */
 uint64_t floor_claims_reserve (const struct floor_owner *owner);
 
-/* Updates the claims to the time, the settings and the state known of the
-   platform, and the decision to the claims. */
+/* Brings the claims up to date with the time, the settings and the known state
+   of the platform, and the decision up to date with the claims. */
 void floor_claims_refresh (struct floor_owner *owner, int64_t now_ms);
 
 /* Releases one claim: a planned one at once, others when hosts no longer
--- a/policy/floor/floor_view.h
+++ b/policy/floor/floor_view.h
@@ -30,7 +30,8 @@
  * applied. */
 void floor_view_epoch_seen (struct floor_view *view, uint64_t epoch);
 
-/** @return true if enforcement expired, so the set is empty now. */
+/** Advances to NOW_MS.
+ * @return true if enforcement expired, so the set is empty now. */
 bool floor_view_tick (struct floor_view *view, int64_t now_ms);
 
 /** Returns whether TARGET is ejected at NOW_MS. */
