--- a/node/caller/body_prefix.c
+++ b/node/caller/body_prefix.c
@@ -8,9 +8,9 @@
 void
 body_prefix_append (struct body_prefix *prefix, const char *data, size_t size)
 {
-  const size_t room = BODY_PREFIX_BYTES - prefix->used;
-  if (size > room)
-    size = room;
+  const size_t free_bytes = BODY_PREFIX_BYTES - prefix->used;
+  if (size > free_bytes)
+    size = free_bytes;
   if (size == 0)
     return;
   const uint32_t needed = prefix->used + (uint32_t)size;
--- a/node/caller/crash_check.c
+++ b/node/caller/crash_check.c
@@ -36,7 +36,7 @@
   char target[SERVICE_NAME_SIZE];
   char address[SERVICE_ADDRESS_SIZE];
   uint64_t key; /* of the target */
-  int64_t begun_us;
+  int64_t started_us;
   struct poison_crash requests[REQUESTS_PER_CHECK_MAX];
   uint32_t request_count;
   struct crash_check *prev, *next;
@@ -95,7 +95,7 @@
                 LOG_STR ("target", check->target),
                 LOG_STR ("fingerprint", fingerprint),
                 LOG_INT ("under_way_here", check->request_count),
-                LOG_INT ("checked_us", clock_now_us () - check->begun_us));
+                LOG_INT ("checked_us", clock_now_us () - check->started_us));
       poison_filter_add_crash (check->checks->context->poison, check->service,
                                &check->requests[i]);
     }
@@ -152,7 +152,7 @@
   check = xcalloc (1, sizeof *check);
   check->checks = checks;
   check->key = x->attempt.key;
-  check->begun_us = clock_now_us ();
+  check->started_us = clock_now_us ();
   snprintf (check->service, sizeof check->service, "%s", x->service->name);
   snprintf (check->target, sizeof check->target, "%s", x->attempt.target);
   DL_APPEND (checks->list, check);
--- a/node/caller/decision_log.c
+++ b/node/caller/decision_log.c
@@ -8,26 +8,26 @@
 #include "base/log.h"
 
 static void
-note (struct exchange *x, const char *verdict, const char *target,
-      const char *why)
+log_and_store (struct exchange *x, const char *verdict, const char *target,
+               const char *reason)
 {
-  struct decision *kept = decision_ring_add (&x->context->decisions);
+  struct decision *entry = decision_ring_add (&x->context->decisions);
   const uint32_t attempt = x->attempt_count + 1;
-  kept->time_ms = clock_now_ms ();
-  kept->request_id = x->id;
-  kept->attempt = attempt;
-  snprintf (kept->service, sizeof kept->service, "%s", x->service->name);
-  snprintf (kept->route, sizeof kept->route, "%s", x->route);
-  snprintf (kept->target, sizeof kept->target, "%s", target);
-  snprintf (kept->verdict, sizeof kept->verdict, "%s", verdict);
-  snprintf (kept->reason, sizeof kept->reason, "%s", why);
+  entry->time_ms = clock_now_ms ();
+  entry->request_id = x->id;
+  entry->attempt = attempt;
+  snprintf (entry->service, sizeof entry->service, "%s", x->service->name);
+  snprintf (entry->route, sizeof entry->route, "%s", x->route);
+  snprintf (entry->target, sizeof entry->target, "%s", target);
+  snprintf (entry->verdict, sizeof entry->verdict, "%s", verdict);
+  snprintf (entry->reason, sizeof entry->reason, "%s", reason);
   const char *service = x->service->name;
   const char *route = x->route;
   const char *id = x->head.id;
   LOG_INFO ("route", LOG_STR ("id", id), LOG_STR ("service", service),
             LOG_STR ("route", route), LOG_INT ("request", x->id),
             LOG_INT ("attempt", attempt), LOG_STR ("verdict", verdict),
-            LOG_STR ("target", target), LOG_STR ("why", why),
+            LOG_STR ("target", target), LOG_STR ("why", reason),
             LOG_STR ("workspace", x->workspace));
 }
 
@@ -40,14 +40,14 @@
   const char *target = "-";
   if (decision->verdict == POLICY_SEND)
     target = x->service->spec->targets[decision->target].name;
-  note (x, verdicts[decision->verdict], target,
-        policy_reason_name (decision->reason));
+  log_and_store (x, verdicts[decision->verdict], target,
+                 policy_reason_name (decision->reason));
 }
 
 void
 decision_log_relay (struct exchange *x, const char *host)
 {
-  note (x, "relay", host, "ticket-of-that-host");
+  log_and_store (x, "relay", host, "ticket-of-that-host");
 }
 
 void
@@ -57,9 +57,9 @@
   const char *service = x->service->name;
   const char *route = x->route;
   const char *id = x->head.id;
-  const char *why = policy_reason_name (decision->reason);
+  const char *reason = policy_reason_name (decision->reason);
   LOG_INFO ("failure-passed-on", LOG_STR ("id", id),
             LOG_STR ("service", service), LOG_STR ("route", route),
             LOG_INT ("request", x->id), LOG_INT ("attempts", x->attempt_count),
-            LOG_STR ("why", why));
+            LOG_STR ("why", reason));
 }
--- a/node/caller/decision_log.h
+++ b/node/caller/decision_log.h
@@ -1,19 +1,19 @@
 /** @file
- * The log line and the kept row of each routing decision.
+ * Logs each routing decision and adds it to the decision ring.
  */
 #ifndef NODE_CALLER_DECISION_LOG_H
 #define NODE_CALLER_DECISION_LOG_H
 
 #include "node/caller/exchange.h"
 
-/** The policy's DECISION on X. */
+/** Log the policy's DECISION on X. */
 void decision_log (struct exchange *x, const struct policy_decision *decision);
 
-/** X is passed on to HOST. */
+/** Log that X is relayed to HOST. */
 void decision_log_relay (struct exchange *x, const char *host);
 
-/** Logs why a target's failure is passed on to the caller of X instead of
- * another attempt: DECISION, which isn't to send. */
+/** Log why a target's failure is forwarded to the caller of X instead of
+ * another attempt.  DECISION is the policy's, which isn't to send. */
 void decision_log_failure_forwarded (const struct exchange *x,
                                      const struct policy_decision *decision);
 
--- a/node/caller/decision_ring.c
+++ b/node/caller/decision_ring.c
@@ -35,14 +35,14 @@
 {
   struct json_object *rows = json_object_new_array ();
   const int64_t now_ms = clock_now_ms ();
-  const uint64_t kept = ring->total_count < DECISION_RING_SIZE
-                            ? ring->total_count
-                            : DECISION_RING_SIZE;
-  for (uint64_t i = 1; i <= kept; i++)
+  const uint64_t entry_count = ring->total_count < DECISION_RING_SIZE
+                                   ? ring->total_count
+                                   : DECISION_RING_SIZE;
+  for (uint64_t i = 1; i <= entry_count; i++)
     {
-      const uint64_t place = (ring->total_count - i) % DECISION_RING_SIZE;
+      const uint64_t index = (ring->total_count - i) % DECISION_RING_SIZE;
       json_object_array_add (rows,
-                             decision_row (&ring->decisions[place], now_ms));
+                             decision_row (&ring->decisions[index], now_ms));
     }
   return rows;
 }
--- a/node/caller/decision_ring.h
+++ b/node/caller/decision_ring.h
@@ -1,5 +1,5 @@
 /** @file
- * The newest routing decisions of a host, for operators.
+ * The latest routing decisions of a host, for operators.
  */
 #ifndef NODE_CALLER_DECISION_RING_H
 #define NODE_CALLER_DECISION_RING_H
@@ -16,15 +16,14 @@
   DECISION_REASON_SIZE = 32
 };
 
-/** One decision. */
 struct decision
 {
   int64_t time_ms; /**< since boot */
   uint64_t request_id;
   uint32_t attempt;
   char service[SERVICE_NAME_SIZE];
-  char route[SERVICE_NAME_SIZE];  /**< its prefix, cut to fit */
-  char target[SERVICE_NAME_SIZE]; /**< "" when none was chosen */
+  char route[SERVICE_NAME_SIZE];  /**< path prefix, truncated */
+  char target[SERVICE_NAME_SIZE]; /**< "-": none */
   char verdict[DECISION_REASON_SIZE];
   char reason[DECISION_REASON_SIZE];
 };
@@ -32,13 +31,13 @@
 struct decision_ring
 {
   struct decision decisions[DECISION_RING_SIZE];
-  uint64_t total_count; /**< ever noted */
+  uint64_t total_count; /**< of all decisions added so far */
 };
 
-/** A blank entry in place of the oldest. */
+/** Replace the oldest entry by a cleared one. */
 struct decision *decision_ring_add (struct decision_ring *ring);
 
-/** Rows for operators, the newest first. */
+/** Rows for operators, latest first. */
 struct json_object *decision_ring_rows (const struct decision_ring *ring);
 
 #endif
--- a/node/caller/exchange.c
+++ b/node/caller/exchange.c
@@ -22,16 +22,16 @@
 enum
 {
   US_PER_MS = 1000,
-  RAW_ANSWER_AFTER_US = 10 * US_PER_MS,
-  RAW_CLOSE_AFTER_US = 1000 * US_PER_MS,
-  HOST_STOPS_RETRY_AFTER_MS = 100,
+  RAW_RESPONSE_DELAY_US = 10 * US_PER_MS,
+  RAW_CLOSE_DELAY_US = 1000 * US_PER_MS,
+  SHUTDOWN_RETRY_AFTER_MS = 100,
   TIMEOUT_RETRY_AFTER_MS = 100
 };
 
 static const double US_PER_SECOND = 1e6;
 
 static void on_timer (struct ev_loop *loop, ev_timer *timer, int events);
-static void on_kick (struct ev_loop *loop, ev_prepare *kick, int events);
+static void on_run (struct ev_loop *loop, ev_prepare *watcher, int events);
 static void on_decided (struct caller_waiter *waiter,
                         const struct policy_decision *decision);
 
@@ -48,10 +48,10 @@
                  struct MHD_Connection *connection, const char *uri)
 {
   struct exchange *x = xcalloc (1, sizeof *x);
-  /* libcurl hands over as much as CURL_MAX_WRITE_SIZE at once. */
-  const size_t wanted = context->settings->limits.stream_buffer_bytes;
+  /* libcurl delivers up to CURL_MAX_WRITE_SIZE bytes at once. */
+  const size_t configured = context->settings->limits.stream_buffer_bytes;
   const size_t capacity
-      = wanted > CURL_MAX_WRITE_SIZE ? wanted : CURL_MAX_WRITE_SIZE;
+      = configured > CURL_MAX_WRITE_SIZE ? configured : CURL_MAX_WRITE_SIZE;
   x->context = context;
   x->connection = connection;
   x->fd = connection_fd (connection);
@@ -62,7 +62,7 @@
   stream_buffer_init (&x->response_body, capacity, false);
   ev_timer_init (&x->timer, on_timer, 0., 0.);
   x->timer.data = x;
-  ev_prepare_init (&x->run_watcher, on_kick);
+  ev_prepare_init (&x->run_watcher, on_run);
   x->run_watcher.data = x;
   DL_APPEND (context->exchanges, x);
   return x;
@@ -96,7 +96,7 @@
 }
 
 static void
-count_end (const struct exchange *x)
+count_outcome (const struct exchange *x)
 {
   if (!x->in_flight_counted || x->is_unrouted)
     return;
@@ -117,14 +117,14 @@
 exchange_wait_for (struct exchange *x, enum exchange_wait what,
                    int64_t limit_us)
 {
-  const int64_t left_us = x->deadline_us - clock_now_us ();
+  const int64_t remaining_us = x->deadline_us - clock_now_us ();
   x->waits_for = what;
   x->context->awaiting_count++;
-  exchange_set_timer (x, limit_us < left_us ? limit_us : left_us);
+  exchange_set_timer (x, limit_us < remaining_us ? limit_us : remaining_us);
 }
 
 static void
-await_no_more (struct exchange *x)
+stop_waiting (struct exchange *x)
 {
   if (x->waits_for == EXCHANGE_WAIT_NONE)
     return;
@@ -138,7 +138,7 @@
 exchange_destroy (struct exchange *x)
 {
   struct caller_context *context = x->context;
-  await_no_more (x);
+  stop_waiting (x);
   ev_timer_stop (context->loop, &x->timer);
   ev_clear_pending (context->loop, &x->run_watcher);
   if (x->service != NULL)
@@ -177,7 +177,7 @@
 void
 exchange_resume (struct exchange *x)
 {
-  await_no_more (x);
+  stop_waiting (x);
   exchange_set_timer (x, x->deadline_us - clock_now_us ());
   exchange_check_and_admit (x);
 }
@@ -199,18 +199,19 @@
 void
 exchange_cancel (struct exchange *x)
 {
-  await_no_more (x);
+  stop_waiting (x);
   if (x->service != NULL)
     caller_service_cancel_wait (x->service, &x->waiter);
   exchange_cancel_attempt (x, ATTEMPT_CANCELLED);
   exchange_ticket_finish (x);
 }
 
-/* Guards against a promise that can't be kept: callers take these for "not run
-   and never will be", and send the request again.  Shows as work that is done
-   twice.  Whoever chooses the answer may forget that an attempt was lost. */
+/* Callers take these statuses for "not run and never will be" and send the
+   request again.  Sent after an attempt was lost, one of them leads to work
+   that is done twice; the code that selects the response may not know of the
+   lost attempt. */
 static bool
-is_promise (uint32_t status)
+means_not_run (uint32_t status)
 {
   return status == MHD_HTTP_REQUEST_TIMEOUT
          || status == MHD_HTTP_MISDIRECTED_REQUEST
@@ -218,10 +219,10 @@
          || status == MHD_HTTP_SERVICE_UNAVAILABLE;
 }
 
-/* Lines of refused and failed requests have a rate of their own, so that those
-   of good ones never crowd them out. */
+/* Refused and failed requests are logged under a rate limit of their own, so
+   that lines of successful ones never displace them. */
 static void
-note_refusal (const struct exchange *x)
+log_refusal (const struct exchange *x)
 {
   const struct fleet_config *config = x->context->config;
   LOG_WARN (
@@ -237,26 +238,27 @@
 }
 
 void
-exchange_respond_locally (struct exchange *x, const struct local_response *own)
+exchange_respond_locally (struct exchange *x,
+                          const struct local_response *response)
 {
   if (x->service != NULL)
     caller_service_cancel_wait (x->service, &x->waiter);
-  await_no_more (x);
-  if (own->outcome == REQUEST_OUTCOME_NOT_RUN)
+  stop_waiting (x);
+  if (response->outcome == REQUEST_OUTCOME_NOT_RUN)
     exchange_quota_refund (x);
-  x->local_response = *own;
+  x->local_response = *response;
   if (x->local_response.outcome == REQUEST_OUTCOME_UNKNOWN
-      && is_promise (own->status))
+      && means_not_run (response->status))
     x->local_response.status = MHD_HTTP_BAD_GATEWAY;
   x->state = EXCHANGE_LOCAL_RESPONSE;
-  note_refusal (x);
+  log_refusal (x);
   caller_counters_add (x->context->counters.refusals, service_name (x),
-                       own->reason);
+                       response->reason);
   exchange_ticket_finish (x);
-  /* Gives the library a moment to read the rest of the body, so that it can
-     answer and keep the connection. */
+  /* Gives the library time to read the rest of the body, so that it can send
+     the response and keep the connection. */
   if (!x->upload_complete)
-    exchange_set_timer (x, RAW_ANSWER_AFTER_US);
+    exchange_set_timer (x, RAW_RESPONSE_DELAY_US);
   else
     ev_timer_stop (x->context->loop, &x->timer);
   exchange_schedule_run (x);
@@ -266,12 +268,12 @@
 exchange_refuse (struct exchange *x, uint32_t status, const char *reason,
                  uint32_t retry_after_ms, const char *message)
 {
-  struct local_response own = { .status = status,
-                                .outcome = REQUEST_OUTCOME_NOT_RUN,
-                                .reason = reason,
-                                .retry_after_ms = retry_after_ms };
-  snprintf (own.message, sizeof own.message, "%s", message);
-  exchange_respond_locally (x, &own);
+  struct local_response response = { .status = status,
+                                     .outcome = REQUEST_OUTCOME_NOT_RUN,
+                                     .reason = reason,
+                                     .retry_after_ms = retry_after_ms };
+  snprintf (response.message, sizeof response.message, "%s", message);
+  exchange_respond_locally (x, &response);
 }
 
 void
@@ -297,10 +299,10 @@
   return x->may_have_run ? REQUEST_OUTCOME_UNKNOWN : REQUEST_OUTCOME_NOT_RUN;
 }
 
-/* The caller has gone before its answer: whoever looks for the request
-   afterwards finds how far it came. */
+/* The caller disconnected before its response; the line tells operators which
+   stage the request had reached. */
 static void
-note_abandoned (const struct exchange *x)
+log_abandoned (const struct exchange *x)
 {
   static const char *const stages[]
       = { [EXCHANGE_NEW] = "begun",
@@ -325,41 +327,41 @@
     hangup_watch_remove (x->context->hangup, x->fd);
   x->hangup_watched = false;
   x->connection = NULL;
-  /* All of the answer is written, but libcurl hasn't told its end yet: to
-     give the attempt up now would take a good one for a cancelled one. */
+  /* All of the response is written, but libcurl hasn't reported its end yet.
+     Cancelling the attempt now would count a success as cancelled. */
   if (ok && x->state == EXCHANGE_FORWARDING && x->attempt.call != NULL)
     return;
   if (!ok)
-    note_abandoned (x);
+    log_abandoned (x);
   exchange_cancel (x);
-  count_end (x);
+  count_outcome (x);
   exchange_destroy (x);
 }
 
 static void
-caller_went_away (struct exchange *x)
+handle_disconnect (struct exchange *x)
 {
-  note_abandoned (x);
+  log_abandoned (x);
   exchange_cancel (x);
   x->response_truncated = true;
   if (x->state != EXCHANGE_FORWARDING)
     x->state = EXCHANGE_FINISHED;
 }
 
-/* Do what follows from the state; see the header's comment. */
+/* Act on the state of X; see the comment in exchange.h. */
 static void
-exchange_pump (struct exchange *x)
+exchange_run (struct exchange *x)
 {
   if (x->connection == NULL)
     {
       if (x->attempt.call != NULL)
         return;
-      count_end (x);
+      count_outcome (x);
       exchange_destroy (x);
       return;
     }
   if (x->caller_disconnected && x->state != EXCHANGE_FINISHED)
-    caller_went_away (x);
+    handle_disconnect (x);
   if (exchange_poison_is_ready (x))
     exchange_resume (x);
   if (x->state == EXCHANGE_SENT && x->attempt.head_received)
@@ -370,68 +372,69 @@
 }
 
 static void
-on_kick (struct ev_loop *loop, ev_prepare *kick, int events)
+on_run (struct ev_loop *loop, ev_prepare *watcher, int events)
 {
-  struct exchange *x = kick->data;
+  struct exchange *x = watcher->data;
   x->run_scheduled = false;
-  exchange_pump (x);
+  exchange_run (x);
 }
 
-/* Give up what is not answered yet and say so, truthfully. */
+/* Cancel the attempt and respond with the outcome as far as it is known. */
 static void
-end_unanswered (struct exchange *x, uint32_t status, const char *reason,
-                uint32_t retry_after_ms)
+fail_pending (struct exchange *x, uint32_t status, const char *reason,
+              uint32_t retry_after_ms)
 {
   const bool sent
       = x->attempt.call != NULL && target_call_may_have_sent (x->attempt.call);
   exchange_cancel_attempt (x, sent ? ATTEMPT_TIMED_OUT : ATTEMPT_NOT_SENT);
-  struct local_response own
+  struct local_response response
       = { .status = status,
           .outcome = exchange_outcome (x),
           .reason = reason,
           .retry_after_ms = x->may_have_run ? 0 : retry_after_ms };
-  snprintf (own.message, sizeof own.message, "%s",
-            x->may_have_run
-                ? "no target's answer came in time: find out whether the "
-                  "request has run before sending it again"
-                : "no target took the request in time: send it again later "
-                  "or with more time");
-  exchange_respond_locally (x, &own);
+  snprintf (
+      response.message, sizeof response.message, "%s",
+      x->may_have_run
+          ? "no target responded in time: find out whether the "
+            "request has run before sending it again"
+          : "no target accepted the request in time: send it again later "
+            "or with a longer deadline");
+  exchange_respond_locally (x, &response);
 }
 
-/* The caller may have time left after the route's timeout. */
+/* The caller may still have time after the route's timeout. */
 static void
-deadline_passed (struct exchange *x)
+on_deadline (struct exchange *x)
 {
   const bool sent
       = x->attempt.call != NULL && target_call_may_have_sent (x->attempt.call);
-  const bool may_come_back = x->has_route_timeout && !sent && !x->may_have_run;
-  end_unanswered (x,
-                  may_come_back ? MHD_HTTP_SERVICE_UNAVAILABLE
-                                : MHD_HTTP_GATEWAY_TIMEOUT,
-                  "deadline", may_come_back ? TIMEOUT_RETRY_AFTER_MS : 0);
+  const bool can_retry = x->has_route_timeout && !sent && !x->may_have_run;
+  fail_pending (
+      x, can_retry ? MHD_HTTP_SERVICE_UNAVAILABLE : MHD_HTTP_GATEWAY_TIMEOUT,
+      "deadline", can_retry ? TIMEOUT_RETRY_AFTER_MS : 0);
 }
 
 void
 exchange_abort_pending (struct exchange *x)
 {
   if (x->state == EXCHANGE_WAITING || x->state == EXCHANGE_SENT)
-    end_unanswered (x, MHD_HTTP_SERVICE_UNAVAILABLE, "host-stops",
-                    HOST_STOPS_RETRY_AFTER_MS);
+    fail_pending (x, MHD_HTTP_SERVICE_UNAVAILABLE, "host-stops",
+                  SHUTDOWN_RETRY_AFTER_MS);
 }
 
-/* Once an answer flows, the deadline has been met; from then on a target may
-   not stall for longer than a whole request may take. */
+/* Once a response is forwarded, the deadline has been met.  From then on a
+   target may not stall for longer than the timeout of a whole request. */
 static void
 check_progress (struct exchange *x)
 {
-  const int64_t most_us
+  const int64_t stall_max_us
       = (int64_t)x->service->spec->limits.timeout_ms * US_PER_MS;
-  const bool stalled = stream_buffer_pending_bytes (&x->response_body) == 0
-                       && clock_now_us () - x->last_progress_us >= most_us;
+  const bool stalled
+      = stream_buffer_pending_bytes (&x->response_body) == 0
+        && clock_now_us () - x->last_progress_us >= stall_max_us;
   if (!stalled)
     {
-      exchange_set_timer (x, most_us);
+      exchange_set_timer (x, stall_max_us);
       return;
     }
   exchange_cancel_attempt (x, ATTEMPT_TIMED_OUT);
@@ -440,7 +443,7 @@
 }
 
 static void
-raw_answer_due (struct exchange *x)
+on_raw_response_timer (struct exchange *x)
 {
   if (x->raw_response_sent)
     {
@@ -452,35 +455,35 @@
   if (x->upload_complete || x->connection == NULL)
     return;
   exchange_send_raw_response (x);
-  exchange_set_timer (x, RAW_CLOSE_AFTER_US);
+  exchange_set_timer (x, RAW_CLOSE_DELAY_US);
 }
 
 static void
 on_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct exchange *x = timer->data;
-  const int64_t left_us = x->deadline_us - clock_now_us ();
+  const int64_t remaining_us = x->deadline_us - clock_now_us ();
   switch (x->state)
     {
     case EXCHANGE_WAITING:
       if (x->waits_for != EXCHANGE_WAIT_NONE)
         exchange_resume (x);
-      else if (left_us > 0)
-        exchange_set_timer (x, left_us);
+      else if (remaining_us > 0)
+        exchange_set_timer (x, remaining_us);
       else
-        deadline_passed (x);
+        on_deadline (x);
       break;
     case EXCHANGE_SENT:
-      if (left_us > 0)
+      if (remaining_us > 0)
         exchange_timeout_check (x);
       else
-        deadline_passed (x);
+        on_deadline (x);
       break;
     case EXCHANGE_FORWARDING:
       check_progress (x);
       break;
     case EXCHANGE_LOCAL_RESPONSE:
-      raw_answer_due (x);
+      on_raw_response_timer (x);
       break;
     case EXCHANGE_NEW:
     case EXCHANGE_FINISHED:
--- a/node/caller/exchange_access.c
+++ b/node/caller/exchange_access.c
@@ -8,24 +8,24 @@
 
 enum
 {
-  /** Relays and platform are asked again in less. */
+  /** The relays and the platform are queried again sooner than this. */
   STALE_RETRY_AFTER_MS = 500,
-  PROOF_WAIT_US = 250 * 1000,
+  FRESHNESS_WAIT_MAX_US = 250 * 1000,
 };
 
 static const char *
-key_remedy (enum request_key_state state)
+key_error_message (enum request_key_state state)
 {
   switch (state)
     {
     case REQUEST_KEY_NONE:
       return "this route needs a key: send \"Authorization: Bearer KEY\"";
     case REQUEST_KEY_MALFORMED:
-      return "Authorization can't be read: send it once, as \"Bearer KEY\"";
+      return "Authorization is malformed: send it once, as \"Bearer KEY\"";
     case REQUEST_KEY_GIVEN:
       break;
     }
-  return "the key isn't known: ask the workspace's owner for one in force";
+  return "the key is unknown: ask the workspace's owner for a valid one";
 }
 
 static const char *
@@ -42,52 +42,54 @@
 refuse_key (struct exchange *x)
 {
   const enum request_key_state state = x->head.key.state;
-  struct local_response own = { .status = MHD_HTTP_UNAUTHORIZED,
-                                .outcome = REQUEST_OUTCOME_NOT_RUN,
-                                .reason = key_reason (state),
-                                .has_challenge = true };
-  snprintf (own.message, sizeof own.message, "%s", key_remedy (state));
-  exchange_respond_locally (x, &own);
+  struct local_response response = { .status = MHD_HTTP_UNAUTHORIZED,
+                                     .outcome = REQUEST_OUTCOME_NOT_RUN,
+                                     .reason = key_reason (state),
+                                     .has_challenge = true };
+  snprintf (response.message, sizeof response.message, "%s",
+            key_error_message (state));
+  exchange_respond_locally (x, &response);
 }
 
-/* Guards against a host that goes on with keys that were taken away, since it
-   is cut off, frozen, or has just started and can't know.  Shows as work that
-   is done for whoever has a leaked key.  It says neither yes nor no then: a
-   key that it doesn't know may be a new one. */
+/* A host that is partitioned, suspended or newly started may not know that a
+   key was revoked; requests with a leaked key would still run.  Without a
+   recent freshness proof a key is neither accepted nor rejected, since an
+   unknown key may be a new one. */
 static bool
 is_fresh (const struct exchange *x)
 {
-  const uint32_t bound_ms = x->context->settings->access.revoke_ms;
-  return bound_ms == 0
+  const uint32_t max_age_ms = x->context->settings->access.revoke_ms;
+  return max_age_ms == 0
          || freshness_is_within_bound (&x->context->freshness, clock_now_ms (),
-                                       bound_ms);
+                                       max_age_ms);
 }
 
 static void
 refuse_stale (struct exchange *x)
 {
-  exchange_refuse (x, MHD_HTTP_SERVICE_UNAVAILABLE, "config-not-fresh",
-                   STALE_RETRY_AFTER_MS,
-                   "this host can't tell now which keys are in force: come "
-                   "back after the time given, or ask another one");
+  exchange_refuse (
+      x, MHD_HTTP_SERVICE_UNAVAILABLE, "config-not-fresh",
+      STALE_RETRY_AFTER_MS,
+      "this host can't verify at present which keys are in force: retry "
+      "after the time given, or use another host");
 }
 
-/* The question is answered within milliseconds where it is answered at all.
-   While it isn't, requests are refused at once. */
+/* A proof arrives within milliseconds if it arrives at all.  After the first
+   requests have waited without one, further requests are refused at once. */
 static void
-await_proof (struct exchange *x)
+wait_for_freshness (struct exchange *x)
 {
-  static const struct bus_message wanted
+  static const struct bus_message proof_request
       = { .topic = BUS_FRESHNESS_REQUESTED };
   struct caller_context *context = x->context;
   const int64_t now_us = clock_now_us ();
   if (context->proof_wait_since_us == 0)
     context->proof_wait_since_us = now_us;
-  const int64_t left_us
-      = context->proof_wait_since_us + PROOF_WAIT_US - now_us;
-  bus_post (context->bus, &wanted);
-  if (left_us > 0)
-    exchange_wait_for (x, EXCHANGE_WAIT_FRESHNESS, left_us);
+  const int64_t remaining_us
+      = context->proof_wait_since_us + FRESHNESS_WAIT_MAX_US - now_us;
+  bus_post (context->bus, &proof_request);
+  if (remaining_us > 0)
+    exchange_wait_for (x, EXCHANGE_WAIT_FRESHNESS, remaining_us);
   else
     refuse_stale (x);
 }
@@ -105,13 +107,13 @@
   const struct workspace_table *workspaces = x->context->workspaces;
   if (workspaces == NULL)
     return true;
-  /* Nobody behind this host gets a key, needed or not. */
+  /* Keys are never forwarded, whether the route needs one or not. */
   header_list_remove_equivalent (&x->head.headers, "Authorization");
   if (!x->needs_key)
     return true;
   if (!is_fresh (x))
     {
-      await_proof (x);
+      wait_for_freshness (x);
       return false;
     }
   const struct request_key *key = &x->head.key;
--- a/node/caller/exchange_access.h
+++ b/node/caller/exchange_access.h
@@ -1,17 +1,22 @@
 /** @file
- * May a request run: whose key does it bear, and is that known for sure?
+ * Checks the key of a request and whether the known keys are up to date.
  *
- * What is checked, in this order, and why in this order:
- *  1. The route and the deadline.  Whether a key is needed follows from the
- *     route.  A stranger can so learn which paths have routes; an open route
- *     couldn't be told from a missing one otherwise.
- *  2. Is the configuration fresh enough to say yes or no to any key?  Before
- *     the key, since a key that isn't known may be a new one.
- *  3. The key: one digest and one look into a table, the cheapest answer to a
- *     flood of bad keys.
- *  4. Limits, which need nothing of others.
- *  5. The quota, last: what is refused for another reason costs the workspace
- *     nothing.
+ * The order of all checks before the first attempt, with its reasons:
+ *
+ * 1. The route and the deadline, since the route decides whether a key is
+ * needed.  Unauthorized callers can learn from this which paths have routes;
+ * otherwise an open route couldn't be told from a missing one.
+ *
+ * 2. Whether the configuration is fresh enough to accept or reject any key.
+ * It precedes the key, since an unknown key may be a new one.
+ *
+ * 3. The key: one digest and one table lookup, the cheapest way to handle a
+ * flood of bad keys.
+ *
+ * 4. Limits that need no other host.
+ *
+ * 5. The quota, last, so that a request that is refused for another reason
+ * costs the workspace nothing.
  */
 #ifndef NODE_CALLER_EXCHANGE_ACCESS_H
 #define NODE_CALLER_EXCHANGE_ACCESS_H
@@ -20,12 +25,13 @@
 
 #include "node/caller/exchange.h"
 
-/** Take the key out of X and find its workspace, if its route needs one.
- * @return false when X is answered or waits to be judged */
+/** Remove the key from X's header fields and find its workspace, if the route
+ * needs one.
+ * @return false if X was refused or waits for a freshness proof */
 bool exchange_access_check (struct exchange *x);
 
-/** A proof that the configuration is fresh has come: judge those that wait
- * for it. */
+/** Resume the exchanges that wait for a freshness proof of the configuration,
+ * after one was received. */
 void exchange_access_resume_all (struct caller_context *context);
 
 #endif
--- a/node/caller/exchange_attempt.c
+++ b/node/caller/exchange_attempt.c
@@ -21,9 +21,9 @@
 
 enum
 {
-  SMALL_ANSWER_BYTES = 16 * 1024,
+  SHORT_RESPONSE_BYTES_MAX = 16 * 1024,
   SERVER_ERROR_MIN = 500,
-  RETRY_AFTER_MS = 1000
+  DEFAULT_RETRY_AFTER_MS = 1000
 };
 
 static const char *
@@ -39,24 +39,25 @@
   return names[end];
 }
 
-/* How long the target took.  Guards against callers that make their target
-   look slow: one that reads slowly (the time then runs to the head), and one
-   that sends its body slowly (the time spent waiting for it doesn't count). */
+/* Excludes delays of the caller, which would make the target look slow.  With
+   a caller that reads slowly, the time ends at the response head; with one
+   that sends its body slowly, the time spent waiting for the body isn't
+   counted. */
 int64_t
 exchange_attempt_latency_us (const struct exchange_attempt *attempt)
 {
   const bool to_head = attempt->caller_was_slow && attempt->head_received;
   const int64_t now_us = clock_now_us ();
   const int64_t end_us = to_head ? attempt->response_head_us : now_us;
-  int64_t starved_us = attempt->upload_stall_us;
+  int64_t stall_us = attempt->upload_stall_us;
   if (attempt->upload_stall_start_us > 0)
-    starved_us += now_us - attempt->upload_stall_start_us;
-  const int64_t taken_us = end_us - attempt->started_us - starved_us;
-  return taken_us > 0 ? taken_us : 0;
+    stall_us += now_us - attempt->upload_stall_start_us;
+  const int64_t latency_us = end_us - attempt->started_us - stall_us;
+  return latency_us > 0 ? latency_us : 0;
 }
 
 static void
-tell_others (const struct exchange *x, enum attempt_end end)
+announce_outcome (const struct exchange *x, enum attempt_end end)
 {
   struct bus_message message
       = { .topic = BUS_OUTCOME_SEEN,
@@ -67,16 +68,14 @@
 }
 
 static void
-note_attempt (const struct exchange *x, enum attempt_end end)
+log_attempt (const struct exchange *x, enum attempt_end end)
 {
   const struct exchange_attempt *attempt = &x->attempt;
-  const uint32_t number
-      = caller_service_find_target (x->service, attempt->key);
+  const uint32_t index = caller_service_find_target (x->service, attempt->key);
   uint32_t failure_permille = 0;
-  if (number != POLICY_NO_TARGET)
-    failure_permille
-        = service_policy_target_status (x->service->policy, number)
-              .failure_permille;
+  if (index != POLICY_NO_TARGET)
+    failure_permille = service_policy_target_status (x->service->policy, index)
+                           .failure_permille;
   const bool is_answered = end == ATTEMPT_ANSWERED;
   LOG_AT (
       is_answered ? LOG_LEVEL_INFO : LOG_LEVEL_WARNING,
@@ -89,9 +88,9 @@
       LOG_INT ("believed_failing_permille", failure_permille));
 }
 
-/* Tell the policy how the attempt ended, once. */
+/* Report the outcome of the attempt to the policy, once. */
 static void
-settle (struct exchange *x, enum attempt_end end)
+report_outcome (struct exchange *x, enum attempt_end end)
 {
   struct exchange_attempt *attempt = &x->attempt;
   if (!attempt->outcome_pending)
@@ -109,8 +108,8 @@
                            x->service->name, end_name (end),
                            exchange_attempt_latency_us (attempt));
   if (outcome_report_is_due (x->service, attempt->key, end))
-    tell_others (x, end);
-  note_attempt (x, end);
+    announce_outcome (x, end);
+  log_attempt (x, end);
   caller_service_record_outcome (x->service, attempt->key, end,
                                  exchange_attempt_latency_us (attempt),
                                  x->repeatable);
@@ -128,50 +127,54 @@
       x->attempt.call = NULL;
       target_call_cancel (call);
     }
-  settle (x, end);
+  report_outcome (x, end);
 }
 
 static uint32_t
-retry_after_ms (const struct exchange *x, uint32_t ours_ms)
+retry_after_ms (const struct exchange *x, uint32_t own_ms)
 {
-  return ours_ms > x->target_retry_after_ms ? ours_ms
-                                            : x->target_retry_after_ms;
+  return own_ms > x->target_retry_after_ms ? own_ms : x->target_retry_after_ms;
 }
 
-/* No answer is had and none will be asked for. */
+/* There is no response to forward and no further attempt. */
 static void
-give_up (struct exchange *x, enum attempt_end end, const char *message)
+respond_after_failure (struct exchange *x, enum attempt_end end,
+                       const char *message)
 {
-  struct local_response own = { .outcome = exchange_outcome (x) };
-  const bool unknown = own.outcome == REQUEST_OUTCOME_UNKNOWN;
-  own.status = unknown ? MHD_HTTP_BAD_GATEWAY : MHD_HTTP_SERVICE_UNAVAILABLE;
-  own.reason = end_name (end);
-  own.retry_after_ms = unknown ? 0 : retry_after_ms (x, RETRY_AFTER_MS);
-  snprintf (own.message, sizeof own.message, "%s: %.120s",
-            unknown ? "the answer was lost, find out whether the request has "
-                      "run before sending it again"
-                    : "no target took the request, send it again later",
+  struct local_response response = { .outcome = exchange_outcome (x) };
+  const bool unknown = response.outcome == REQUEST_OUTCOME_UNKNOWN;
+  response.status
+      = unknown ? MHD_HTTP_BAD_GATEWAY : MHD_HTTP_SERVICE_UNAVAILABLE;
+  response.reason = end_name (end);
+  response.retry_after_ms
+      = unknown ? 0 : retry_after_ms (x, DEFAULT_RETRY_AFTER_MS);
+  snprintf (response.message, sizeof response.message, "%s: %.120s",
+            unknown
+                ? "the response was lost, find out whether the request has "
+                  "run before sending it again"
+                : "no target accepted the request, send it again later",
             message);
-  exchange_respond_locally (x, &own);
+  exchange_respond_locally (x, &response);
 }
 
-/* After an attempt that ended as END without an answer to pass on. */
+/* Called after an attempt that ended as END without a response to forward. */
 static void
-try_again (struct exchange *x, enum attempt_end end, const char *message)
+retry_or_fail (struct exchange *x, enum attempt_end end, const char *message)
 {
-  const bool may = !x->attempt.is_relay
-                   && service_policy_may_retry (end, x->repeatable)
-                   && !x->upload.start_discarded;
+  const bool can_retry = !x->attempt.is_relay
+                         && service_policy_may_retry (end, x->repeatable)
+                         && !x->upload.start_discarded;
   x->attempt.head_received = false;
-  if (!may)
+  if (!can_retry)
     {
-      give_up (x, end, message);
+      respond_after_failure (x, end, message);
       return;
     }
-  /* Guards against a body without its beginning: while the request waits for
-     its next try, the rest of an upload comes in, and bytes that count as
-     taken would make room for it.  Shows as a whole answer to half a request.
-     Taken back now, they are waiting bytes, which are never dropped. */
+  /* While the request waits for its next attempt, the rest of an upload
+     arrives.  Consumed bytes would be discarded to make space for it, and the
+     next attempt would send a body without its beginning: the caller would get
+     a complete response to half a request.  After the rewind they are pending
+     bytes, which are never discarded. */
   const bool rewound = stream_buffer_rewind (&x->upload);
   assert (rewound);
   (void)rewound;
@@ -185,7 +188,7 @@
 }
 
 static void
-on_whole (struct exchange *x)
+on_response_complete (struct exchange *x)
 {
   if (x->state == EXCHANGE_SENT)
     exchange_evaluate_response (x);
@@ -195,11 +198,12 @@
   exchange_ticket_finish (x);
   if (!x->attempt.is_relay && !is_server_error (x))
     exchange_poison_clear (x);
-  settle (x, is_server_error (x) ? ATTEMPT_FAILED : ATTEMPT_ANSWERED);
+  report_outcome (x, is_server_error (x) ? ATTEMPT_FAILED : ATTEMPT_ANSWERED);
 }
 
 static void
-on_broken (struct exchange *x, enum attempt_end end, const char *message)
+on_attempt_broken (struct exchange *x, enum attempt_end end,
+                   const char *message)
 {
   const char *service = x->service->name;
   const char *target = x->attempt.target;
@@ -213,7 +217,7 @@
             LOG_STR ("fingerprint", fingerprint));
   if (end == ATTEMPT_CUT && !x->attempt.is_relay)
     crash_checks_add (x->context->crash_checks, x);
-  settle (x, end);
+  report_outcome (x, end);
   if (x->response_queued)
     {
       x->response_truncated = true;
@@ -221,7 +225,7 @@
       return;
     }
   x->state = EXCHANGE_SENT;
-  try_again (x, end, message);
+  retry_or_fail (x, end, message);
 }
 
 void
@@ -229,16 +233,17 @@
                         const char *message)
 {
   if (end == TARGET_CALL_COMPLETE)
-    on_whole (x);
+    on_response_complete (x);
   else
-    on_broken (x, end == TARGET_CALL_BROKEN ? ATTEMPT_CUT : ATTEMPT_NOT_SENT,
-               message);
+    on_attempt_broken (
+        x, end == TARGET_CALL_BROKEN ? ATTEMPT_CUT : ATTEMPT_NOT_SENT,
+        message);
 }
 
-/* What X holds while it waits: its head, and as much of its body as fits the
-   buffer, whether it has come yet or not. */
+/* The memory that X needs while it is queued: its head, and as much of its
+   body as fits the buffer, received or not. */
 static uint32_t
-held_bytes (const struct exchange *x)
+queued_bytes (const struct exchange *x)
 {
   uint64_t body_bytes = 0;
   if (x->head.body == REQUEST_BODY_SIZED)
@@ -257,7 +262,7 @@
     .id = x->id,
     .deadline_us = x->deadline_us,
     .goal_us = x->goal_us,
-    .queued_bytes = held_bytes (x),
+    .queued_bytes = queued_bytes (x),
     .repeatable = x->repeatable,
     .attempt = x->attempt_count + 1,
     .unsent = x->unsent_count,
@@ -277,36 +282,36 @@
 static void
 refuse (struct exchange *x, const struct policy_decision *decision)
 {
-  struct local_response own
+  struct local_response response
       = { .status = MHD_HTTP_SERVICE_UNAVAILABLE,
           .outcome = exchange_outcome (x),
           .reason = policy_reason_name (decision->reason),
           .retry_after_ms = retry_after_ms (x, decision->retry_after_ms) };
-  if (own.outcome == REQUEST_OUTCOME_UNKNOWN)
-    own.status = MHD_HTTP_BAD_GATEWAY;
-  snprintf (own.message, sizeof own.message, "%s",
-            own.outcome == REQUEST_OUTCOME_UNKNOWN
-                ? "an attempt was lost and none further is allowed: find out "
+  if (response.outcome == REQUEST_OUTCOME_UNKNOWN)
+    response.status = MHD_HTTP_BAD_GATEWAY;
+  snprintf (response.message, sizeof response.message, "%s",
+            response.outcome == REQUEST_OUTCOME_UNKNOWN
+                ? "an attempt was lost and no retry is allowed: find out "
                   "whether it has run before sending it again"
-                : "the service can't take the request now: come back after "
+                : "the service can't accept the request now: retry after "
                   "the time given, or ask for other addresses");
-  exchange_respond_locally (x, &own);
+  exchange_respond_locally (x, &response);
 }
 
 /* Checks again, because the request may have been blocked while it was queued
    or between two attempts. */
 static void
-send_unless_poison (struct exchange *x, uint32_t target)
+send_unless_blocked (struct exchange *x, uint32_t target)
 {
-  uint32_t left_ms = 0;
-  if (exchange_poison_may_send (x, &left_ms))
+  uint32_t remaining_ms = 0;
+  if (exchange_poison_may_send (x, &remaining_ms))
     {
       exchange_send (x, target);
       return;
     }
   caller_service_record_outcome (x->service, x->service->targets[target].key,
                                  ATTEMPT_CANCELLED, 0, x->repeatable);
-  exchange_poison_refuse (x, left_ms);
+  exchange_poison_refuse (x, remaining_ms);
 }
 
 void
@@ -317,7 +322,7 @@
   switch (decision->verdict)
     {
     case POLICY_SEND:
-      send_unless_poison (x, decision->target);
+      send_unless_blocked (x, decision->target);
       break;
     case POLICY_QUEUE:
       x->state = EXCHANGE_WAITING;
@@ -337,16 +342,16 @@
   exchange_apply_decision (x, &decision);
 }
 
-/* A target's failure may be passed on, so another target is tried only if one
-   can be had at once. */
+/* A server error can be forwarded, so another target is tried only if the
+   policy grants one at once. */
 static bool
-tried_elsewhere (struct exchange *x)
+retry_server_error (struct exchange *x)
 {
   if (!service_policy_may_retry (ATTEMPT_FAILED, x->repeatable)
       || x->upload.start_discarded)
     return false;
   struct target_call *failed = x->attempt.call;
-  settle (x, ATTEMPT_FAILED);
+  report_outcome (x, ATTEMPT_FAILED);
   const struct policy_request r = exchange_policy_request (x);
   const struct policy_decision decision
       = caller_service_admit (x->service, &r, &x->waiter);
@@ -362,33 +367,34 @@
   return true;
 }
 
-/* The rest of a short answer is worth its time, since the connection can then
-   be kept. */
+/* Receiving the rest of a short response is worthwhile, because the connection
+   can then be reused. */
 static bool
-ends_soon (const struct exchange *x)
+should_drain_response (const struct exchange *x)
 {
   const int64_t length = x->attempt.length_bytes;
-  return x->attempt.call != NULL && length >= 0 && length <= SMALL_ANSWER_BYTES
-         && x->upload.is_complete;
+  return x->attempt.call != NULL && length >= 0
+         && length <= SHORT_RESPONSE_BYTES_MAX && x->upload.is_complete;
 }
 
-/* A short answer is held until it is whole: if it breaks off, another target
-   can be tried, or the caller told so, in place of a cut connection. */
+/* A short response is buffered until it is complete.  If it breaks off,
+   another target can be tried or the caller can get an error response instead
+   of a truncated one. */
 static bool
-waits_for_whole (const struct exchange *x)
+buffers_whole_response (const struct exchange *x)
 {
   const struct exchange_attempt *attempt = &x->attempt;
-  const uint32_t most = x->context->settings->limits.hold_answer_bytes;
+  const uint32_t max_bytes = x->context->settings->limits.hold_answer_bytes;
   return attempt->call != NULL && !attempt->caller_was_slow
-         && attempt->length_bytes <= (int64_t)most
-         && stream_buffer_pending_bytes (&x->response_body) < most;
+         && attempt->length_bytes <= (int64_t)max_bytes
+         && stream_buffer_pending_bytes (&x->response_body) < max_bytes;
 }
 
 static void
-give_up_attempt (struct exchange *x, const char *why)
+discard_response (struct exchange *x, const char *why)
 {
   exchange_cancel_attempt (x, ATTEMPT_CUT);
-  try_again (x, ATTEMPT_CUT, why);
+  retry_or_fail (x, ATTEMPT_CUT, why);
 }
 
 void
@@ -396,7 +402,7 @@
 {
   if (response_check_is_too_large (x))
     {
-      give_up_attempt (x, "the target's header fields are too large");
+      discard_response (x, "the target's header fields are too large");
       return;
     }
   if (x->attempt.is_relay)
@@ -407,25 +413,25 @@
   response_check_update_target (x);
   if (response_check_is_shed (x))
     {
-      if (ends_soon (x))
+      if (should_drain_response (x))
         return;
       target_limits_update_from_answer (x);
       response_check_store_retry_after (x);
       exchange_cancel_attempt (x, ATTEMPT_SHED);
-      try_again (x, ATTEMPT_SHED, "the target sheds load");
+      retry_or_fail (x, ATTEMPT_SHED, "the target sheds load");
       return;
     }
-  const char *fault = response_check_error (x);
-  if (fault != NULL || response_check_is_unsigned_refusal (x))
+  const char *error = response_check_error (x);
+  if (error != NULL || response_check_is_unsigned_refusal (x))
     {
-      give_up_attempt (x, fault != NULL ? fault
-                                        : "the target gave no whole answer");
+      discard_response (
+          x, error != NULL ? error : "the target sent no complete response");
       return;
     }
-  if (waits_for_whole (x))
+  if (buffers_whole_response (x))
     return;
   target_limits_update_from_answer (x);
-  if (is_server_error (x) && tried_elsewhere (x))
+  if (is_server_error (x) && retry_server_error (x))
     return;
   exchange_forward_response (x);
 }
--- a/node/caller/exchange_caller.c
+++ b/node/caller/exchange_caller.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  ANSWER_BLOCK_BYTES = 16 * 1024,
+  RESPONSE_BLOCK_BYTES = 16 * 1024,
   HEADER_VALUE_SIZE = 1024
 };
 
@@ -25,13 +25,13 @@
 }
 
 static bool
-answer_chosen (const struct exchange *x)
+has_response (const struct exchange *x)
 {
   return x->state == EXCHANGE_LOCAL_RESPONSE
          || x->state == EXCHANGE_FORWARDING;
 }
 
-/* Nobody needs the rest of the body. */
+/* The rest of the request body is not needed any more. */
 static bool
 discards_upload (const struct exchange *x)
 {
@@ -40,7 +40,7 @@
 }
 
 static bool
-can_go_on (const struct exchange *x)
+can_resume (const struct exchange *x)
 {
   if (x->caller_disconnected || x->state == EXCHANGE_FINISHED)
     return true;
@@ -48,24 +48,24 @@
     return x->response_truncated || x->response_body.is_complete
            || stream_buffer_pending_bytes (&x->response_body) > 0;
   if (x->upload_complete)
-    return answer_chosen (x);
+    return has_response (x);
   return discards_upload (x) || stream_buffer_free_bytes (&x->upload) > 0;
 }
 
 void
 exchange_resume_connection (struct exchange *x)
 {
-  if (x->connection == NULL || !x->is_suspended || !can_go_on (x))
+  if (x->connection == NULL || !x->is_suspended || !can_resume (x))
     return;
   x->is_suspended = false;
   MHD_resume_connection (x->connection);
   mhd_loop_kick (x->context->mhd_loop);
 }
 
-/* Guards against a cut answer that looks whole: an HTTP/1.0 caller takes the
-   connection's end for the body's end when no length was announced.  To
-   dissolve the association makes the kernel send a reset, which no caller
-   can take for an end in good order. */
+/* Without an announced length, an HTTP/1.0 caller takes the end of the
+   connection for the end of the body, so that a truncated response would look
+   complete.  Connecting to AF_UNSPEC dissolves the association and makes the
+   kernel send a reset, which no caller takes for a regular end. */
 static void
 reset_connection (const struct exchange *x)
 {
@@ -75,15 +75,15 @@
 }
 
 static ssize_t
-read_answer (void *owner, uint64_t position, char *data, size_t size)
+read_response_body (void *owner, uint64_t position, char *data, size_t size)
 {
   struct exchange *x = owner;
-  const size_t taken = stream_buffer_read (&x->response_body, data, size);
-  if (taken > 0)
+  const size_t read_bytes = stream_buffer_read (&x->response_body, data, size);
+  if (read_bytes > 0)
     {
       if (x->attempt.caller_was_slow)
         exchange_schedule_run (x);
-      return (ssize_t)taken;
+      return (ssize_t)read_bytes;
     }
   if (x->response_truncated || x->caller_disconnected)
     {
@@ -98,7 +98,7 @@
 }
 
 static uint64_t
-answer_bytes (const struct exchange *x)
+response_body_bytes (const struct exchange *x)
 {
   if (x->attempt.length_bytes >= 0)
     return (uint64_t)x->attempt.length_bytes;
@@ -112,7 +112,7 @@
 {
   char spaced[HEADER_VALUE_SIZE];
   const char *tab = strchr (value, '\t');
-  /* The library refuses tabs, which mean the same as spaces. */
+  /* The library rejects tabs, which are equivalent to spaces here. */
   if (tab != NULL && strlen (value) < sizeof spaced)
     {
       snprintf (spaced, sizeof spaced, "%s", value);
@@ -150,21 +150,22 @@
 }
 
 static struct MHD_Response *
-target_response (struct exchange *x)
+create_target_response (struct exchange *x)
 {
   const uint32_t status = x->attempt.status;
   struct MHD_Response *response;
   if (status == MHD_HTTP_NO_CONTENT)
     response = MHD_create_response_from_buffer (0, "", MHD_RESPMEM_PERSISTENT);
   else
-    response = MHD_create_response_from_callback (
-        answer_bytes (x), ANSWER_BLOCK_BYTES, read_answer, x, NULL);
+    response = MHD_create_response_from_callback (response_body_bytes (x),
+                                                  RESPONSE_BLOCK_BYTES,
+                                                  read_response_body, x, NULL);
   add_headers (response, x);
   return response;
 }
 
 static struct MHD_Response *
-own_response (const struct exchange *x)
+create_local_response (const struct exchange *x)
 {
   const struct caller_interface *interface = x->context->interface;
   struct MHD_Response *response = local_response_create (
@@ -175,11 +176,13 @@
 }
 
 static enum MHD_Result
-queue (struct exchange *x)
+queue_response (struct exchange *x)
 {
-  const bool own = x->state == EXCHANGE_LOCAL_RESPONSE;
-  struct MHD_Response *response = own ? own_response (x) : target_response (x);
-  const uint32_t status = own ? x->local_response.status : x->attempt.status;
+  const bool is_local = x->state == EXCHANGE_LOCAL_RESPONSE;
+  struct MHD_Response *response
+      = is_local ? create_local_response (x) : create_target_response (x);
+  const uint32_t status
+      = is_local ? x->local_response.status : x->attempt.status;
   x->response_queued = true;
   const enum MHD_Result result
       = MHD_queue_response (x->connection, status, response);
@@ -188,35 +191,36 @@
 }
 
 static void
-body_too_large (struct exchange *x)
+refuse_large_body (struct exchange *x)
 {
   exchange_cancel_attempt (x, ATTEMPT_CANCELLED);
-  struct local_response own = { .status = MHD_HTTP_CONTENT_TOO_LARGE,
-                                .outcome = exchange_outcome (x),
-                                .reason = "body-too-large" };
-  strcpy (own.message, "the body is larger than the service takes: send less");
-  exchange_respond_locally (x, &own);
+  struct local_response response = { .status = MHD_HTTP_CONTENT_TOO_LARGE,
+                                     .outcome = exchange_outcome (x),
+                                     .reason = "body-too-large" };
+  strcpy (response.message,
+          "the body is larger than the service allows: send less");
+  exchange_respond_locally (x, &response);
 }
 
 static enum MHD_Result
-take_upload (struct exchange *x, const char *data, size_t *size)
+receive_upload (struct exchange *x, const char *data, size_t *size)
 {
   if (discards_upload (x))
     {
       *size = 0;
       return MHD_YES;
     }
-  const size_t taken = stream_buffer_append (&x->upload, data, *size);
-  x->upload_bytes += taken;
-  body_prefix_append (&x->body_prefix, data, taken);
+  const size_t accepted = stream_buffer_append (&x->upload, data, *size);
+  x->upload_bytes += accepted;
+  body_prefix_append (&x->body_prefix, data, accepted);
   if (x->service != NULL
       && x->upload_bytes > x->service->spec->limits.body_bytes)
     {
-      body_too_large (x);
+      refuse_large_body (x);
       *size = 0;
       return MHD_YES;
     }
-  *size -= taken;
+  *size -= accepted;
   exchange_schedule_run (x);
   if (*size > 0)
     suspend (x);
@@ -230,7 +234,7 @@
   if (x->caller_disconnected || x->state == EXCHANGE_FINISHED)
     return MHD_NO;
   if (*upload_data_size > 0)
-    return take_upload (x, upload_data, upload_data_size);
+    return receive_upload (x, upload_data, upload_data_size);
   if (!x->upload_complete)
     {
       x->upload_complete = true;
@@ -239,8 +243,8 @@
     }
   if (x->raw_response_sent)
     return MHD_NO;
-  if (answer_chosen (x))
-    return queue (x);
+  if (has_response (x))
+    return queue_response (x);
   suspend (x);
   return MHD_YES;
 }
--- a/node/caller/exchange_poison.c
+++ b/node/caller/exchange_poison.c
@@ -21,16 +21,16 @@
 
 static bool
 is_blocked (struct exchange *x, const struct fingerprint *fingerprint,
-            uint32_t *left_ms)
+            uint32_t *remaining_ms)
 {
   const enum poison_verdict verdict = poison_filter_check (
-      x->context->poison, x->service, fingerprint, left_ms);
+      x->context->poison, x->service, fingerprint, remaining_ms);
   x->is_trial = verdict == POISON_TRIAL;
   return verdict == POISON_BLOCKED;
 }
 
 bool
-exchange_poison_may_send (struct exchange *x, uint32_t *left_ms)
+exchange_poison_may_send (struct exchange *x, uint32_t *remaining_ms)
 {
   struct fingerprint fingerprint;
   const bool was_granted = x->is_trial;
@@ -38,56 +38,56 @@
   if (was_granted || !may_be_poison (x)
       || !exchange_fingerprint (x, &fingerprint))
     return true;
-  const bool blocked = is_blocked (x, &fingerprint, left_ms);
+  const bool blocked = is_blocked (x, &fingerprint, remaining_ms);
   x->is_trial = false;
   return !blocked;
 }
 
 void
-exchange_poison_refuse (struct exchange *x, uint32_t left_ms)
+exchange_poison_refuse (struct exchange *x, uint32_t remaining_ms)
 {
   const enum request_outcome outcome = exchange_outcome (x);
   const bool unknown = outcome == REQUEST_OUTCOME_UNKNOWN;
-  struct local_response own
+  struct local_response local
       = { .status
           = unknown ? MHD_HTTP_BAD_GATEWAY : MHD_HTTP_SERVICE_UNAVAILABLE,
           .outcome = outcome,
           .reason = "poison-request",
-          .retry_after_ms = unknown ? 0 : left_ms };
-  snprintf (own.message, sizeof own.message, "%s",
+          .retry_after_ms = unknown ? 0 : remaining_ms };
+  snprintf (local.message, sizeof local.message, "%s",
             unknown ? "targets crashed while they ran this request: find out "
                       "whether it has run, and don't send it again unchanged"
                     : "targets crashed while they ran this request: change "
-                      "it, or come back after the time given");
-  exchange_respond_locally (x, &own);
+                      "it, or retry after the time given");
+  exchange_respond_locally (x, &local);
 }
 
 static void
 refuse_late_body (struct exchange *x)
 {
   exchange_refuse (x, MHD_HTTP_REQUEST_TIMEOUT, "body-late", 0,
-                   "the body didn't come in time: send the request again");
+                   "the body didn't arrive in time: send the request again");
 }
 
 bool
 exchange_poison_check (struct exchange *x)
 {
   struct fingerprint fingerprint;
-  uint32_t left_ms = 0;
+  uint32_t remaining_ms = 0;
   if (x->is_trial || !may_be_poison (x))
     return true;
   if (!exchange_fingerprint (x, &fingerprint))
     {
-      const int64_t left_us = x->deadline_us - clock_now_us ();
-      if (left_us > 0)
-        exchange_wait_for (x, EXCHANGE_WAIT_BODY, left_us);
+      const int64_t remaining_us = x->deadline_us - clock_now_us ();
+      if (remaining_us > 0)
+        exchange_wait_for (x, EXCHANGE_WAIT_BODY, remaining_us);
       else
         refuse_late_body (x);
       return false;
     }
-  if (!is_blocked (x, &fingerprint, &left_ms))
+  if (!is_blocked (x, &fingerprint, &remaining_ms))
     return true;
-  exchange_poison_refuse (x, left_ms);
+  exchange_poison_refuse (x, remaining_ms);
   return false;
 }
 
@@ -107,7 +107,7 @@
     poison_filter_clear (x->context->poison, x->service->name, &fingerprint);
 }
 
-/* X was sent to a target that has not started to answer. */
+/* X was sent to a target that has not started to respond. */
 static bool
 is_unanswered (const struct exchange *x)
 {
@@ -118,19 +118,19 @@
 void
 exchange_poison_cancel_all (struct caller_context *context,
                             const struct fingerprint *fingerprint,
-                            uint32_t left_ms)
+                            uint32_t remaining_ms)
 {
   struct exchange *x;
   struct exchange *next;
-  struct fingerprint own;
+  struct fingerprint local;
   DL_FOREACH_SAFE (context->exchanges, x, next)
   {
     if (x->service == NULL || !is_unanswered (x)
         || exchange_head_hash (x) != fingerprint->head_hash
-        || !exchange_fingerprint (x, &own)
-        || !fingerprint_equal (&own, fingerprint))
+        || !exchange_fingerprint (x, &local)
+        || !fingerprint_equal (&local, fingerprint))
       continue;
     exchange_cancel_attempt (x, ATTEMPT_CANCELLED);
-    exchange_poison_refuse (x, left_ms);
+    exchange_poison_refuse (x, remaining_ms);
   }
 }
--- a/node/caller/exchange_quota.c
+++ b/node/caller/exchange_quota.c
@@ -6,12 +6,12 @@
 
 enum
 {
-  ASK_AGAIN_US = 50 * 1000,
-  /** Most time that is waited for a token, and most of what the request has.
-   */
-  HOLD_MOST_US = 2000 * 1000,
-  HOLD_PARTS = 2,
-  NO_ANSWER_RETRY_AFTER_MS = 250,
+  TOKEN_POLL_INTERVAL_US = 50 * 1000,
+  /** Limits on the wait for a token: absolute, and as a divisor of the time
+   * until the deadline. */
+  TOKEN_WAIT_MAX_US = 2000 * 1000,
+  TOKEN_WAIT_DEADLINE_DIVISOR = 2,
+  QUOTA_UNKNOWN_RETRY_AFTER_MS = 250,
 };
 
 static void
@@ -21,46 +21,49 @@
   exchange_refuse (
       x, MHD_HTTP_TOO_MANY_REQUESTS, "over-quota",
       quota_client_next_token_ms (x->context->quotas, x->workspace_key),
-      "the workspace sends more than its quota: come back after "
-      "the time given, or ask for a higher one");
+      "the workspace exceeds its quota: retry after "
+      "the time given, or ask for a higher quota");
 }
 
-/* Guards against a quota that is passed while nobody can tell how much of it
-   is used: none runs then. */
+/* Used when no quota coordinator can say how much of the quota is used.  No
+   request runs then, because the quota could be exceeded. */
 static void
-refuse_unknown (struct exchange *x)
+refuse_quota_unknown (struct exchange *x)
 {
   exchange_refuse (
       x, MHD_HTTP_SERVICE_UNAVAILABLE, "quota-not-known",
-      NO_ANSWER_RETRY_AFTER_MS,
-      "this host can't tell now how much of the workspace's quota "
-      "is used: come back after the time given, or ask another "
-      "one");
+      QUOTA_UNKNOWN_RETRY_AFTER_MS,
+      "this host can't determine at present how much of the workspace's "
+      "quota is used: retry after the time given, or use another host");
 }
 
-/* Guards against requests that are held for a token that doesn't come: all
-   together no longer than a moment, and none once nobody answers. */
+/* Limits how long requests are held for a token that doesn't come: the waits
+   of one request together are bounded, and no request waits once the
+   coordinator has stopped answering. */
 static void
-await_token (struct exchange *x)
+wait_for_token (struct exchange *x)
 {
   const int64_t now_us = clock_now_us ();
   if (x->token_wait_start_us == 0)
     x->token_wait_start_us = now_us;
-  const int64_t time_us = x->deadline_us - x->token_wait_start_us;
-  const int64_t most_us = time_us / HOLD_PARTS < HOLD_MOST_US
-                              ? time_us / HOLD_PARTS
-                              : HOLD_MOST_US;
-  const int64_t left_us = x->token_wait_start_us + most_us - now_us;
-  if (left_us <= 0
+  const int64_t total_us = x->deadline_us - x->token_wait_start_us;
+  const int64_t wait_max_us
+      = total_us / TOKEN_WAIT_DEADLINE_DIVISOR < TOKEN_WAIT_MAX_US
+            ? total_us / TOKEN_WAIT_DEADLINE_DIVISOR
+            : TOKEN_WAIT_MAX_US;
+  const int64_t remaining_us = x->token_wait_start_us + wait_max_us - now_us;
+  if (remaining_us <= 0
       || quota_client_max_wait_ms (x->context->quotas, x->workspace_key) == 0)
     {
       quota_client_cancel_wait (x->context->quotas, x->workspace_key);
-      refuse_unknown (x);
+      refuse_quota_unknown (x);
       return;
     }
-  /* Now and then the keeper has to be asked again. */
+  /* Requests the token again from the coordinator after the interval. */
   exchange_wait_for (x, EXCHANGE_WAIT_TOKEN,
-                     left_us < ASK_AGAIN_US ? left_us : ASK_AGAIN_US);
+                     remaining_us < TOKEN_POLL_INTERVAL_US
+                         ? remaining_us
+                         : TOKEN_POLL_INTERVAL_US);
 }
 
 bool
@@ -68,15 +71,15 @@
 {
   if (!x->has_quota || x->token_expiry_ms != 0)
     return true;
-  const bool again = x->token_wait_start_us != 0;
-  switch (quota_client_take (x->context->quotas, x->workspace_key, again,
+  const bool is_retry = x->token_wait_start_us != 0;
+  switch (quota_client_take (x->context->quotas, x->workspace_key, is_retry,
                              &x->token_expiry_ms))
     {
     case QUOTA_TAKEN:
       return true;
     case QUOTA_WAIT:
       x->token_expiry_ms = 0;
-      await_token (x);
+      wait_for_token (x);
       return false;
     case QUOTA_EXHAUSTED:
       break;
--- a/node/caller/exchange_quota.h
+++ b/node/caller/exchange_quota.h
@@ -1,5 +1,5 @@
 /** @file
- * May a request run within its workspace's quota?
+ * Checks requests against the quota of their workspace.
  */
 #ifndef NODE_CALLER_EXCHANGE_QUOTA_H
 #define NODE_CALLER_EXCHANGE_QUOTA_H
@@ -8,15 +8,15 @@
 
 #include "node/caller/exchange.h"
 
-/** Charge X to its workspace, once however often it is tried.
- * @return false when X is answered or waits for a keeper's answer */
+/** Take a token of X's workspace, once for all attempts.
+ * @return false if X was refused or waits for the quota coordinator */
 bool exchange_quota_check (struct exchange *x);
 
-/** X surely hasn't run and won't: what was charged is given back. */
+/** Give back the token of X, which has not run and will not. */
 void exchange_quota_refund (struct exchange *x);
 
-/** A keeper has answered for WORKSPACE, the hash of its name: go on with the
- * requests that wait for it. */
+/** Resume the exchanges that wait for a token of WORKSPACE, the hash of its
+ * name, after its quota coordinator has answered. */
 void exchange_quota_resume_all (struct caller_context *context,
                                 uint64_t workspace);
 
--- a/node/caller/exchange_send.c
+++ b/node/caller/exchange_send.c
@@ -14,34 +14,34 @@
 enum
 {
   US_PER_MS = 1000,
-  CURL_AGE_UNIT_MS = 1000, /* libcurl counts idle time in seconds */
-  IDLE_PARTS = 4,
-  IDLE_PARTS_USED = 3,
+  CURL_IDLE_AGE_UNIT_MS = 1000, /* libcurl's unit of idle time */
+  IDLE_MARGIN_DENOMINATOR = 4,
+  IDLE_MARGIN_NUMERATOR = 3,
   DEADLINE_FIELD_SIZE = 64,
-  MEANT_FIELD_SIZE = SERVICE_NAME_SIZE + 64,
+  NAME_FIELD_SIZE = SERVICE_NAME_SIZE + 64,
   TICKET_FIELD_SIZE = REQUEST_TICKET_SIZE + 32,
   EXTRA_FIELDS_MAX = 4
 };
 
 static void
-note_starved (struct exchange_attempt *attempt, bool starved)
+update_upload_stall (struct exchange_attempt *attempt, bool is_stalled)
 {
   const int64_t now_us = clock_now_us ();
   if (attempt->upload_stall_start_us > 0)
     attempt->upload_stall_us += now_us - attempt->upload_stall_start_us;
-  attempt->upload_stall_start_us = starved ? now_us : 0;
+  attempt->upload_stall_start_us = is_stalled ? now_us : 0;
 }
 
 static size_t
 on_read (void *owner, char *data, size_t size)
 {
   struct exchange *x = owner;
-  const size_t taken = stream_buffer_read (&x->upload, data, size);
-  const bool starved = taken == 0 && !x->upload.is_complete;
-  note_starved (&x->attempt, starved);
-  if (taken > 0)
+  const size_t read_bytes = stream_buffer_read (&x->upload, data, size);
+  const bool is_stalled = read_bytes == 0 && !x->upload.is_complete;
+  update_upload_stall (&x->attempt, is_stalled);
+  if (read_bytes > 0)
     exchange_schedule_run (x);
-  return starved ? TARGET_CALL_PAUSE : taken;
+  return is_stalled ? TARGET_CALL_PAUSE : read_bytes;
 }
 
 static void
@@ -92,7 +92,8 @@
 static const struct target_call_events events
     = { .read = on_read, .head = on_head, .body = on_body, .end = on_end };
 
-/* Send X to ADDRESS; the fields of the attempt that name it are set. */
+/* Send X to ADDRESS.  The fields of the attempt that identify the target are
+   set already. */
 static void
 send_to (struct exchange *x, const char *address, const char *const *extra)
 {
@@ -122,34 +123,36 @@
     .extra_fields = extra,
     .has_body = x->head.body != REQUEST_BODY_NONE,
     .body_bytes = x->head.body == REQUEST_BODY_SIZED ? x->head.body_bytes : -1,
-    .force_new_connection = attempt->reuse_idle_max_ms < CURL_AGE_UNIT_MS,
+    .force_new_connection = attempt->reuse_idle_max_ms < CURL_IDLE_AGE_UNIT_MS,
     .reuse_idle_max_ms = attempt->reuse_idle_max_ms,
     .connect_timeout_ms = limits->connect_timeout_ms,
   };
   attempt->call = target_call_start (&options);
 }
 
-/* How long a connection that may carry X may have been idle.  A target that
-   announces when it closes is believed, less a part for the way of its
-   closing, which may cross the request. */
+/* The maximum idle time of a connection that may be reused for X.  If the
+   target announces an idle timeout, only 3/4 of it are used, because its close
+   may cross the request on the way. */
 static uint32_t
-reuse_idle_ms (const struct exchange *x, const struct caller_target *target)
+reuse_idle_max (const struct exchange *x, const struct caller_target *target)
 {
   const struct caller_limits *limits = &x->context->settings->limits;
-  const uint32_t most_ms
+  const uint32_t max_ms
       = x->repeatable ? limits->reuse_idle_ms : limits->reuse_idle_once_ms;
-  const uint32_t told_ms
-      = target->idle_timeout_ms / IDLE_PARTS * IDLE_PARTS_USED;
-  return target->idle_timeout_ms > 0 && told_ms < most_ms ? told_ms : most_ms;
+  const uint32_t announced_ms = target->idle_timeout_ms
+                                / IDLE_MARGIN_DENOMINATOR
+                                * IDLE_MARGIN_NUMERATOR;
+  return target->idle_timeout_ms > 0 && announced_ms < max_ms ? announced_ms
+                                                              : max_ms;
 }
 
 static void
 format_deadline (const struct exchange *x, char text[DEADLINE_FIELD_SIZE])
 {
-  const int64_t left_ms = (x->deadline_us - clock_now_us ()) / US_PER_MS;
+  const int64_t remaining_ms = (x->deadline_us - clock_now_us ()) / US_PER_MS;
   snprintf (text, DEADLINE_FIELD_SIZE, "%s: %lld",
             x->context->interface->deadline_ms,
-            (long long)(left_ms > 0 ? left_ms : 0));
+            (long long)(remaining_ms > 0 ? remaining_ms : 0));
 }
 
 void
@@ -158,17 +161,17 @@
   const struct target_spec *target = &x->service->spec->targets[number];
   struct exchange_attempt *attempt = &x->attempt;
   char deadline[DEADLINE_FIELD_SIZE];
-  char meant[MEANT_FIELD_SIZE];
-  char workspace[MEANT_FIELD_SIZE];
+  char intended_target[NAME_FIELD_SIZE];
+  char workspace[NAME_FIELD_SIZE];
   const char *extra[EXTRA_FIELDS_MAX] = { deadline };
   size_t extra_count = 1;
   const struct caller_interface *interface = x->context->interface;
   format_deadline (x, deadline);
   if (interface->intended_target != NULL)
     {
-      snprintf (meant, sizeof meant, "%s: %s", interface->intended_target,
-                target->name);
-      extra[extra_count++] = meant;
+      snprintf (intended_target, sizeof intended_target, "%s: %s",
+                interface->intended_target, target->name);
+      extra[extra_count++] = intended_target;
     }
   if (x->workspace[0] != '\0')
     {
@@ -177,7 +180,8 @@
       extra[extra_count++] = workspace;
     }
   attempt->key = x->service->targets[number].key;
-  attempt->reuse_idle_max_ms = reuse_idle_ms (x, &x->service->targets[number]);
+  attempt->reuse_idle_max_ms
+      = reuse_idle_max (x, &x->service->targets[number]);
   attempt->is_relay = false;
   snprintf (attempt->target, sizeof attempt->target, "%s", target->name);
   if (x->tried_count < POLICY_TRIED_MAX)
@@ -201,7 +205,7 @@
     credentials = xasprintf ("Authorization: %s", x->head.credentials);
   const char *const extra[]
       = { deadline, ticket, "Jaystair-Relayed: 1", credentials, NULL };
-  /* The ticket may have run at its own host before. */
+  /* The issuing host may have run the ticket before. */
   x->may_have_run = true;
   x->attempt.is_relay = true;
   x->attempt.reuse_idle_max_ms = 0;
--- a/node/caller/exchange_send.h
+++ b/node/caller/exchange_send.h
@@ -1,20 +1,20 @@
 /** @file
- * The target's end of an exchange, towards libcurl: sends the request and
- * takes in the answer, for one attempt.
+ * The target's side of an exchange, towards libcurl: sends the request and
+ * receives the response of one attempt.
  */
 #ifndef NODE_CALLER_EXCHANGE_SEND_H
 #define NODE_CALLER_EXCHANGE_SEND_H
 
 #include "node/caller/exchange.h"
 
-/** Begin an attempt at the target with NUMBER in the service's settings. */
+/** Start an attempt at target NUMBER of the service's settings. */
 void exchange_send (struct exchange *x, uint32_t number);
 
-/** Pass X on to the host at ADDRESS, which issued its ticket. */
+/** Relay X to the host at ADDRESS, which issued its ticket. */
 void exchange_relay (struct exchange *x, const char *host,
                      const char *address);
 
-/** Let a call that paused go on, as far as there is something to do. */
+/** Unpause the call for the directions in which data or space is available. */
 void exchange_unpause_attempt (struct exchange *x);
 
 #endif
--- a/node/caller/exchange_start.c
+++ b/node/caller/exchange_start.c
@@ -13,11 +13,11 @@
 enum
 {
   US_PER_MS = 1000,
-  /* A host that starts has its settings within a second mostly. */
+  /* A starting host usually receives its settings within a second. */
   SETTINGS_RETRY_AFTER_MS = 500,
-  /* From the start of the process on. */
-  SETTINGS_WAIT_US = 1000 * US_PER_MS,
-  /* Another host can be asked at once; the time is for asking which. */
+  /* Since the start of the process. */
+  SETTINGS_WAIT_MAX_US = 1000 * US_PER_MS,
+  /* Other hosts can serve at once; the delay allows for an address query. */
   LEAVING_RETRY_AFTER_MS = 50
 };
 
@@ -26,25 +26,25 @@
 {
   char message[LOCAL_RESPONSE_MESSAGE_SIZE];
   snprintf (message, sizeof message,
-            "no route takes %.16s %.100s: check host, path and method",
+            "no route matches %.16s %.100s: check host, path and method",
             x->head.method, x->head.path);
   exchange_refuse (x, MHD_HTTP_NOT_FOUND, "no-route", 0, message);
 }
 
-/* Guards against a host that has just started and calls what it doesn't know
-   yet "not found": a caller takes that for final.  So does one whose targets
-   aren't known yet. */
+/* A newly started host that doesn't know a route, or the targets of its
+   service, yet must not respond with "not found", which callers treat as
+   final. */
 static void
-refuse_unknown_yet (struct exchange *x, const char *reason)
+refuse_not_configured (struct exchange *x, const char *reason)
 {
   exchange_refuse (x, MHD_HTTP_SERVICE_UNAVAILABLE, reason,
                    SETTINGS_RETRY_AFTER_MS,
-                   "this host doesn't know its settings yet: come back after "
-                   "the time given or ask another one");
+                   "this host has not received its settings yet: retry after "
+                   "the time given or use another host");
 }
 
 static void
-take_route (struct exchange *x, const struct route *route)
+apply_route (struct exchange *x, const struct route *route)
 {
   const struct service_limits *limits = &x->service->spec->limits;
   caller_service_ref (x->service);
@@ -60,29 +60,29 @@
   memcpy (x->route_host, route->spec.host, sizeof x->route_host);
 }
 
-/* A host that has just started mostly has its settings within a tenth of a
-   second; callers that are told to come back may not. */
+/* A newly started host usually receives its settings within a tenth of a
+   second.  Waiting is better than a refusal, since callers may not retry. */
 static void
-await_settings (struct exchange *x)
+wait_for_settings (struct exchange *x)
 {
   const struct caller_context *context = x->context;
-  const int64_t left_us
-      = context->started_us + SETTINGS_WAIT_US - clock_now_us ();
-  if (left_us > 0)
-    exchange_wait_for (x, EXCHANGE_WAIT_SETTINGS, left_us);
+  const int64_t remaining_us
+      = context->started_us + SETTINGS_WAIT_MAX_US - clock_now_us ();
+  if (remaining_us > 0)
+    exchange_wait_for (x, EXCHANGE_WAIT_SETTINGS, remaining_us);
   else
-    refuse_unknown_yet (x, "no-settings");
+    refuse_not_configured (x, "no-settings");
 }
 
-/* The service that takes X, by the configuration in force now.
-   @return false when X is answered or waits */
+/* Finds the service of X in the configuration in force.  Returns false if X
+   was refused or waits. */
 static bool
 find_service (struct exchange *x)
 {
   const struct caller_context *context = x->context;
   if (context->settings->modes.has_registry && context->config == NULL)
     {
-      await_settings (x);
+      wait_for_settings (x);
       return false;
     }
   const uint32_t method = route_method_bit (x->head.method);
@@ -96,10 +96,10 @@
   x->service = caller_context_service (context, route_select_service (route));
   if (x->service == NULL)
     {
-      refuse_unknown_yet (x, "no-service");
+      refuse_not_configured (x, "no-service");
       return false;
     }
-  take_route (x, route);
+  apply_route (x, route);
   return true;
 }
 
@@ -116,7 +116,7 @@
     {
       snprintf (message, sizeof message,
                 "the request's head is larger than %u bytes: send fewer or "
-                "shorter fields",
+                "shorter header fields",
                 head_bytes);
       exchange_refuse (x, MHD_HTTP_REQUEST_HEADER_FIELDS_TOO_LARGE,
                        "head-too-large", 0, message);
@@ -137,23 +137,26 @@
 static bool
 set_deadline (struct exchange *x)
 {
-  int64_t left_ms = x->head.deadline_ms;
-  if (left_ms < 0 || (x->has_route_timeout && x->timeout_ms < left_ms))
-    left_ms = x->timeout_ms;
-  x->deadline_us = x->started_us + left_ms * US_PER_MS;
-  if (left_ms > 0)
+  int64_t remaining_ms = x->head.deadline_ms;
+  if (remaining_ms < 0
+      || (x->has_route_timeout && x->timeout_ms < remaining_ms))
+    remaining_ms = x->timeout_ms;
+  x->deadline_us = x->started_us + remaining_ms * US_PER_MS;
+  if (remaining_ms > 0)
     return true;
-  exchange_refuse (x, MHD_HTTP_GATEWAY_TIMEOUT, "deadline", 0,
-                   "the request came with no time left: send it with more");
+  exchange_refuse (
+      x, MHD_HTTP_GATEWAY_TIMEOUT, "deadline", 0,
+      "the request arrived with no time left: send it with a longer deadline");
   return false;
 }
 
-/* Guards against a request that comes so late while this host leaves that it
-   can't be finished: callers with an old address answer still come.  Shows as
-   a connection that ends without an answer when the process is over.  What
-   comes in the second half of the time to leave is sent elsewhere at once. */
+/* Callers with an old address answer still send requests while this host
+   leaves.  A request that arrives too late to be finished would end in a
+   closed connection without a response when the process exits.  From the
+   second half of the shutdown time on, requests are therefore refused at once,
+   so that they go to other hosts. */
 static bool
-comes_too_late (struct exchange *x)
+refuse_if_leaving (struct exchange *x)
 {
   const struct caller_context *context = x->context;
   const int64_t half_ms = context->settings->times.shutdown_ms / 2;
@@ -179,9 +182,9 @@
                        status_message ());
       return;
     }
-  if (comes_too_late (x))
+  if (refuse_if_leaving (x))
     return;
-  x->deadline_us = x->started_us + SETTINGS_WAIT_US;
+  x->deadline_us = x->started_us + SETTINGS_WAIT_MAX_US;
   exchange_check_and_admit (x);
 }
 
@@ -197,8 +200,8 @@
   if (!exchange_access_check (x) || !check_limits (x)
       || !exchange_poison_check (x) || !exchange_quota_check (x))
     return;
-  const bool by_ticket = !x->repeatable && x->head.ticket[0] != '\0';
-  if (by_ticket && !exchange_ticket_claim (x))
+  const bool needs_ticket = !x->repeatable && x->head.ticket[0] != '\0';
+  if (needs_ticket && !exchange_ticket_claim (x))
     return;
   exchange_admit (x);
 }
--- a/node/caller/exchange_ticket.c
+++ b/node/caller/exchange_ticket.c
@@ -7,75 +7,77 @@
 
 enum
 {
-  FULL_RETRY_AFTER_MS = 1000,
-  RUNNING_RETRY_AFTER_MS = 1000
+  TICKETS_FULL_RETRY_AFTER_MS = 1000,
+  TICKET_RUNNING_RETRY_AFTER_MS = 1000
 };
 
-/* A ticket that isn't run here and now may have run before, so nothing but
-   "unknown" is true of it, whatever this host did not do. */
+/* A ticket that isn't run here and now may have run before.  Only "unknown" is
+   correct then, whatever this host did. */
 static void
-answer_unknown (struct exchange *x, uint32_t status, const char *reason,
-                const char *message)
+respond_unknown (struct exchange *x, uint32_t status, const char *reason,
+                 const char *message)
 {
-  struct local_response own = { .status = status,
-                                .outcome = REQUEST_OUTCOME_UNKNOWN,
-                                .reason = reason };
-  snprintf (own.message, sizeof own.message, "%s", message);
-  exchange_respond_locally (x, &own);
+  struct local_response response = { .status = status,
+                                     .outcome = REQUEST_OUTCOME_UNKNOWN,
+                                     .reason = reason };
+  snprintf (response.message, sizeof response.message, "%s", message);
+  exchange_respond_locally (x, &response);
 }
 
 static void
-answer_duplicate (struct exchange *x, enum ticket_claim claim,
-                  const struct ticket *ticket)
+respond_duplicate (struct exchange *x, enum ticket_claim claim,
+                   const struct ticket *ticket)
 {
-  struct local_response own = { .status = MHD_HTTP_CONFLICT,
-                                .outcome = REQUEST_OUTCOME_UNKNOWN,
-                                .reason = "ticket-duplicate" };
+  struct local_response response = { .status = MHD_HTTP_CONFLICT,
+                                     .outcome = REQUEST_OUTCOME_UNKNOWN,
+                                     .reason = "ticket-duplicate" };
   const uint32_t status
       = ticket_issuer_status (x->context->tickets, ticket->sequence);
   if (claim == TICKET_CLAIM_DUPLICATE_ANSWERED)
-    snprintf (own.message, sizeof own.message,
-              "this ticket has been run and answered with status %u: don't "
+    snprintf (response.message, sizeof response.message,
+              "this ticket has been run, with response status %u: don't "
               "send it again",
               status);
   else if (claim == TICKET_CLAIM_DUPLICATE_RUNNING)
-    snprintf (own.message, sizeof own.message,
-              "this ticket is being run: wait for its own answer");
+    snprintf (response.message, sizeof response.message,
+              "this ticket is being run: wait for the response to the first "
+              "request");
   else
-    snprintf (own.message, sizeof own.message,
-              "this ticket has perhaps been run: find out before asking for "
-              "the same with a new one");
+    snprintf (response.message, sizeof response.message,
+              "this ticket may have been run: find out before sending "
+              "the request with a new one");
   if (claim == TICKET_CLAIM_DUPLICATE_RUNNING)
-    own.retry_after_ms = RUNNING_RETRY_AFTER_MS;
-  exchange_respond_locally (x, &own);
+    response.retry_after_ms = TICKET_RUNNING_RETRY_AFTER_MS;
+  exchange_respond_locally (x, &response);
 }
 
 static void
-answer_not_run (struct exchange *x, enum ticket_claim claim)
+refuse_ticket (struct exchange *x, enum ticket_claim claim)
 {
   if (claim == TICKET_CLAIM_FULL)
-    exchange_refuse (
-        x, MHD_HTTP_SERVICE_UNAVAILABLE, "tickets-full", FULL_RETRY_AFTER_MS,
-        "too many tickets are in use at this host: come back later");
+    exchange_refuse (x, MHD_HTTP_SERVICE_UNAVAILABLE, "tickets-full",
+                     TICKETS_FULL_RETRY_AFTER_MS,
+                     "too many tickets are in use at this host: retry later");
   else
     exchange_refuse (x, MHD_HTTP_BAD_REQUEST, "ticket-forged", 0,
-                     "this ticket was never handed out: take one from an "
+                     "this ticket was never issued: use one from an "
                      "address answer");
 }
 
 static void
-pass_on (struct exchange *x, const struct ticket *ticket)
+relay_to_issuer (struct exchange *x, const struct ticket *ticket)
 {
   const char *address
       = host_directory_find (x->context->host_directory, ticket->host);
-  const bool can = address != NULL && address[0] != '\0' && !x->head.relayed;
-  if (can)
+  const bool can_relay
+      = address != NULL && address[0] != '\0' && !x->head.relayed;
+  if (can_relay)
     exchange_relay (x, ticket->host, address);
   else
-    answer_unknown (x, MHD_HTTP_BAD_GATEWAY, "ticket-elsewhere",
-                    "the host that handed out this ticket can't be reached "
-                    "from here: find out whether it has run before asking "
-                    "for the same with a new one");
+    respond_unknown (x, MHD_HTTP_BAD_GATEWAY, "ticket-elsewhere",
+                     "the host that issued this ticket can't be reached "
+                     "from here: find out whether it has run before sending "
+                     "the request with a new one");
 }
 
 bool
@@ -91,25 +93,25 @@
       x->ticket_sequence = ticket.sequence;
       return true;
     case TICKET_CLAIM_NOT_ISSUED_HERE:
-      pass_on (x, &ticket);
+      relay_to_issuer (x, &ticket);
       return false;
     case TICKET_CLAIM_DUPLICATE_RUNNING:
     case TICKET_CLAIM_DUPLICATE_ANSWERED:
     case TICKET_CLAIM_DUPLICATE_UNKNOWN:
-      answer_duplicate (x, claim, &ticket);
+      respond_duplicate (x, claim, &ticket);
       return false;
     case TICKET_CLAIM_EXPIRED:
     case TICKET_CLAIM_WRONG_INCARNATION:
-      answer_unknown (x, MHD_HTTP_CONFLICT,
-                      claim == TICKET_CLAIM_EXPIRED ? "ticket-expired"
-                                                    : "ticket-restarted",
-                      "this host no longer knows the ticket: find out "
-                      "whether it has run before asking for the same with a "
-                      "new one");
+      respond_unknown (x, MHD_HTTP_CONFLICT,
+                       claim == TICKET_CLAIM_EXPIRED ? "ticket-expired"
+                                                     : "ticket-restarted",
+                       "this host no longer knows the ticket: find out "
+                       "whether it has run before sending the request with a "
+                       "new one");
       return false;
     case TICKET_CLAIM_FORGED:
     case TICKET_CLAIM_FULL:
-      answer_not_run (x, claim);
+      refuse_ticket (x, claim);
       return false;
     }
   return false;
@@ -122,10 +124,10 @@
     return;
   x->ticket_claimed = false;
   enum ticket_end end = TICKET_END_UNKNOWN;
-  const bool answering = x->state == EXCHANGE_FORWARDING;
-  if (answering && x->response_body.is_complete)
+  const bool is_forwarding = x->state == EXCHANGE_FORWARDING;
+  if (is_forwarding && x->response_body.is_complete)
     end = TICKET_END_ANSWERED;
-  else if (!answering && exchange_outcome (x) == REQUEST_OUTCOME_NOT_RUN)
+  else if (!is_forwarding && exchange_outcome (x) == REQUEST_OUTCOME_NOT_RUN)
     end = TICKET_END_NOT_RUN;
   ticket_issuer_finish (x->context->tickets, x->ticket_sequence, end,
                         x->attempt.status);
--- a/node/caller/exchange_timeout.c
+++ b/node/caller/exchange_timeout.c
@@ -8,17 +8,19 @@
 
 enum
 {
-  LOOK_AGAIN_US = 10000, /* least time between two looks at an attempt */
-  ELSEWHERE_AGAIN_US = 100000
+  TIMEOUT_CHECK_INTERVAL_MIN_US = 10000,
+  RETRY_POLL_INTERVAL_US = 100000
 };
 
-/* Arm the timer for the attempt's end in REST_US, or for the deadline. */
+/* Set the timer to expire in ATTEMPT_US or at the deadline, whichever is
+   earlier. */
 static void
-arm (struct exchange *x, int64_t rest_us)
+set_timer (struct exchange *x, int64_t attempt_us)
 {
   const int64_t now_us = clock_now_us ();
-  const int64_t left_us = x->deadline_us - now_us;
-  const int64_t wait_us = rest_us < left_us ? rest_us : left_us;
+  const int64_t remaining_us = x->deadline_us - now_us;
+  const int64_t wait_us
+      = attempt_us < remaining_us ? attempt_us : remaining_us;
   exchange_set_timer (x, wait_us);
 }
 
@@ -33,11 +35,11 @@
   x->attempt.head_timeout_us = service_policy_attempt_timeout_us (
       x->service->policy, x->attempt.started_us, &r,
       caller_service_find_target (x->service, x->attempt.key));
-  arm (x, x->attempt.head_timeout_us);
+  set_timer (x, x->attempt.head_timeout_us);
 }
 
 static void
-note (const struct exchange *x, const char *then)
+log_timeout (const struct exchange *x, const char *then)
 {
   const char *service = x->service->name;
   const char *target = x->attempt.target;
@@ -49,12 +51,13 @@
   caller_counters_add (x->context->counters.timeouts, service, then);
 }
 
-/* A body whose beginning is gone can't be sent again; see try_again() in
-   exchange_attempt.c.  Guards also against a host that leaves and gives up an
-   attempt whose target is at work, for another that then fails: its caller
-   gets nothing, though the first target's answer was still to come. */
+/* A body whose beginning was discarded can't be sent again; see
+   retry_or_fail() in exchange_attempt.c.  A leaving host doesn't retry either:
+   it would cancel an attempt whose target is still working, and if the other
+   target then fails, the caller gets no response although the first one was
+   still to come. */
 static bool
-go_elsewhere (struct exchange *x)
+retry_on_other_target (struct exchange *x)
 {
   if (x->upload.start_discarded || x->context->leaving)
     return false;
@@ -66,38 +69,41 @@
   if (!service_policy_admit_failover (x->service->policy, clock_now_us (), &r,
                                       &decision))
     return false;
-  note (x, "elsewhere");
+  log_timeout (x, "elsewhere");
   exchange_cancel_attempt (x, sent ? ATTEMPT_TIMED_OUT : ATTEMPT_NOT_SENT);
   exchange_apply_decision (x, &decision);
   return true;
 }
 
-/* There is no retry to take now, or no target to go to.  Guards against an
-   attempt that then hangs to its deadline, though a moment later there is. */
+/* No retry is allowed now, or no other target is available.  The check is
+   repeated, since one may be a moment later; otherwise the attempt would hang
+   until its deadline. */
 static void
-wait_on (struct exchange *x)
+extend_timeout (struct exchange *x)
 {
   struct exchange_attempt *attempt = &x->attempt;
   if (!attempt->retry_unavailable)
-    note (x, "waits");
+    log_timeout (x, "waits");
   attempt->retry_unavailable = true;
   attempt->head_timeout_us
-      = exchange_attempt_latency_us (attempt) + ELSEWHERE_AGAIN_US;
-  arm (x, ELSEWHERE_AGAIN_US);
+      = exchange_attempt_latency_us (attempt) + RETRY_POLL_INTERVAL_US;
+  set_timer (x, RETRY_POLL_INTERVAL_US);
 }
 
 void
 exchange_timeout_check (struct exchange *x)
 {
   struct exchange_attempt *attempt = &x->attempt;
-  const int64_t rest_us
+  const int64_t attempt_us
       = attempt->head_timeout_us == ATTEMPT_NO_TIMEOUT
             ? ATTEMPT_NO_TIMEOUT
             : attempt->head_timeout_us - exchange_attempt_latency_us (attempt);
-  if (attempt->head_received || rest_us == ATTEMPT_NO_TIMEOUT)
-    arm (x, ATTEMPT_NO_TIMEOUT);
-  else if (rest_us > 0)
-    arm (x, rest_us > LOOK_AGAIN_US ? rest_us : LOOK_AGAIN_US);
-  else if (!go_elsewhere (x))
-    wait_on (x);
+  if (attempt->head_received || attempt_us == ATTEMPT_NO_TIMEOUT)
+    set_timer (x, ATTEMPT_NO_TIMEOUT);
+  else if (attempt_us > 0)
+    set_timer (x, attempt_us > TIMEOUT_CHECK_INTERVAL_MIN_US
+                      ? attempt_us
+                      : TIMEOUT_CHECK_INTERVAL_MIN_US);
+  else if (!retry_on_other_target (x))
+    extend_timeout (x);
 }
--- a/node/caller/hangup_watch.c
+++ b/node/caller/hangup_watch.c
@@ -9,41 +9,42 @@
 
 enum
 {
-  EVENTS_A_TURN = 32
+  EVENTS_PER_WAKEUP = 32
 };
 
 struct hangup_watch
 {
   struct ev_loop *loop;
-  hangup_watch_fn *gone;
+  hangup_watch_fn *on_hangup;
   int epoll_fd;
   ev_io io;
 };
 
-/* `gone` only marks what is watched, so no event of this turn can point to
-   something that an earlier one released. */
+/* on_hangup() only marks the watched object, so no later event of this batch
+   can point to one that an earlier event released. */
 static void
 on_ready (struct ev_loop *loop, ev_io *io, int revents)
 {
   const struct hangup_watch *watch = io->data;
-  struct epoll_event events[EVENTS_A_TURN];
-  const int count = epoll_wait (watch->epoll_fd, events, EVENTS_A_TURN, 0);
+  struct epoll_event events[EVENTS_PER_WAKEUP];
+  const int count = epoll_wait (watch->epoll_fd, events, EVENTS_PER_WAKEUP, 0);
   for (int i = 0; i < count; i++)
-    watch->gone (events[i].data.ptr);
+    watch->on_hangup (events[i].data.ptr);
 }
 
 struct hangup_watch *
-hangup_watch_create (struct ev_loop *loop, hangup_watch_fn *gone)
+hangup_watch_create (struct ev_loop *loop, hangup_watch_fn *on_hangup)
 {
   const int fd = epoll_create1 (EPOLL_CLOEXEC);
   if (fd < 0)
     {
-      status_errno ("no epoll set for callers: raise the limit of open files");
+      status_errno ("can't create an epoll set for callers: raise the limit "
+                    "of open files");
       return NULL;
     }
   struct hangup_watch *watch = xcalloc (1, sizeof *watch);
   watch->loop = loop;
-  watch->gone = gone;
+  watch->on_hangup = on_hangup;
   watch->epoll_fd = fd;
   ev_io_init (&watch->io, on_ready, fd, EV_READ);
   watch->io.data = watch;
--- a/node/caller/hangup_watch.h
+++ b/node/caller/hangup_watch.h
@@ -1,11 +1,10 @@
 /** @file
- * Tells when the other end of a connection goes away while nobody reads it.
+ * Reports when the peer of a connection closes it while nobody reads from it.
  *
- * libmicrohttpd doesn't look at a suspended connection, so a caller that goes
- * away would be noticed only when its answer is written, and the work at the
- * target would go on for nobody.  An epoll set that asks for hang-ups only
- * sees it at once, also behind bytes that wait to be read, and never wakes
- * for those.
+ * libmicrohttpd doesn't poll a suspended connection, so a caller that
+ * disconnects would be noticed only when its response is written, and the
+ * target would work for nobody.  An epoll set that requests only EPOLLRDHUP
+ * reports it at once, even behind unread bytes, and is never woken by those.
  */
 #ifndef NODE_CALLER_HANGUP_WATCH_H
 #define NODE_CALLER_HANGUP_WATCH_H
@@ -14,12 +13,12 @@
 
 struct hangup_watch;
 
-/** The other end of WATCHED's connection is gone; told once. */
+/** Called once when the peer of WATCHED's connection has closed it. */
 typedef void hangup_watch_fn (void *watched);
 
-/** @return NULL on failure, with a message */
+/** @return NULL on failure, with a status message */
 struct hangup_watch *hangup_watch_create (struct ev_loop *loop,
-                                          hangup_watch_fn *gone);
+                                          hangup_watch_fn *on_hangup);
 void hangup_watch_destroy (struct hangup_watch *watch);
 
 void hangup_watch_add (struct hangup_watch *watch, int fd, void *watched);
--- a/node/caller/header_list.c
+++ b/node/caller/header_list.c
@@ -9,10 +9,10 @@
 
 enum
 {
-  FIRST_SIZE_BYTES = 1024,
-  FIRST_ROOM = 16,
-  TOKEN_SIZE = 128,
-  HEAD_MAX_BYTES = 64 * 1024
+  INITIAL_TEXT_BYTES = 1024,
+  INITIAL_FIELD_CAPACITY = 16,
+  FIELD_NAME_SIZE = 128,
+  LIST_BYTES_MAX = 64 * 1024
 };
 
 static const char *const hop_by_hop[]
@@ -42,31 +42,33 @@
   const size_t needed = list->used_bytes + size + 1;
   if (needed > list->size_bytes)
     {
-      size_t room = list->size_bytes > 0 ? list->size_bytes : FIRST_SIZE_BYTES;
-      while (room < needed)
-        room *= 2;
-      list->text = xreallocarray (list->text, room, 1);
-      list->size_bytes = room;
+      size_t new_size
+          = list->size_bytes > 0 ? list->size_bytes : INITIAL_TEXT_BYTES;
+      while (new_size < needed)
+        new_size *= 2;
+      list->text = xreallocarray (list->text, new_size, 1);
+      list->size_bytes = new_size;
     }
-  const uint32_t place = (uint32_t)list->used_bytes;
-  memcpy (list->text + place, text, size);
-  list->text[place + size] = '\0';
+  const uint32_t offset = (uint32_t)list->used_bytes;
+  memcpy (list->text + offset, text, size);
+  list->text[offset + size] = '\0';
   list->used_bytes = needed;
-  return place;
+  return offset;
 }
 
 enum status
 header_list_add (struct header_list *list, const char *name, size_t name_size,
                  const char *value, size_t value_size)
 {
-  if (list->used_bytes + name_size + value_size + 2 > HEAD_MAX_BYTES)
+  if (list->used_bytes + name_size + value_size + 2 > LIST_BYTES_MAX)
     return status_set (STATUS_LIMIT,
                        "header fields are larger than %d bytes: send fewer "
-                       "or shorter ones",
-                       HEAD_MAX_BYTES);
+                       "or shorter fields",
+                       LIST_BYTES_MAX);
   if (list->count == list->capacity)
     {
-      list->capacity = list->capacity > 0 ? list->capacity * 2 : FIRST_ROOM;
+      list->capacity
+          = list->capacity > 0 ? list->capacity * 2 : INITIAL_FIELD_CAPACITY;
       list->fields
           = xreallocarray (list->fields, list->capacity, sizeof *list->fields);
     }
@@ -96,7 +98,7 @@
 }
 
 static char
-folded (char c)
+fold_char (char c)
 {
   if (c == '_')
     return '-';
@@ -107,7 +109,7 @@
 header_name_matches (const char *name, const char *field)
 {
   size_t i = 0;
-  while (field[i] != '\0' && folded (name[i]) == folded (field[i]))
+  while (field[i] != '\0' && fold_char (name[i]) == fold_char (field[i]))
     i++;
   return field[i] == '\0' && name[i + strspn (name + i, " \t")] == '\0';
 }
@@ -140,7 +142,7 @@
     {
       names += strspn (names, ", \t");
       const size_t size = strcspn (names, ", \t");
-      char name[TOKEN_SIZE];
+      char name[FIELD_NAME_SIZE];
       if (size > 0 && size < sizeof name)
         {
           memcpy (name, names, size);
@@ -151,10 +153,10 @@
     }
 }
 
-/* The text of a removed field stays in place, so the value is good although
-   its field is gone. */
+/* The returned value remains valid, because the text of a removed field stays
+   in place. */
 static const char *
-take_first (struct header_list *list, const char *name)
+remove_first (struct header_list *list, const char *name)
 {
   for (size_t i = 0; i < list->count; i++)
     if (strcasecmp (header_list_name (list, i), name) == 0)
@@ -172,7 +174,7 @@
 header_list_remove_hop_by_hop (struct header_list *list)
 {
   const char *names;
-  while ((names = take_first (list, "Connection")) != NULL)
+  while ((names = remove_first (list, "Connection")) != NULL)
     remove_listed (list, names);
   for (size_t i = 0; i < sizeof hop_by_hop / sizeof hop_by_hop[0]; i++)
     header_list_remove (list, hop_by_hop[i]);
--- a/node/caller/header_list.h
+++ b/node/caller/header_list.h
@@ -1,8 +1,8 @@
 /** @file
- * The header fields of one message on its way through.
+ * The header fields of one request or response.
  *
- * Names compare without case.  The total size is bounded, so that a target's
- * answer can't grow memory.
+ * Names are compared case-insensitively.  The total size is limited, so that a
+ * target's response can't exhaust memory.
  */
 #ifndef NODE_CALLER_HEADER_LIST_H
 #define NODE_CALLER_HEADER_LIST_H
@@ -13,7 +13,7 @@
 
 #include "base/status.h"
 
-/** One field, as offsets into the list's text. */
+/** A field, as offsets into the list's text. */
 struct header_field
 {
   uint32_t name;
@@ -31,10 +31,11 @@
 };
 
 void header_list_release (struct header_list *list);
-/** Take out all fields; the memory stays. */
+/** Remove all fields, but keep the memory. */
 void header_list_clear (struct header_list *list);
 
-/** Add a field; STATUS_LIMIT past the most bytes a head may have. */
+/** Add a field.
+ * @return STATUS_LIMIT if the list would exceed its size limit */
 enum status header_list_add (struct header_list *list, const char *name,
                              size_t name_size, const char *value,
                              size_t value_size);
@@ -51,26 +52,26 @@
   return list->text + list->fields[i].value;
 }
 
-/** Is NAME a spelling of FIELD?  Some who read a field take `_` for `-`, or
- * pass over blanks before the colon, so these are spellings as well. */
+/** Return whether a receiver may treat NAME as FIELD.  Besides case, some
+ * receivers treat `_` as `-` or ignore blanks before the colon. */
 bool header_name_matches (const char *name, const char *field);
 
-/** The value of the first field called NAME, or NULL. */
+/** Return the value of the first field called NAME, or NULL. */
 const char *header_list_find (const struct header_list *list,
                               const char *name);
 
-/** Take out every field called NAME. */
+/** Remove every field called NAME. */
 void header_list_remove (struct header_list *list, const char *name);
-/** Take out every field whose name is a spelling of NAME: what nobody behind
- * may take for our word. */
+/** Remove every field that a receiver may treat as NAME, so that no target can
+ * take a caller's field for one of this host. */
 void header_list_remove_equivalent (struct header_list *list,
                                     const char *name);
-/** Take out every field whose name starts with PREFIX. */
+/** Remove every field whose name starts with PREFIX. */
 void header_list_remove_prefix (struct header_list *list, const char *prefix);
 
-/** Take out the fields that are for one connection only: those of RFC 9110
- * section 7.6.1, those that `Connection` lists, and the framing of the body,
- * which each connection has its own of. */
+/** Remove the fields that apply to one connection only: those of RFC 9110
+ * section 7.6.1, those listed by `Connection`, and those that frame the body,
+ * which is framed separately on each connection. */
 void header_list_remove_hop_by_hop (struct header_list *list);
 
 #endif
--- a/node/caller/local_response.c
+++ b/node/caller/local_response.c
@@ -10,7 +10,7 @@
   BODY_SIZE = 512,
   NUMBER_SIZE = 24,
   FIELDS_MAX = 4,
-  LINES_SIZE = 256,
+  FIELD_LINES_SIZE = 256,
   MS_PER_SECOND = 1000
 };
 
@@ -24,33 +24,33 @@
 }
 
 static size_t
-format_body (const struct local_response *answer, char text[BODY_SIZE])
+format_body (const struct local_response *local, char text[BODY_SIZE])
 {
   char message[BODY_SIZE - 128];
-  json_text_quote (message, sizeof message, answer->message);
+  json_text_quote (message, sizeof message, local->message);
   const int size = snprintf (
       text, BODY_SIZE,
       "{\"outcome\":\"%s\",\"reason\":\"%s\",\"message\":%s}\n",
-      request_outcome_name (answer->outcome), answer->reason, message);
+      request_outcome_name (local->outcome), local->reason, message);
   return (size_t)size < BODY_SIZE ? (size_t)size : BODY_SIZE - 1;
 }
 
-/* One field of an answer's head. */
-struct answer_field
+/* One header field. */
+struct response_field
 {
   const char *name;
   char value[NUMBER_SIZE];
 };
 
 static void
-set_number (struct answer_field *field, const char *name, uint32_t number)
+set_number (struct response_field *field, const char *name, uint32_t number)
 {
   field->name = name;
   snprintf (field->value, sizeof field->value, "%u", number);
 }
 
 static void
-set_retry_after (struct answer_field *field, uint32_t after_ms,
+set_retry_after (struct response_field *field, uint32_t after_ms,
                  bool has_decimals)
 {
   if (!has_decimals)
@@ -64,43 +64,43 @@
             after_ms / MS_PER_SECOND, after_ms % MS_PER_SECOND);
 }
 
-/* The fields that differ from answer to answer.
-   @return how many */
+/* Fills FIELDS with the header fields that differ between responses and
+   returns their number. */
 static size_t
-answer_fields (const struct local_response *answer,
-               const struct caller_interface *interface,
-               struct answer_field fields[FIELDS_MAX])
+response_fields (const struct local_response *local,
+                 const struct caller_interface *interface,
+                 struct response_field fields[FIELDS_MAX])
 {
   size_t count = 0;
   if (interface->outcome != NULL)
     {
       fields[count].name = interface->outcome;
       snprintf (fields[count++].value, NUMBER_SIZE, "%s",
-                request_outcome_name (answer->outcome));
+                request_outcome_name (local->outcome));
     }
-  if (answer->has_challenge)
+  if (local->has_challenge)
     {
       fields[count].name = "WWW-Authenticate";
       snprintf (fields[count++].value, NUMBER_SIZE, "Bearer");
     }
-  if (answer->retry_after_ms == 0)
+  if (local->retry_after_ms == 0)
     return count;
-  set_retry_after (&fields[count++], answer->retry_after_ms,
+  set_retry_after (&fields[count++], local->retry_after_ms,
                    interface->retry_after_has_decimals);
   if (interface->retry_after_ms != NULL)
     set_number (&fields[count++], interface->retry_after_ms,
-                answer->retry_after_ms);
+                local->retry_after_ms);
   return count;
 }
 
 struct MHD_Response *
-local_response_create (const struct local_response *answer,
+local_response_create (const struct local_response *local,
                        const struct caller_interface *interface, bool close)
 {
   char body[BODY_SIZE];
-  struct answer_field fields[FIELDS_MAX];
-  const size_t size = format_body (answer, body);
-  const size_t count = answer_fields (answer, interface, fields);
+  struct response_field fields[FIELDS_MAX];
+  const size_t size = format_body (local, body);
+  const size_t count = response_fields (local, interface, fields);
   struct MHD_Response *response
       = MHD_create_response_from_buffer (size, body, MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header (response, "Content-Type", "application/json");
@@ -113,15 +113,15 @@
 }
 
 size_t
-local_response_format (const struct local_response *answer,
+local_response_format (const struct local_response *local,
                        const struct caller_interface *interface,
                        char text[LOCAL_RESPONSE_TEXT_SIZE])
 {
   char body[BODY_SIZE];
-  char lines[LINES_SIZE] = "";
-  struct answer_field fields[FIELDS_MAX];
-  const size_t size = format_body (answer, body);
-  const size_t count = answer_fields (answer, interface, fields);
+  char lines[FIELD_LINES_SIZE] = "";
+  struct response_field fields[FIELDS_MAX];
+  const size_t size = format_body (local, body);
+  const size_t count = response_fields (local, interface, fields);
   size_t used = 0;
   for (size_t i = 0; i < count && used < sizeof lines; i++)
     used += (size_t)snprintf (lines + used, sizeof lines - used, "%s: %s\r\n",
@@ -131,7 +131,7 @@
                   "HTTP/1.1 %u %s\r\nContent-Type: application/json\r\n"
                   "Cache-Control: no-store\r\n%sConnection: close\r\n"
                   "Content-Length: %zu\r\n\r\n%s",
-                  answer->status, MHD_get_reason_phrase_for (answer->status),
+                  local->status, MHD_get_reason_phrase_for (local->status),
                   lines, size, body);
   return (size_t)total < LOCAL_RESPONSE_TEXT_SIZE ? (size_t)total : 0;
 }
--- a/node/caller/local_response.h
+++ b/node/caller/local_response.h
@@ -1,5 +1,5 @@
 /** @file
- * Answers that the fleet makes itself, in place of a target's.
+ * Responses that this host generates instead of forwarding a target's.
  */
 #ifndef NODE_CALLER_LOCAL_RESPONSE_H
 #define NODE_CALLER_LOCAL_RESPONSE_H
@@ -18,12 +18,12 @@
   LOCAL_RESPONSE_TEXT_SIZE = 1024
 };
 
-/** What became of the request. */
+/** What is known about whether the request has run. */
 enum request_outcome
 {
-  REQUEST_OUTCOME_NOT_RUN, /**< surely no target ran it */
-  REQUEST_OUTCOME_UNKNOWN, /**< perhaps a target ran it */
-  REQUEST_OUTCOME_RAN      /**< a target's own answer */
+  REQUEST_OUTCOME_NOT_RUN, /**< no target has run it */
+  REQUEST_OUTCOME_UNKNOWN, /**< a target may have run it */
+  REQUEST_OUTCOME_RAN      /**< a target responded */
 };
 
 /** "not-run", "unknown" or "ran". */
@@ -33,22 +33,22 @@
 {
   uint32_t status;
   enum request_outcome outcome;
-  const char *reason; /**< a fixed word: "queue-full", "deadline", ... */
-  char
-      message[LOCAL_RESPONSE_MESSAGE_SIZE]; /**< for people, with the remedy */
-  uint32_t retry_after_ms; /**< 0: no use in coming back, or not known */
-  bool has_challenge;      /**< with a challenge, as 401 must */
+  const char *reason; /**< a constant: "queue-full", "deadline", ... */
+  char message[LOCAL_RESPONSE_MESSAGE_SIZE]; /**< for people, with a remedy */
+  uint32_t retry_after_ms; /**< 0: a retry is no use, or unknown */
+  bool has_challenge;      /**< WWW-Authenticate, as required with 401 */
 };
 
-/** The answer as a response; CLOSE asks the caller to close. */
+/** Create a libmicrohttpd response; CLOSE asks the caller to close the
+ * connection. */
 struct MHD_Response *
-local_response_create (const struct local_response *answer,
+local_response_create (const struct local_response *local,
                        const struct caller_interface *interface, bool close);
 
-/** The whole answer as bytes, for a connection on which libmicrohttpd can't
- * answer yet; always asks the caller to close.
+/** Format the whole response as bytes, for a connection on which libmicrohttpd
+ * can't respond yet.  It always asks the caller to close the connection.
  * @return the number of bytes */
-size_t local_response_format (const struct local_response *answer,
+size_t local_response_format (const struct local_response *local,
                               const struct caller_interface *interface,
                               char text[LOCAL_RESPONSE_TEXT_SIZE]);
 
--- a/node/caller/request_head.c
+++ b/node/caller/request_head.c
@@ -16,8 +16,8 @@
 };
 
 static enum MHD_Result
-collect (void *owner, enum MHD_ValueKind kind, const char *name,
-         size_t name_size, const char *value, size_t value_size)
+add_header_field (void *owner, enum MHD_ValueKind kind, const char *name,
+                  size_t name_size, const char *value, size_t value_size)
 {
   struct header_list *headers = owner;
   const enum status status = header_list_add (
@@ -25,7 +25,8 @@
   return status == STATUS_OK ? MHD_YES : MHD_NO;
 }
 
-/* The host of AUTHORITY in lower case; an IPv6 number keeps its brackets. */
+/* Store the host of AUTHORITY in lower case.  An IPv6 address keeps its
+   brackets. */
 static void
 read_host (struct request_head *head, const char *authority)
 {
@@ -46,7 +47,7 @@
   const long long value = strtoll (text, &end, 10);
   if (!isdigit ((unsigned char)text[0]) || *end != '\0' || errno != 0)
     return status_set (STATUS_INVALID,
-                       "%s is not a whole number: send digits only", name);
+                       "%s is not an integer: send digits only", name);
   *number = value;
   return STATUS_OK;
 }
@@ -75,12 +76,12 @@
 }
 
 static enum status
-read_own_fields (struct request_head *head)
+read_jaystair_fields (struct request_head *head)
 {
   const char *ticket = header_list_find (&head->headers, "Jaystair-Ticket");
   if (ticket != NULL && strlen (ticket) >= sizeof head->ticket)
     return status_set (STATUS_INVALID, "Jaystair-Ticket is too long: send a "
-                                       "ticket as it was handed out");
+                                       "ticket as it was issued");
   if (ticket != NULL)
     snprintf (head->ticket, sizeof head->ticket, "%s", ticket);
   head->relayed
@@ -106,8 +107,8 @@
   return status;
 }
 
-/* A request with a ticket may have to go on to the host that gave it, which
-   asks for the key again. */
+/* A request with a ticket may be relayed to the host that issued it, which
+   checks the key again. */
 static void
 keep_credentials (struct request_head *head)
 {
@@ -131,7 +132,7 @@
   read_host (head, header_list_find (&head->headers, "Host"));
   enum status status = read_body (head);
   if (status == STATUS_OK)
-    status = read_own_fields (head);
+    status = read_jaystair_fields (head);
   if (status == STATUS_OK)
     status = read_interface_fields (head, interface);
   if (status == STATUS_OK)
@@ -159,7 +160,7 @@
   head->deadline_ms = -1;
   head->http_1_0 = strcmp (version, MHD_HTTP_VERSION_1_0) == 0;
   head->head_bytes = head_bytes (connection);
-  MHD_get_connection_values_n (connection, MHD_HEADER_KIND, collect,
+  MHD_get_connection_values_n (connection, MHD_HEADER_KIND, add_header_field,
                                &head->headers);
   if (strlen (method) >= sizeof head->method)
     return status_set (STATUS_INVALID, "the method is too long");
--- a/node/caller/request_head.h
+++ b/node/caller/request_head.h
@@ -1,9 +1,10 @@
 /** @file
- * The head of a caller's request: what the host itself needs of it, and the
- * fields to pass on.
+ * The head of a caller's request: the values that the host itself needs, and
+ * the header fields to forward.
  *
- * The fleet's own fields can't be forged: all `Jaystair-*` fields are taken
- * out here, and only those that a caller may send are read.
+ * Callers can't forge the fields of the protocol between hosts and targets:
+ * all `Jaystair-*` fields are removed here, and only those that a caller may
+ * send are read.
  */
 #ifndef NODE_CALLER_REQUEST_HEAD_H
 #define NODE_CALLER_REQUEST_HEAD_H
@@ -39,25 +40,26 @@
 {
   char method[REQUEST_METHOD_SIZE];
   char host[SERVICE_NAME_SIZE];     /**< lower case, without port */
-  char path[SERVICE_PATH_SIZE * 4]; /**< as routes see it */
-  char id[REQUEST_ID_SIZE];         /**< as the caller sent it, cut to fit */
-  char ticket[REQUEST_TICKET_SIZE]; /**< "" without one */
+  char path[SERVICE_PATH_SIZE * 4]; /**< normalised, for route matching */
+  char id[REQUEST_ID_SIZE];         /**< as sent by the caller, truncated */
+  char ticket[REQUEST_TICKET_SIZE]; /**< "": none */
   struct request_key key;
-  /** As the caller sent it, for the host that a ticket names; else NULL. */
+  /** Authorization as sent by the caller, for the host that issued the ticket;
+   * NULL without a ticket. */
   char *credentials;
-  bool relayed; /**< another host of the fleet passed it on */
+  bool relayed; /**< relayed by another host */
   bool http_1_0;
   bool expects_continue;
   enum request_body body;
-  int64_t body_bytes;  /**< with REQUEST_BODY_SIZED */
-  int64_t deadline_ms; /**< time left; -1 when the caller named none */
+  int64_t body_bytes;  /**< valid with REQUEST_BODY_SIZED */
+  int64_t deadline_ms; /**< remaining time; -1: not given */
   uint32_t head_bytes;
-  struct header_list headers; /**< to pass on */
+  struct header_list headers; /**< to forward */
 };
 
 /** Read the head of CONNECTION's request.
- * @return STATUS_INVALID for one that can't be served; the message names the
- * remedy */
+ * @return STATUS_INVALID for a request that can't be served; the status
+ * message includes a remedy */
 enum status request_head_read (struct request_head *head,
                                const struct caller_interface *interface,
                                struct MHD_Connection *connection,
--- a/node/caller/response_check.c
+++ b/node/caller/response_check.c
@@ -7,29 +7,29 @@
 enum
 {
   MS_PER_SECOND = 1000,
-  IDLE_MAX_S = 24 * 60 * 60,
+  KEEP_ALIVE_MAX_S = 24 * 60 * 60,
   RETRY_AFTER_MAX_MS = 60 * 60 * 1000
 };
 
-/* Only a target's own word tells that a request was not run. */
+/* Only an explicit statement of the target shows that a request was not
+   run. */
 bool
 response_check_is_shed (const struct exchange *x)
 {
   const struct caller_interface *interface = x->context->interface;
-  const char *said
+  const char *not_run
       = header_list_find (&x->attempt.headers, interface->not_run);
   const uint32_t status = x->attempt.status;
   if (status == MHD_HTTP_MISDIRECTED_REQUEST)
     return interface->intended_target != NULL;
-  if (said == NULL || status < MHD_HTTP_BAD_REQUEST)
+  if (not_run == NULL || status < MHD_HTTP_BAD_REQUEST)
     return false;
   return interface->not_run_value == NULL
-         || (strcasecmp (said, interface->not_run_value) == 0
+         || (strcasecmp (not_run, interface->not_run_value) == 0
              && (status == MHD_HTTP_SERVICE_UNAVAILABLE
                  || status == MHD_HTTP_TOO_MANY_REQUESTS));
 }
 
-/* When a target that shed the request wants to be asked again. */
 void
 response_check_store_retry_after (struct exchange *x)
 {
@@ -37,18 +37,18 @@
   const char *name = x->context->interface->retry_after_ms;
   const char *exact = name != NULL ? header_list_find (headers, name) : NULL;
   const char *seconds = header_list_find (headers, "Retry-After");
-  long long after_ms = 0;
+  long long retry_ms = 0;
   if (exact != NULL)
-    after_ms = strtoll (exact, NULL, 10);
+    retry_ms = strtoll (exact, NULL, 10);
   else if (seconds != NULL)
-    after_ms = (long long)(strtod (seconds, NULL) * MS_PER_SECOND);
-  if (after_ms < 0 || after_ms > RETRY_AFTER_MAX_MS)
+    retry_ms = (long long)(strtod (seconds, NULL) * MS_PER_SECOND);
+  if (retry_ms < 0 || retry_ms > RETRY_AFTER_MAX_MS)
     return;
-  x->target_retry_after_ms = (uint32_t)after_ms;
+  x->target_retry_after_ms = (uint32_t)retry_ms;
 }
 
 static void
-note_leaving (struct exchange *x)
+update_leaving (struct exchange *x)
 {
   const char *name = x->context->interface->leaving;
   const char *leaving
@@ -57,16 +57,18 @@
     caller_service_set_leaving (x->service, x->attempt.key, true);
 }
 
-/* `Keep-Alive: timeout=10`, in seconds. */
+/* Parses `Keep-Alive: timeout=10`, in seconds. */
 static void
-note_idle (struct exchange *x)
+update_idle_timeout (struct exchange *x)
 {
-  const char *told = header_list_find (&x->attempt.headers, "Keep-Alive");
-  const char *timeout = told != NULL ? strstr (told, "timeout=") : NULL;
+  const char *keep_alive
+      = header_list_find (&x->attempt.headers, "Keep-Alive");
+  const char *timeout
+      = keep_alive != NULL ? strstr (keep_alive, "timeout=") : NULL;
   if (timeout == NULL)
     return;
   const long seconds = strtol (timeout + strlen ("timeout="), NULL, 10);
-  if (seconds > 0 && seconds < IDLE_MAX_S)
+  if (seconds > 0 && seconds < KEEP_ALIVE_MAX_S)
     caller_service_set_idle_timeout (x->service, x->attempt.key,
                                      (uint32_t)seconds * MS_PER_SECOND);
 }
@@ -74,12 +76,12 @@
 void
 response_check_update_target (struct exchange *x)
 {
-  note_leaving (x);
-  note_idle (x);
+  update_leaving (x);
+  update_idle_timeout (x);
 }
 
-/* A head that libmicrohttpd could not write whole would end the caller's
-   connection without a word. */
+/* If libmicrohttpd can't write the whole head, it closes the caller's
+   connection without a response. */
 bool
 response_check_is_too_large (const struct exchange *x)
 {
@@ -87,12 +89,11 @@
          > x->context->settings->limits.header_bytes;
 }
 
-/* What is wrong with the answer's head; NULL when nothing is.
-   Guards against bytes on a kept connection that are another request's
-   answer, or no target's at all: they come late, after the request that they
-   belong to was given up, or beside a first answer.  Shows as a caller that
-   gets somebody else's answer.  The identity that each answer repeats, and
-   the signature that only a target can make, tell them apart. */
+/* Bytes on a reused connection may belong to the response to another request
+   or come from no target at all: they arrive late, after their request was
+   cancelled, or after a first response.  Without this check a caller would get
+   another caller's response.  The request id that each response repeats, and
+   the signature that only a target can make, identify the right one. */
 const char *
 response_check_error (const struct exchange *x)
 {
@@ -103,19 +104,19 @@
     {
       const char *echo = header_list_find (headers, interface->request_id);
       if (echo == NULL ? is_success : strcmp (echo, x->head.id) != 0)
-        return "the answer is another request's";
+        return "the response belongs to another request";
     }
   if (is_success && interface->signature != NULL
       && header_list_find (headers, interface->signature) == NULL)
-    return "the answer bears no signature";
+    return "the response has no signature";
   if (interface->rejects_content_coding
       && header_list_find (headers, "Content-Encoding") != NULL)
-    return "the answer's body is coded";
+    return "the response body has a content coding";
   return NULL;
 }
 
-/* Guards against a promise that no target has made: a caller takes these for
-   "not run and never will be". */
+/* Callers take these statuses for "not run and never will be", which no target
+   has stated. */
 bool
 response_check_is_unsigned_refusal (const struct exchange *x)
 {
--- a/node/caller/response_check.h
+++ b/node/caller/response_check.h
@@ -1,6 +1,6 @@
 /** @file
- * What the head of a target's answer says: whether it may be passed on, and
- * what it tells of the target.
+ * Evaluates the head of a target's response: whether it may be forwarded, and
+ * what it reports about the target.
  */
 #ifndef NODE_CALLER_RESPONSE_CHECK_H
 #define NODE_CALLER_RESPONSE_CHECK_H
@@ -9,23 +9,24 @@
 
 #include "node/caller/exchange.h"
 
-/** The target refused the request and says that it hasn't run it. */
+/** The target refused the request and states that it has not run it. */
 bool response_check_is_shed (const struct exchange *x);
 
-/** What is wrong with the answer's head; NULL when nothing is. */
+/** Return an error message if the response head is invalid, or NULL. */
 const char *response_check_error (const struct exchange *x);
 
-/** Its status would be a promise that the target hasn't made. */
+/** The response would tell the caller that the request was not run, but no
+ * target has stated that. */
 bool response_check_is_unsigned_refusal (const struct exchange *x);
 
-/** The head has more bytes than could be written to the caller. */
+/** The head is larger than what can be sent to the caller. */
 bool response_check_is_too_large (const struct exchange *x);
 
-/** Note when a target that shed the request wants to be asked again. */
+/** Store the retry time that was sent by a target that shed the request. */
 void response_check_store_retry_after (struct exchange *x);
 
-/** Note what the answer tells of its target: that it leaves, and how long it
- * keeps idle connections. */
+/** Update what the response reports about its target: whether it is leaving,
+ * and its idle timeout of connections. */
 void response_check_update_target (struct exchange *x);
 
 #endif
--- a/node/caller/stream_buffer.c
+++ b/node/caller/stream_buffer.c
@@ -8,15 +8,15 @@
 
 enum
 {
-  FIRST_SIZE_BYTES = 2048
+  INITIAL_SIZE_BYTES = 2048
 };
 
 void
 stream_buffer_init (struct stream_buffer *buffer, size_t capacity_bytes,
-                    bool keep)
+                    bool keep_consumed)
 {
   *buffer = (struct stream_buffer){ .capacity_bytes = capacity_bytes,
-                                    .keep_consumed = keep };
+                                    .keep_consumed = keep_consumed };
 }
 
 void
@@ -39,13 +39,13 @@
 }
 
 static void
-drop_taken (struct stream_buffer *buffer)
+discard_consumed (struct stream_buffer *buffer)
 {
   if (buffer->consumed_bytes == 0)
     return;
-  const size_t waiting = stream_buffer_pending_bytes (buffer);
-  memmove (buffer->data, buffer->data + buffer->consumed_bytes, waiting);
-  buffer->used_bytes = waiting;
+  const size_t pending = stream_buffer_pending_bytes (buffer);
+  memmove (buffer->data, buffer->data + buffer->consumed_bytes, pending);
+  buffer->used_bytes = pending;
   buffer->consumed_bytes = 0;
   buffer->start_discarded = true;
 }
@@ -53,7 +53,8 @@
 static void
 grow (struct stream_buffer *buffer, size_t needed)
 {
-  size_t size = buffer->size_bytes > 0 ? buffer->size_bytes : FIRST_SIZE_BYTES;
+  size_t size
+      = buffer->size_bytes > 0 ? buffer->size_bytes : INITIAL_SIZE_BYTES;
   while (size < needed)
     size *= 2;
   if (size > buffer->capacity_bytes)
@@ -67,14 +68,14 @@
 stream_buffer_append (struct stream_buffer *buffer, const char *data,
                       size_t size)
 {
-  const size_t room = stream_buffer_free_bytes (buffer);
-  if (size > room)
-    size = room;
+  const size_t free_bytes = stream_buffer_free_bytes (buffer);
+  if (size > free_bytes)
+    size = free_bytes;
   if (size == 0)
     return 0;
   const bool fits = buffer->used_bytes + size <= buffer->capacity_bytes;
   if (!buffer->keep_consumed || !fits)
-    drop_taken (buffer);
+    discard_consumed (buffer);
   if (buffer->used_bytes + size > buffer->size_bytes)
     grow (buffer, buffer->used_bytes + size);
   memcpy (buffer->data + buffer->used_bytes, data, size);
@@ -85,9 +86,9 @@
 size_t
 stream_buffer_read (struct stream_buffer *buffer, char *data, size_t size)
 {
-  const size_t waiting = stream_buffer_pending_bytes (buffer);
-  if (size > waiting)
-    size = waiting;
+  const size_t pending = stream_buffer_pending_bytes (buffer);
+  if (size > pending)
+    size = pending;
   if (size == 0)
     return 0;
   memcpy (data, buffer->data + buffer->consumed_bytes, size);
--- a/node/caller/target_call.c
+++ b/node/caller/target_call.c
@@ -17,17 +17,17 @@
 struct target_call
 {
   const struct target_call_events *events;
-  void *owner; /* NULL once given up */
+  void *owner; /* NULL after target_call_cancel() */
   struct curl_loop *curl;
   CURL *easy;
   struct curl_slist *fields;
-  struct header_list answer;
+  struct header_list response_headers;
   bool head_only;
-  bool head_told;
-  const char *fault; /* why its answer was refused */
-  bool read_paused;
-  bool body_paused;
-  uint32_t sendings;
+  bool head_reported;
+  const char *error; /* why the response was rejected */
+  bool send_paused;
+  bool receive_paused;
+  uint32_t send_count;
   char message[CURL_ERROR_SIZE];
 };
 
@@ -36,9 +36,9 @@
                 int local_port)
 {
   struct target_call *call = owner;
-  if (call->sendings > 0)
+  if (call->send_count > 0)
     return CURL_PREREQFUNC_ABORT;
-  call->sendings++;
+  call->send_count++;
   return CURL_PREREQFUNC_OK;
 }
 
@@ -48,9 +48,10 @@
   struct target_call *call = owner;
   if (call->owner == NULL)
     return CURL_READFUNC_ABORT;
-  const size_t got = call->events->read (call->owner, data, size * count);
-  call->read_paused = got == TARGET_CALL_PAUSE;
-  return call->read_paused ? CURL_READFUNC_PAUSE : got;
+  const size_t count_read
+      = call->events->read (call->owner, data, size * count);
+  call->send_paused = count_read == TARGET_CALL_PAUSE;
+  return call->send_paused ? CURL_READFUNC_PAUSE : count_read;
 }
 
 static bool
@@ -59,31 +60,34 @@
   return text[0] != '\0' && strspn (text, "0123456789") == strlen (text);
 }
 
-/* How long the answer's body is; -1: it tells its end by itself.
-   Guards against a target that contradicts itself, which libcurl bears with:
-   it reads by one word, and the caller was told the other, so that a part of
-   the answer looked whole to it.  Chunks overrule a length (RFC 9112, 6.3);
-   two lengths, or one that is no number, make the answer void. */
+/* Read the length of the response body; -1: the body delimits itself.
+
+   libcurl accepts contradictory lengths.  It would read the body by one of
+   them while the caller was given the other, so that a truncated response
+   would look complete.  Chunked coding overrides a length (RFC 9112, 6.3); two
+   different lengths, or one that is not a number, make the response
+   invalid. */
 static bool
 read_length (const struct target_call *call, int64_t *length)
 {
-  const struct header_list *answer = &call->answer;
+  const struct header_list *response_headers = &call->response_headers;
   *length = -1;
-  if (header_list_find (answer, "Transfer-Encoding") != NULL)
+  if (header_list_find (response_headers, "Transfer-Encoding") != NULL)
     return true;
-  const char *first = header_list_find (answer, "Content-Length");
+  const char *first = header_list_find (response_headers, "Content-Length");
   if (first == NULL)
     return true;
-  for (size_t i = 0; i < answer->count; i++)
-    if (strcasecmp (header_list_name (answer, i), "Content-Length") == 0
-        && strcmp (header_list_value (answer, i), first) != 0)
+  for (size_t i = 0; i < response_headers->count; i++)
+    if (strcasecmp (header_list_name (response_headers, i), "Content-Length")
+            == 0
+        && strcmp (header_list_value (response_headers, i), first) != 0)
       return false;
   *length = strtoll (first, NULL, 10);
   return is_number (first);
 }
 
-/* The final answer's head is complete at its empty line.  1xx heads before it
-   and trailers behind the body come through the same callback. */
+/* The head of the final response ends with its empty line.  1xx heads before
+   it and trailers after the body come through the same callback. */
 static bool
 end_of_head (struct target_call *call)
 {
@@ -94,13 +98,13 @@
     return true;
   if (!read_length (call, &length))
     {
-      call->fault = "the answer contradicts itself on its length";
+      call->error = "the response has contradictory lengths";
       return false;
     }
-  call->head_told = true;
+  call->head_reported = true;
   const struct target_head head = { .status = (uint32_t)status,
                                     .length_bytes = length,
-                                    .headers = &call->answer };
+                                    .headers = &call->response_headers };
   call->events->head (call->owner, &head);
   return true;
 }
@@ -118,7 +122,7 @@
   while (end > value && strchr ("\r\n \t", end[-1]) != NULL)
     end--;
   const size_t name_size = (size_t)(colon - line);
-  return header_list_add (&call->answer, line, name_size, value,
+  return header_list_add (&call->response_headers, line, name_size, value,
                           (size_t)(end - value))
          == STATUS_OK;
 }
@@ -130,15 +134,15 @@
   const size_t total = size * count;
   if (call->owner == NULL)
     return 0;
-  if (call->head_told)
+  if (call->head_reported)
     return total;
   if (total >= 5 && memcmp (line, "HTTP/", 5) == 0)
-    header_list_clear (&call->answer);
+    header_list_clear (&call->response_headers);
   else if (line[0] == '\r' || line[0] == '\n')
     return end_of_head (call) ? total : 0;
   else if (!add_field (call, line, total))
     {
-      call->fault = "the answer's header fields are too large";
+      call->error = "the response's header fields are too large";
       return 0;
     }
   return total;
@@ -150,8 +154,8 @@
   struct target_call *call = owner;
   if (call->owner == NULL)
     return 0;
-  call->body_paused = !call->events->body (call->owner, data, size * count);
-  return call->body_paused ? CURL_WRITEFUNC_PAUSE : size * count;
+  call->receive_paused = !call->events->body (call->owner, data, size * count);
+  return call->receive_paused ? CURL_WRITEFUNC_PAUSE : size * count;
 }
 
 static void
@@ -159,7 +163,7 @@
 {
   curl_easy_cleanup (call->easy);
   curl_slist_free_all (call->fields);
-  header_list_release (&call->answer);
+  header_list_release (&call->response_headers);
   free (call);
 }
 
@@ -170,12 +174,12 @@
   const char *message = call->message;
   if (message[0] == '\0')
     message = curl_easy_strerror (code);
-  if (call->fault != NULL)
-    message = call->fault;
+  if (call->error != NULL)
+    message = call->error;
   enum target_call_end end = TARGET_CALL_BROKEN;
-  if (call->sendings == 0)
+  if (call->send_count == 0)
     end = TARGET_CALL_NOT_SENT;
-  else if (code == CURLE_OK && call->head_told)
+  else if (code == CURLE_OK && call->head_reported)
     end = TARGET_CALL_COMPLETE;
   if (call->owner != NULL)
     call->events->end (call->owner, end, message);
@@ -188,8 +192,8 @@
   call->fields = curl_slist_append (call->fields, line);
 }
 
-/* libcurl takes "Name:" as an order to leave its own field out, and "Name;"
-   for a field with no value. */
+/* libcurl interprets "Name:" as removal of its own field, and "Name;" as a
+   field without a value. */
 static void
 add_header (struct target_call *call, const char *name, const char *value)
 {
@@ -242,7 +246,8 @@
 }
 
 static void
-set_place (struct target_call *call, const struct target_call_options *options)
+set_address (struct target_call *call,
+             const struct target_call_options *options)
 {
   CURL *easy = call->easy;
   char url[URL_SIZE];
@@ -256,7 +261,7 @@
   if (options->force_new_connection)
     {
       curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, 1L);
-      /* Else each such call would leave one more open connection behind. */
+      /* Otherwise each such call would leave one more connection open. */
       curl_easy_setopt (easy, CURLOPT_FORBID_REUSE, 1L);
     }
 }
@@ -282,7 +287,7 @@
   call->owner = options->owner;
   call->curl = options->curl;
   call->easy = curl_loop_easy ();
-  set_place (call, options);
+  set_address (call, options);
   set_callbacks (call);
   set_method (call, options);
   add_headers (call, options);
@@ -301,19 +306,19 @@
 bool
 target_call_may_have_sent (const struct target_call *call)
 {
-  return call->sendings > 0;
+  return call->send_count > 0;
 }
 
 void
 target_call_unpause (struct target_call *call, bool send, bool receive)
 {
-  const bool send_again = send && call->read_paused;
-  const bool receive_again = receive && call->body_paused;
-  if (!send_again && !receive_again)
+  const bool resume_send = send && call->send_paused;
+  const bool resume_receive = receive && call->receive_paused;
+  if (!resume_send && !resume_receive)
     return;
-  call->read_paused = call->read_paused && !send_again;
-  call->body_paused = call->body_paused && !receive_again;
-  const int still = (call->read_paused ? CURLPAUSE_SEND : 0)
-                    | (call->body_paused ? CURLPAUSE_RECV : 0);
-  curl_loop_pause (call->curl, call->easy, still);
+  call->send_paused = call->send_paused && !resume_send;
+  call->receive_paused = call->receive_paused && !resume_receive;
+  const int pause_mask = (call->send_paused ? CURLPAUSE_SEND : 0)
+                         | (call->receive_paused ? CURLPAUSE_RECV : 0);
+  curl_loop_pause (call->curl, call->easy, pause_mask);
 }
