--- a/node/caller/tests/access_test.cc
+++ b/node/caller/tests/access_test.cc
@@ -1,4 +1,5 @@
-/* Callers with and without keys, and what targets are told of them. */
+/* Requests with and without keys, and which of their fields targets
+   receive. */
 #include "node/caller/tests/caller_fixture.h"
 
 extern "C"
@@ -51,23 +52,23 @@
   target_server *target = nullptr;
 };
 
-TEST_F (AccessTest, ATargetIsToldTheWorkspaceAndNotTheKey)
+TEST_F (AccessTest, TargetReceivesWorkspaceButNotKey)
 {
   const auto call
       = send ("/headers", { "Authorization: Bearer key-june",
                             "Jaystair-Workspace: july", "X-Kept: 1" });
   EXPECT_EQ (call->status, 200);
-  const std::string &seen = call->answer;
-  EXPECT_NE (seen.find ("Jaystair-Workspace: june\n"), std::string::npos)
-      << seen;
-  EXPECT_EQ (seen.find ("july"), std::string::npos) << seen;
-  EXPECT_EQ (seen.find ("key-june"), std::string::npos) << seen;
-  EXPECT_NE (seen.find ("X-Kept: 1\n"), std::string::npos) << seen;
+  const std::string &received = call->answer;
+  EXPECT_NE (received.find ("Jaystair-Workspace: june\n"), std::string::npos)
+      << received;
+  EXPECT_EQ (received.find ("july"), std::string::npos) << received;
+  EXPECT_EQ (received.find ("key-june"), std::string::npos) << received;
+  EXPECT_NE (received.find ("X-Kept: 1\n"), std::string::npos) << received;
 }
 
-/* A caller of one workspace claims to be another one, in a spelling that a
-   target's framework takes for the same field. */
-TEST_F (AccessTest, AClaimedWorkspaceIsTakenOutInAnySpelling)
+/* A caller sends another workspace's name in a field name that a target's
+   framework may treat as the workspace field. */
+TEST_F (AccessTest, ForgedWorkspaceFieldIsRemovedInAnySpelling)
 {
   const auto call = send ("/headers", { "Authorization: Bearer key-june",
                                         "jaystair_workspace: july",
@@ -76,7 +77,7 @@
   EXPECT_EQ (call->answer.find ("july"), std::string::npos) << call->answer;
 }
 
-TEST_F (AccessTest, AnOpenRouteNeedsNoKeyAndPassesNoneOn)
+TEST_F (AccessTest, OpenRouteNeedsNoKeyAndForwardsNone)
 {
   EXPECT_EQ (send ("/open/x", {})->status, 200);
   const auto call = send ("/open/headers", { "Authorization: Bearer key-june",
@@ -87,7 +88,7 @@
   EXPECT_EQ (call->answer.find ("july"), std::string::npos) << call->answer;
 }
 
-TEST_F (AccessTest, WithoutAGoodKeyTheAnswerIsAChallenge)
+TEST_F (AccessTest, InvalidKeyGetsChallenge)
 {
   for (const char *field :
        { "X-Nothing: 1", "Authorization: Bearer other",
@@ -102,7 +103,7 @@
   EXPECT_EQ (target_server_counts (target).runs, 0u);
 }
 
-TEST_F (AccessTest, AMissingRouteIsNotFoundWhateverTheKey)
+TEST_F (AccessTest, MissingRouteIsNotFoundForAnyKey)
 {
   put_config (", 'workspaces': [" + workspace ("june", "key-june") + "]");
   auto call = make ("DELETE", "/x", "r1");
@@ -110,9 +111,9 @@
   EXPECT_EQ (call->status, 404);
 }
 
-/* A key leaks and its owner takes it away.  The next request that bears it
-   must not run, and the other one of the two keys goes on. */
-TEST_F (AccessTest, AKeyThatWasTakenAwayIsRefusedAndItsSuccessorGoesOn)
+/* After a key is revoked, the next request with it must not run, and the
+   workspace's other key stays valid. */
+TEST_F (AccessTest, RevokedKeyIsRefusedAndNewKeyIsAccepted)
 {
   EXPECT_EQ (send ("/x", { "Authorization: Bearer key-june" })->status, 200);
   put_config (", 'workspaces': [" + workspace ("june", "key-june-2") + "]");
@@ -120,9 +121,8 @@
   EXPECT_EQ (send ("/x", { "Authorization: Bearer key-june-2" })->status, 200);
 }
 
-/* The body of a refused upload is not waited for, and the next request on the
-   connection is served. */
-TEST_F (AccessTest, TheConnectionGoesOnAfterARefusal)
+/* After a refusal the next request on the same connection is served. */
+TEST_F (AccessTest, ConnectionIsKeptAfterRefusal)
 {
   const auto raw = connect_raw ();
   raw->write ("GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -135,7 +135,7 @@
   EXPECT_FALSE (raw->closed);
 }
 
-TEST_F (AccessTest, ABodyIsNotWaitedFor)
+TEST_F (AccessTest, RefusalDoesNotWaitForBody)
 {
   const auto raw = connect_raw ();
   raw->write ("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 100000\r\n\r\n"
@@ -145,8 +145,8 @@
   }));
 }
 
-/* A request is tried again at another target: that one is told no more. */
-TEST_F (AccessTest, ASecondAttemptTellsNoKeyEither)
+/* A retry at another target must not send the key either. */
+TEST_F (AccessTest, RetrySendsNoKey)
 {
   add_target ("t2");
   put_service (usual_routes);
@@ -165,7 +165,8 @@
     }
 }
 
-/* A host starts, or is cut off, and can't tell which keys are in force. */
+/* A host that is newly started or partitioned can't tell which keys are in
+   force. */
 class FreshnessTest : public AccessTest
 {
 protected:
@@ -198,16 +199,16 @@
     bus_post (the_bus, &message);
   }
 
-  const std::string good = "Authorization: Bearer key-june";
-  const std::string unknown = "Authorization: Bearer other";
+  const std::string valid_key = "Authorization: Bearer key-june";
+  const std::string unknown_key = "Authorization: Bearer other";
   int wanted = 0;
 };
 
-/* Neither yes nor no: a key that this host doesn't know may be a new one, and
-   one that it knows may have been taken away. */
-TEST_F (FreshnessTest, WithoutAProofNoKeyIsJudged)
+/* Without a proof a key is neither accepted nor rejected: an unknown key may
+   be new, and a known one may have been revoked. */
+TEST_F (FreshnessTest, KeysAreNotEvaluatedWithoutProof)
 {
-  for (const std::string &field : { good, unknown })
+  for (const std::string &field : { valid_key, unknown_key })
     {
       const auto call = send ("/x", { field });
       EXPECT_EQ (call->status, 503);
@@ -218,10 +219,10 @@
   EXPECT_EQ (send ("/open/x", {})->status, 200);
 }
 
-TEST_F (FreshnessTest, ARequestWaitsForTheProofThatComesSoon)
+TEST_F (FreshnessTest, RequestWaitsForProof)
 {
   auto call = make ("GET", "/x", "r1");
-  call->fields.push_back (good);
+  call->fields.push_back (valid_key);
   begin (call.get ());
   ASSERT_TRUE (run_until ([this] { return wanted > 0; }));
   prove (version, 0);
@@ -229,12 +230,13 @@
   EXPECT_EQ (call->status, 200);
 }
 
-/* A body that comes while its request waits is neither lost nor a crash. */
-TEST_F (FreshnessTest, AnUploadWaitsAsWell)
+/* A body that arrives while its request waits for a proof is neither lost nor
+   causes a crash. */
+TEST_F (FreshnessTest, UploadWaitsForProof)
 {
   auto call = make ("POST", "/x", "r1");
   call->body = std::string (300000, 'b');
-  call->fields.push_back (good);
+  call->fields.push_back (valid_key);
   begin (call.get ());
   ASSERT_TRUE (run_until ([this] { return wanted > 0; }));
   prove (version, 0);
@@ -243,36 +245,37 @@
   EXPECT_NE (call->answer.find (" 300000"), std::string::npos);
 }
 
-TEST_F (FreshnessTest, AProofThatIsTooOldIsNone)
+TEST_F (FreshnessTest, ExpiredProofIsIgnored)
 {
   prove (version, 4990);
-  EXPECT_EQ (send ("/x", { good })->status, 503);
+  EXPECT_EQ (send ("/x", { valid_key })->status, 503);
   prove (version, 3000);
-  EXPECT_EQ (send ("/x", { good })->status, 200);
+  EXPECT_EQ (send ("/x", { valid_key })->status, 200);
 }
 
-/* A neighbour proves that there is a newer version, which takes the key away.
-   Until that has come here the old one says nothing. */
-TEST_F (FreshnessTest, AProofOfAnotherVersionWaitsForIt)
+/* Another host proves that there is a newer version, which revokes the key.
+   Until it is received, the old version accepts and rejects no key. */
+TEST_F (FreshnessTest, ProofOfNewerVersionNeedsThatVersion)
 {
   prove (version + 1, 0);
-  EXPECT_EQ (send ("/x", { good })->status, 503);
+  EXPECT_EQ (send ("/x", { valid_key })->status, 503);
   put_config (", 'workspaces': [" + workspace ("june", "key-june-2") + "]");
-  EXPECT_EQ (send ("/x", { good })->status, 401);
+  EXPECT_EQ (send ("/x", { valid_key })->status, 401);
 }
 
-/* Nothing answers: after the first ones have waited, all others are refused
+/* No proof comes: after the first requests have waited, all others are refused
    at once. */
-TEST_F (FreshnessTest, NobodyWaitsTwiceForAnAnswerThatDoesNotCome)
+TEST_F (FreshnessTest, RequestsAreRefusedAtOnceAfterMissingProof)
 {
-  EXPECT_EQ (send ("/x", { good })->status, 503);
+  EXPECT_EQ (send ("/x", { valid_key })->status, 503);
   const int64_t before_ms = clock_now_ms ();
   for (int i = 0; i < 20; i++)
-    EXPECT_EQ (send ("/x", { good })->status, 503);
+    EXPECT_EQ (send ("/x", { valid_key })->status, 503);
   EXPECT_LT (clock_now_ms () - before_ms, 20 * 250);
 }
 
-/* Requests of a workspace with a quota, and a keeper that the test plays. */
+/* Requests of a workspace with a quota.  The test acts as the quota
+   coordinator. */
 class QuotaTest : public AccessTest
 {
 protected:
@@ -306,16 +309,17 @@
   {
     if (is_silent)
       return;
-    const uint32_t wants = asked.answer.requested;
+    const uint32_t requested = asked.answer.requested;
     bus_message message = {};
     message.topic = BUS_QUOTA_GRANTED;
     message.quota.workspace = asked.workspace;
     message.quota.answer.requested_ms = clock_now_ms ();
-    message.quota.answer.requested = wants;
-    message.quota.answer.tokens = wants < left ? wants : left;
+    message.quota.answer.requested = requested;
+    message.quota.answer.tokens
+        = requested < remaining_tokens ? requested : remaining_tokens;
     message.quota.answer.term_ms = 400;
     message.quota.answer.next_token_ms = due_ms;
-    left -= message.quota.answer.tokens;
+    remaining_tokens -= message.quota.answer.tokens;
     bus_post (the_bus, &message);
   }
 
@@ -326,21 +330,21 @@
   }
 
   uint32_t wanted = 0;
-  uint32_t left = 0; /**< of the keeper's tokens */
+  uint32_t remaining_tokens = 0; /**< tokens of the coordinator */
   uint32_t due_ms = 1500;
   bool is_silent = false;
 };
 
-TEST_F (QuotaTest, EachRequestTakesAToken)
+TEST_F (QuotaTest, EachRequestTakesOneToken)
 {
-  left = 3;
+  remaining_tokens = 3;
   for (int i = 0; i < 3; i++)
     EXPECT_EQ (send_june ()->status, 200);
-  EXPECT_EQ (left, 0u);
+  EXPECT_EQ (remaining_tokens, 0u);
   EXPECT_EQ (wanted, 3u);
 }
 
-TEST_F (QuotaTest, PastTheQuotaItIsToldWhenToComeBack)
+TEST_F (QuotaTest, RequestOverQuotaGetsRetryTime)
 {
   const auto call = send_june ();
   EXPECT_EQ (call->status, 429);
@@ -351,44 +355,45 @@
   EXPECT_EQ (send ("/open/x", {})->status, 200);
 }
 
-/* A target is lost and another one does the work: that is one request of the
-   caller's, however often it was tried. */
-TEST_F (QuotaTest, AnotherAttemptTakesNoToken)
+/* A retry at another target belongs to the same request and takes no second
+   token. */
+TEST_F (QuotaTest, RetryTakesNoToken)
 {
   add_target ("t2");
   put_service (usual_routes);
   ev_run (loop, EVRUN_NOWAIT);
   target_server_faults (targets[0])->shed = 100;
-  left = 1;
+  remaining_tokens = 1;
   EXPECT_EQ (send_june ()->status, 200);
-  EXPECT_EQ (left, 0u);
+  EXPECT_EQ (remaining_tokens, 0u);
 }
 
-/* No target takes it, so it surely hasn't run: its token is another one's. */
-TEST_F (QuotaTest, WhatHasNotRunGivesItsTokenBack)
+/* A request that no target has run gives its token back. */
+TEST_F (QuotaTest, RequestThatWasNotRunReturnsToken)
 {
   target_server_faults (target)->shed = 100;
-  left = 1;
+  remaining_tokens = 1;
   EXPECT_EQ (send_june ()->status, 503);
   target_server_faults (target)->shed = 0;
   EXPECT_EQ (send_june ()->status, 200);
 }
 
-TEST_F (QuotaTest, ATokenThatIsDueSoonIsWaitedFor)
+TEST_F (QuotaTest, RequestWaitsForTokenDueSoon)
 {
   due_ms = 50;
   auto call = make ("GET", "/x", "r1");
   call->fields.push_back ("Authorization: Bearer key-june");
   begin (call.get ());
   ASSERT_TRUE (run_until ([this] { return wanted > 0; }));
-  left = 1;
+  remaining_tokens = 1;
   ASSERT_TRUE (run_until ([&call] { return call->done; }));
   EXPECT_EQ (call->status, 200);
 }
 
-/* No keeper answers.  The first ones wait for a moment, all others are refused
-   at once, and not as if the quota were used up. */
-TEST_F (QuotaTest, NobodyWaitsLongForAKeeperThatDoesNotAnswer)
+/* No coordinator answers.  The first requests wait for a limited time, all
+   others are refused at once, and not with the status of an exhausted
+   quota. */
+TEST_F (QuotaTest, WaitForSilentCoordinatorIsLimited)
 {
   is_silent = true;
   EXPECT_EQ (send_june ()->status, 503);
@@ -403,8 +408,8 @@
   EXPECT_EQ (target_server_counts (target).runs, 0u);
 }
 
-/* A key is taken away while its request waits for a token. */
-TEST_F (QuotaTest, AKeyThatIsTakenAwayMeanwhileIsRefused)
+/* A key is revoked while its request waits for a token. */
+TEST_F (QuotaTest, KeyRevokedDuringWaitIsRefused)
 {
   due_ms = 50;
   auto call = make ("GET", "/x", "r1");
@@ -412,13 +417,14 @@
   begin (call.get ());
   ASSERT_TRUE (run_until ([this] { return wanted > 0; }));
   put_config (", 'workspaces': [" + workspace ("june", "key-june-2") + "]");
-  left = 1;
+  remaining_tokens = 1;
   ASSERT_TRUE (run_until ([&call] { return call->done; }));
   EXPECT_EQ (call->status, 401);
 }
 
-/* A fleet without workspaces passes Authorization on: it is the targets'. */
-TEST_F (AccessTest, WithoutWorkspacesTheKeyIsTheTargets)
+/* Without workspaces, Authorization is forwarded, because it is meant for the
+   targets. */
+TEST_F (AccessTest, WithoutWorkspacesAuthorizationIsForwarded)
 {
   put_config ("");
   const auto call = send ("/headers", { "Authorization: Bearer key-june",
--- a/node/caller/tests/at_most_once_test.cc
+++ b/node/caller/tests/at_most_once_test.cc
@@ -4,11 +4,10 @@
 {
 };
 
-/* A planner's hold is placed twice.  Her request goes out on a kept
-   connection; the target runs it and closes before the first byte of its
-   answer; libcurl takes the connection for stale and sends the request again
-   by itself.  The planner sees one good answer, and a second couple is
-   blocked. */
+/* On a reused connection, a target runs a request and closes before the first
+   byte of its response.  libcurl takes the connection for stale and sends the
+   request again by itself: it runs twice, and the caller gets one successful
+   response. */
 TEST_F (AtMostOnceTest, PostOnKeptConnectionIsNotSentAgain)
 {
   target_server *target = add_target ("t1");
@@ -16,40 +15,39 @@
   put_service (usual_routes);
   get ("/warm-up", "warm");
   target_server_faults (target)->close_reused = 1;
-  auto hold = make ("POST", "/holds", "hold-1");
-  finish (hold.get ());
+  auto post = make ("POST", "/holds", "hold-1");
+  finish (post.get ());
   EXPECT_EQ (target_server_runs (target, "hold-1"), 1u);
-  EXPECT_EQ (hold->status, 200);
-  EXPECT_EQ (hold->field ("jaystair-outcome"), "ran");
+  EXPECT_EQ (post->status, 200);
+  EXPECT_EQ (post->field ("jaystair-outcome"), "ran");
 }
 
-/* Holds go out on kept connections, to save their targets a handshake each.
-   The target runs one and closes before the first byte of its answer; sent
-   again by libcurl, it would run twice.  It runs once, and the planner is
-   told that nobody knows. */
-TEST_F (AtMostOnceTest, PostThatReusesAConnectionRunsOnceAtMost)
+/* The same with `reuse_idle_once_ms`, which lets unrepeatable requests use
+   kept connections to save their targets a handshake each.  The request must
+   run once, and its caller must get the outcome "unknown". */
+TEST_F (AtMostOnceTest, PostOnReusedConnectionRunsAtMostOnce)
 {
   settings.limits.reuse_idle_once_ms = 30000;
   target_server *target = add_target ("t1");
   start ();
   put_service (usual_routes);
   get ("/warm-up", "warm");
-  auto kept = make ("POST", "/holds", "hold-1");
-  finish (kept.get ());
-  EXPECT_EQ (kept->status, 200);
+  auto reused = make ("POST", "/holds", "hold-1");
+  finish (reused.get ());
+  EXPECT_EQ (reused->status, 200);
   EXPECT_EQ (target_server_counts (target).connections, 1u);
   target_server_faults (target)->close_reused = 1;
-  auto hold = make ("POST", "/holds", "hold-2");
-  hold->body = "date=2027-02-14";
-  finish (hold.get ());
+  auto post = make ("POST", "/holds", "hold-2");
+  post->body = "date=2027-02-14";
+  finish (post.get ());
   EXPECT_EQ (target_server_runs (target, "hold-2"), 1u);
-  EXPECT_EQ (hold->status, 502);
-  EXPECT_EQ (hold->field ("jaystair-outcome"), "unknown");
+  EXPECT_EQ (post->status, 502);
+  EXPECT_EQ (post->field ("jaystair-outcome"), "unknown");
 }
 
-/* The same at a target that closes every connection: nobody knows whether the
-   hold was placed, and the planner is told just that. */
-TEST_F (AtMostOnceTest, PostThatLosesItsAnswerIsUnknown)
+/* All targets close every connection without a response, so the outcome is
+   unknown and must be reported as such. */
+TEST_F (AtMostOnceTest, PostWithLostResponseIsUnknown)
 {
   target_server *first = add_target ("t1");
   target_server *second = add_target ("t2");
@@ -57,18 +55,18 @@
   target_server_faults (second)->close = 100;
   start ();
   put_service (usual_routes);
-  auto hold = make ("POST", "/holds", "hold-1");
-  hold->body = "date=2027-02-14";
-  finish (hold.get ());
+  auto post = make ("POST", "/holds", "hold-1");
+  post->body = "date=2027-02-14";
+  finish (post.get ());
   EXPECT_EQ (target_server_runs (first, "hold-1")
                  + target_server_runs (second, "hold-1"),
              1u);
-  EXPECT_EQ (hold->status, 502);
-  EXPECT_EQ (hold->field ("jaystair-outcome"), "unknown");
+  EXPECT_EQ (post->status, 502);
+  EXPECT_EQ (post->field ("jaystair-outcome"), "unknown");
 }
 
-/* A repeatable request meets the same trap.  The library's own resend would
-   be a retry that no budget knows of; it must come as a counted one. */
+/* libcurl's own resend of a repeatable request would be a retry that no retry
+   budget counts; it must come as a counted one. */
 TEST_F (AtMostOnceTest, ResendOfGetIsACountedRetry)
 {
   target_server *target = add_target ("t1");
@@ -76,28 +74,28 @@
   put_service (usual_routes, ", 'limits': { 'attempts': 1 }");
   get ("/warm-up", "warm");
   target_server_faults (target)->close_reused = 1;
-  auto page = get ("/calendar", "page-1");
+  auto call = get ("/calendar", "page-1");
   EXPECT_EQ (target_server_runs (target, "page-1"), 1u);
-  EXPECT_EQ (page->status, 502);
-  EXPECT_EQ (page->field ("jaystair-outcome"), "unknown");
+  EXPECT_EQ (call->status, 502);
+  EXPECT_EQ (call->field ("jaystair-outcome"), "unknown");
 }
 
-/* What our guards rest on: libcurl by itself does run a POST twice.  Should a
-   later version no longer do so, this test says that they may go. */
+/* Shows that the protection is needed: libcurl alone runs a POST twice.  If
+   this test fails with a later version, the protection can be removed. */
 TEST_F (AtMostOnceTest, LibcurlAloneRunsPostTwice)
 {
   target_server *target = add_target ("t1");
   start ();
   const std::string base
       = std::string ("http://") + target_server_address (target);
-  auto warm = make ("GET", "/", "warm");
-  warm->url = base + "/";
-  finish (warm.get ());
+  auto first = make ("GET", "/", "warm");
+  first->url = base + "/";
+  finish (first.get ());
   target_server_faults (target)->close_reused = 1;
-  auto hold = make ("POST", "/", "hold-1");
-  hold->url = base + "/holds";
-  hold->body = "date=2027-02-14";
-  finish (hold.get ());
-  EXPECT_EQ (hold->status, 200);
+  auto post = make ("POST", "/", "hold-1");
+  post->url = base + "/holds";
+  post->body = "date=2027-02-14";
+  finish (post.get ());
+  EXPECT_EQ (post->status, 200);
   EXPECT_EQ (target_server_runs (target, "hold-1"), 2u);
 }
--- a/node/caller/tests/bad_input_test.cc
+++ b/node/caller/tests/bad_input_test.cc
@@ -15,7 +15,7 @@
     put_service (usual_routes, ", 'limits': { 'body_bytes': 100000 }");
   }
 
-  /** Send BYTES and wait for the connection's end. */
+  /** Send BYTES and wait until the connection is closed. */
   std::string
   exchange (const std::string &bytes)
   {
@@ -26,9 +26,9 @@
     return raw->received;
   }
 
-  /** Other callers must not notice. */
+  /** Other callers must not be affected. */
   void
-  expect_unharmed ()
+  expect_others_served ()
   {
     EXPECT_EQ (get ("/calendar", "other")->status, 200);
   }
@@ -36,7 +36,7 @@
   target_server *target = nullptr;
 };
 
-TEST_F (BadInputTest, GarbageIsRefusedAndHarmsNobody)
+TEST_F (BadInputTest, GarbageDoesNotAffectOtherCallers)
 {
   for (const char *bytes :
        { "\x16\x03\x01\x02\x7f\x01garbage\r\n\r\n", "GET\r\n\r\n",
@@ -45,22 +45,22 @@
          "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9x\r\n\r\n" })
     {
       exchange (bytes);
-      expect_unharmed ();
+      expect_others_served ();
     }
   EXPECT_EQ (target_server_most_runs (target), 6u);
 }
 
-TEST_F (BadInputTest, HalfAHeadThenHangUpLeavesNothingBehind)
+TEST_F (BadInputTest, IncompleteHeadIsReleasedOnHangUp)
 {
   auto raw = connect_raw ();
   raw->write ("POST /holds HTTP/1.1\r\nHost: a\r\nX-Half: ");
-  expect_unharmed ();
+  expect_others_served ();
   raw->hang_up ();
-  expect_unharmed ();
+  expect_others_served ();
   EXPECT_EQ (caller_task_in_flight (task), 0u);
 }
 
-TEST_F (BadInputTest, TooLargeHeadIsNotRun)
+TEST_F (BadInputTest, OversizedHeadIsNotRun)
 {
   auto call = make ("GET", "/", "big");
   call->fields.push_back ("X-Big: " + std::string (9000, 'x'));
@@ -71,12 +71,12 @@
   huge->fields.push_back ("X-Big: " + std::string (100000, 'x'));
   finish (huge.get ());
   EXPECT_TRUE (huge->status == 431 || huge->status == 0) << huge->status;
-  expect_unharmed ();
+  expect_others_served ();
   EXPECT_EQ (target_server_runs (target, "big"), 0u);
   EXPECT_EQ (target_server_runs (target, "huge"), 0u);
 }
 
-TEST_F (BadInputTest, BodyPastItsLimitIsNotRun)
+TEST_F (BadInputTest, OversizedBodyIsNotRun)
 {
   for (const bool chunked : { false, true })
     {
@@ -87,13 +87,13 @@
       EXPECT_EQ (call->status, 413) << chunked;
       EXPECT_NE (call->field ("jaystair-outcome"), "ran");
     }
-  expect_unharmed ();
+  expect_others_served ();
   EXPECT_EQ (target_server_runs (target, "big"), 0u);
 }
 
-/* An unrepeatable request must not slip through a repeatable route by another
-   spelling of its path. */
-TEST_F (BadInputTest, PathsThatTargetsMayReadAsAnotherAreRefused)
+/* A different spelling of a path must not let an unrepeatable request use a
+   repeatable route. */
+TEST_F (BadInputTest, AmbiguousPathsAreRefused)
 {
   for (const char *path : { "/a/../holds", "/a/%2e%2e/holds", "/a%2fholds",
                             "/a/./holds", "/a%5cholds", "/holds%00" })
@@ -110,14 +110,14 @@
     }
 }
 
-TEST_F (BadInputTest, LengthAndChunksTogetherAreRefused)
+TEST_F (BadInputTest, ContentLengthWithChunkedIsRefused)
 {
   const std::string answer
       = exchange ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
                   "Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
                   "0\r\n\r\n");
   EXPECT_NE (answer.find (" 400 "), std::string::npos) << answer;
-  expect_unharmed ();
+  expect_others_served ();
 }
 
 TEST_F (BadInputTest, UnknownRouteAndBadDeadlineAreNotRun)
@@ -137,7 +137,7 @@
   EXPECT_EQ (target_server_runs (target, "r2"), 0u);
 }
 
-TEST_F (BadInputTest, CallerThatWaitsForLeaveIsRefusedBeforeItsBody)
+TEST_F (BadInputTest, ExpectContinueIsRefusedBeforeBody)
 {
   const std::string answer
       = exchange ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 999999\r\n"
@@ -146,9 +146,9 @@
   EXPECT_NE (answer.find ("413"), std::string::npos) << answer;
 }
 
-/* Requests with bytes changed, left out and doubled at random: whatever comes
-   of each, the others don't notice and nothing is left behind. */
-TEST_F (BadInputTest, ChangedRequestsHarmNobody)
+/* Requests with bytes changed, removed and duplicated at random: whatever the
+   response is, other requests are not affected and nothing is left behind. */
+TEST_F (BadInputTest, MutatedRequestsDoNotAffectOtherCallers)
 {
   const std::string base
       = "POST /holds?a=1 HTTP/1.1\r\nHost: venue.example:80\r\n"
@@ -161,21 +161,21 @@
       std::string bytes = base;
       for (int changes = 1 + (int)(random () % 4); changes > 0; changes--)
         {
-          const size_t place = random () % bytes.size ();
+          const size_t position = random () % bytes.size ();
           if (random () % 3 == 0)
-            bytes.erase (place, 1 + random () % 8);
+            bytes.erase (position, 1 + random () % 8);
           else if (random () % 2 == 0)
-            bytes.insert (place, bytes.substr (place, random () % 32));
+            bytes.insert (position, bytes.substr (position, random () % 32));
           else
-            bytes[place] = (char)random ();
+            bytes[position] = (char)random ();
         }
       auto raw = connect_raw ();
       raw->write (bytes);
       if (round % 8 == 0)
-        expect_unharmed ();
+        expect_others_served ();
       raw->hang_up ();
     }
   ASSERT_TRUE (
       run_until ([this] { return caller_task_in_flight (task) == 0; }));
-  expect_unharmed ();
+  expect_others_served ();
 }
--- a/node/caller/tests/bad_target_test.cc
+++ b/node/caller/tests/bad_target_test.cc
@@ -1,6 +1,6 @@
-/* Targets that speak broken HTTP.  Whatever they send, callers get a whole
-   answer, a broken transfer or an honest refusal, and the next caller gets
-   its own. */
+/* Targets that send invalid HTTP.  Callers must get a complete response, a
+   broken transfer or an error response with the right outcome, and the next
+   caller its own response. */
 #include "node/caller/tests/caller_fixture.h"
 #include "node/caller/tests/raw_target.h"
 
@@ -29,7 +29,7 @@
   }
 
   std::unique_ptr<Call>
-  hold (const std::string &answer)
+  post (const std::string &answer)
   {
     raw->answer = answer;
     auto call = make ("POST", "/holds", "h1");
@@ -51,7 +51,7 @@
          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
          "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf" })
     {
-      auto call = hold (answer);
+      auto call = post (answer);
       EXPECT_TRUE (call->code != CURLE_OK
                    || (call->status == 502
                        && call->field ("jaystair-outcome") == "unknown"))
@@ -60,34 +60,34 @@
   EXPECT_EQ (raw->requests, 9);
 }
 
-TEST_F (BadTargetTest, TooLargeHeadIsUnknown)
+TEST_F (BadTargetTest, OversizedHeadIsUnknown)
 {
   for (const size_t size : { 9000u, 90000u, 400000u })
     {
-      auto call = hold ("HTTP/1.1 200 OK\r\nX-Big: " + std::string (size, 'x')
+      auto call = post ("HTTP/1.1 200 OK\r\nX-Big: " + std::string (size, 'x')
                         + "\r\nContent-Length: 2\r\n\r\nok");
       EXPECT_EQ (call->status, 502) << size;
       EXPECT_EQ (call->field ("jaystair-outcome"), "unknown");
     }
 }
 
-TEST_F (BadTargetTest, OddButValidAnswersComeThrough)
+TEST_F (BadTargetTest, UnusualValidResponsesAreForwarded)
 {
-  auto interim = hold ("HTTP/1.1 102 Processing\r\nX-Interim: 1\r\n\r\n"
+  auto interim = post ("HTTP/1.1 102 Processing\r\nX-Interim: 1\r\n\r\n"
                        "HTTP/1.1 201 Created\r\nContent-Length: 2\r\n"
                        "X-Tabbed: a\tb\r\n\r\nok");
   EXPECT_EQ (interim->status, 201);
   EXPECT_EQ (interim->answer, "ok");
   EXPECT_EQ (interim->field ("x-interim"), "");
   EXPECT_EQ (interim->field ("x-tabbed"), "a b");
-  auto until_close = hold ("HTTP/1.0 200 OK\r\n\r\nuntil the end");
+  auto until_close = post ("HTTP/1.0 200 OK\r\n\r\nuntil the end");
   EXPECT_EQ (until_close->status, 200);
   EXPECT_EQ (until_close->answer, "until the end");
 }
 
-/* A target writes more than it announced.  Those bytes must not become the
-   next caller's answer. */
-TEST_F (BadTargetTest, BytesBeyondTheAnswerReachNobody)
+/* A target sends more bytes than announced.  They must not become the response
+   of the next caller. */
+TEST_F (BadTargetTest, ExtraBytesAreDiscarded)
 {
   raw->close_after = false;
   raw->answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmine"
@@ -96,9 +96,9 @@
     EXPECT_EQ (get ("/calendar", "r")->answer, "mine");
 }
 
-/* A target contradicts itself on how long its answer is.  Taken at one word
-   and passed on by the other, half an answer would look whole. */
-TEST_F (BadTargetTest, ContradictingLengthsNeverLookWhole)
+/* A target announces contradictory lengths.  If the body were read by one and
+   forwarded with the other, a truncated response would look complete. */
+TEST_F (BadTargetTest, ContradictoryLengthsNeverLookComplete)
 {
   const std::string chunks = "5\r\nwhole\r\n7\r\n answer\r\n0\r\n\r\n";
   for (const std::string &answer :
@@ -121,16 +121,16 @@
          std::string ("HTTP/1.1 200 OK\r\nContent-Length: 5 \r\n"
                       "content-length: 12\r\n\r\nwhole answer") })
     {
-      auto call = hold (answer);
+      auto call = post (answer);
       EXPECT_TRUE (call->code != CURLE_OK || call->status == 502
                    || call->answer == "whole answer")
           << answer << "\n-> " << call->answer;
     }
 }
 
-/* Answers that have no body whatever they announce: the caller must not wait
-   for one, nor take the next answer for it. */
-TEST_F (BadTargetTest, AnswersWithoutABodyEndAtTheirHead)
+/* Responses without a body, whatever length they announce: the caller must not
+   wait for a body, nor take the next response for it. */
+TEST_F (BadTargetTest, ResponsesWithoutBodyEndAtHead)
 {
   for (const char *status :
        { "204 No Content", "304 Not Modified", "205 Reset Content" })
@@ -160,11 +160,11 @@
     }
 }
 
-/* Only a refusal's own status lets "not run" count; in any other answer the
-   word is no more than a field that isn't passed on. */
-TEST_F (BadTargetTest, OutcomeOfTheFleetCantBeForged)
+/* "not run" is accepted only with the status of a refusal.  In any other
+   response it is an ordinary field that is not forwarded. */
+TEST_F (BadTargetTest, OutcomeFieldCantBeForged)
 {
-  auto call = hold ("HTTP/1.1 200 OK\r\nJaystair-Outcome: not-run\r\n"
+  auto call = post ("HTTP/1.1 200 OK\r\nJaystair-Outcome: not-run\r\n"
                     "Jaystair-Retry-After-Ms: 5\r\nContent-Length: 2\r\n\r\n"
                     "ok");
   EXPECT_EQ (call->status, 200);
--- a/node/caller/tests/caller_fixture.cc
+++ b/node/caller/tests/caller_fixture.cc
@@ -91,21 +91,21 @@
 bool
 CallerTest::run_until (const std::function<bool ()> &ready)
 {
-  ev_timer guard;
-  bool late = false;
+  ev_timer timeout;
+  bool timed_out = false;
   ev_timer_init (
-      &guard,
+      &timeout,
       [] (struct ev_loop *, ev_timer *timer, int) {
         *static_cast<bool *> (timer->data) = true;
       },
       10., 0.);
-  guard.data = &late;
+  timeout.data = &timed_out;
   ev_now_update (loop);
-  ev_timer_start (loop, &guard);
-  while (!ready () && !late)
+  ev_timer_start (loop, &timeout);
+  while (!ready () && !timed_out)
     ev_run (loop, EVRUN_ONCE);
-  ev_timer_stop (loop, &guard);
-  return !late;
+  ev_timer_stop (loop, &timeout);
+  return !timed_out;
 }
 
 target_server *
@@ -322,7 +322,7 @@
   begin (call);
   if (run_until ([call] { return call->done; }))
     return;
-  ADD_FAILURE () << "no end of " << call->method << " " << call->url;
+  ADD_FAILURE () << "no response to " << call->method << " " << call->url;
   curl_loop_cancel (client, call->easy);
   run_until ([call] { return call->done; });
 }
--- a/node/caller/tests/caller_fixture.h
+++ b/node/caller/tests/caller_fixture.h
@@ -1,6 +1,6 @@
 /** @file
- * A caller task with stand-in targets and callers, all on one loop of the
- * test: nothing runs but what the test waits for.
+ * A caller task with simulated targets and callers.  All run on one event loop
+ * of the test, so nothing happens except while the test waits.
  */
 #ifndef NODE_CALLER_TESTS_CALLER_FIXTURE_H
 #define NODE_CALLER_TESTS_CALLER_FIXTURE_H
@@ -22,7 +22,7 @@
 #include "wire/curl_loop.h"
 }
 
-/** One request of a caller through libcurl. */
+/** A request sent by a caller through libcurl. */
 struct Call
 {
   std::string method = "GET";
@@ -45,7 +45,7 @@
   std::string field (const std::string &name) const;
 };
 
-/** A connection of a caller that writes bytes of its own making. */
+/** A caller's connection on which the test writes arbitrary bytes. */
 struct RawCaller
 {
   int fd = -1;
@@ -65,18 +65,19 @@
   void SetUp () override;
   void TearDown () override;
 
-  /** Turn the loop until READY says so; false after ten seconds. */
+  /** Run the loop until READY returns true.
+   * @return false after ten seconds */
   bool run_until (const std::function<bool ()> &ready);
 
   target_server *add_target (const std::string &name);
-  /** Put a service in force that has all targets; MEMBERS are more of its
-   * JSON members, begun by a comma.  Quotes are written as apostrophes. */
+  /** Put a service with all targets in force.  MEMBERS are additional members
+   * of its JSON and begin with a comma.  Apostrophes stand for quotes. */
   void put_service (const std::string &routes,
                     const std::string &members = "");
-  /** The same with one target "t1" at ADDRESS. */
+  /** Put the service in force with one target "t1" at ADDRESS. */
   void put_service_at (const std::string &address);
-  /** Put a configuration in force whose JSON has MEMBERS, with quotes written
-   * as apostrophes, and whose route "/" goes to the usual service. */
+  /** Put a configuration in force whose JSON has MEMBERS, with apostrophes for
+   * quotes, and whose route "/" leads to the service of put_service(). */
   void put_config (const std::string &members);
   void put_hosts (const std::vector<bus_set_host> &hosts);
   void start ();
@@ -85,7 +86,7 @@
                               const std::string &path,
                               const std::string &id = "");
   void begin (Call *call);
-  /** Begin CALL and wait for its end. */
+  /** Start CALL and wait for its end. */
   void finish (Call *call);
   std::unique_ptr<Call> get (const std::string &path,
                              const std::string &id = "");
@@ -106,11 +107,11 @@
   caller_task *task = nullptr;
   std::vector<target_server *> targets;
   std::vector<std::string> target_names;
-  std::string target_options; /**< more members of each target's JSON */
+  std::string target_options; /**< additional members of each target's JSON */
   uint64_t version = 0;
 };
 
-/** Routes of the usual service: all is repeatable but POST. */
+/** Routes of the default service: all methods but POST are repeatable. */
 extern const char *const usual_routes;
 
 #endif
--- a/node/caller/tests/caller_task_test.cc
+++ b/node/caller/tests/caller_task_test.cc
@@ -35,7 +35,7 @@
   }
 
   std::unique_ptr<Call>
-  ask (const std::string &service = "holds")
+  get_addresses (const std::string &service = "holds")
   {
     return get ("/.well-known/jaystair/addresses?service=" + service);
   }
@@ -59,7 +59,7 @@
   }
 
   std::unique_ptr<Call>
-  hold (const std::string &ticket, const std::string &id)
+  send_with_ticket (const std::string &ticket, const std::string &id)
   {
     auto call = make ("POST", "/holds", id);
     call->fields.push_back ("Jaystair-Ticket: " + ticket);
@@ -70,7 +70,7 @@
   target_server *target = nullptr;
 };
 
-TEST_F (CallerTaskTest, AddressesComeInAnotherOrderEachTime)
+TEST_F (CallerTaskTest, AddressesRotateWithEachAnswer)
 {
   put_hosts ({ host ("host-1", caller_task_address (task)),
                host ("host-2", "127.0.0.2:7001"),
@@ -78,7 +78,7 @@
   std::vector<std::string> firsts;
   for (int i = 0; i < 3; i++)
     {
-      auto answer = ask ();
+      auto answer = get_addresses ();
       EXPECT_EQ (answer->status, 200);
       const auto addresses = strings (*answer, "addresses", "address");
       ASSERT_EQ (addresses.size (), 3u) << answer->answer;
@@ -88,57 +88,57 @@
   EXPECT_EQ (std::unique (firsts.begin (), firsts.end ()), firsts.end ());
 }
 
-TEST_F (CallerTaskTest, UnknownServiceIsToldWithARemedy)
+TEST_F (CallerTaskTest, UnknownServiceGetsErrorWithRemedy)
 {
-  auto answer = ask ("nobody");
+  auto answer = get_addresses ("nobody");
   EXPECT_EQ (answer->status, 404);
   EXPECT_EQ (answer->field ("jaystair-outcome"), "not-run");
   EXPECT_NE (answer->answer.find ("declare the service"), std::string::npos);
   EXPECT_EQ (get ("/.well-known/jaystair/addresses")->status, 400);
 }
 
-/* A couple's deposit hold times out at their side and they send it again.
-   Without the ticket it would be placed twice. */
+/* A caller times out and sends an unrepeatable request again.  Without the
+   ticket it would run twice. */
 TEST_F (CallerTaskTest, TicketRunsOnceHoweverOftenItIsSent)
 {
-  const auto tickets = strings (*ask (), "tickets", nullptr);
+  const auto tickets = strings (*get_addresses (), "tickets", nullptr);
   ASSERT_GE (tickets.size (), 2u);
-  EXPECT_EQ (hold (tickets[0], "h1")->status, 200);
-  auto again = hold (tickets[0], "h1");
+  EXPECT_EQ (send_with_ticket (tickets[0], "h1")->status, 200);
+  auto again = send_with_ticket (tickets[0], "h1");
   EXPECT_EQ (again->status, 409);
   EXPECT_EQ (again->field ("jaystair-outcome"), "unknown");
   EXPECT_EQ (target_server_runs (target, "h1"), 1u);
-  EXPECT_EQ (hold (tickets[1], "h2")->status, 200);
+  EXPECT_EQ (send_with_ticket (tickets[1], "h2")->status, 200);
 }
 
-TEST_F (CallerTaskTest, TicketThatSurelyDidNotRunCanBeSentAgain)
+TEST_F (CallerTaskTest, TicketThatDidNotRunCanBeSentAgain)
 {
-  const auto tickets = strings (*ask (), "tickets", nullptr);
+  const auto tickets = strings (*get_addresses (), "tickets", nullptr);
   target_server_faults (target)->shed = 100;
-  auto refused = hold (tickets[0], "h1");
+  auto refused = send_with_ticket (tickets[0], "h1");
   EXPECT_EQ (refused->field ("jaystair-outcome"), "not-run");
   target_server_faults (target)->shed = 0;
-  EXPECT_EQ (hold (tickets[0], "h1")->status, 200);
+  EXPECT_EQ (send_with_ticket (tickets[0], "h1")->status, 200);
   EXPECT_EQ (target_server_runs (target, "h1"), 1u);
 }
 
 TEST_F (CallerTaskTest, ForgedTicketIsNotRun)
 {
-  auto tickets = strings (*ask (), "tickets", nullptr);
+  auto tickets = strings (*get_addresses (), "tickets", nullptr);
   std::string forged = tickets[0];
   forged.back () = forged.back () == '0' ? '1' : '0';
   for (const std::string &bad : { forged, std::string ("nonsense") })
     {
-      auto answer = hold (bad, "h1");
+      auto answer = send_with_ticket (bad, "h1");
       EXPECT_EQ (answer->status, 400);
       EXPECT_EQ (answer->field ("jaystair-outcome"), "not-run");
     }
   EXPECT_EQ (target_server_runs (target, "h1"), 0u);
 }
 
-/* The planner's second try reaches another host.  That host must not run the
-   hold: it passes it to the host that handed out the ticket. */
-TEST_F (CallerTaskTest, TicketOfAnotherHostRunsOnlyThere)
+/* A second send reaches another host, which must not run the request but relay
+   it to the host that issued the ticket. */
+TEST_F (CallerTaskTest, TicketOfOtherHostRunsOnlyThere)
 {
   host_settings other_settings = settings;
   strcpy (other_settings.name, "host-2");
@@ -153,7 +153,7 @@
   put_service (usual_routes);
   put_hosts ({ host ("host-1", caller_task_address (task)),
                host ("host-2", caller_task_address (other)) });
-  const auto tickets = strings (*ask (), "tickets", nullptr);
+  const auto tickets = strings (*get_addresses (), "tickets", nullptr);
   for (int i = 0; i < 2; i++)
     {
       auto call = make ("POST", "/holds", "h1");
@@ -165,7 +165,7 @@
       EXPECT_EQ (call->field ("jaystair-outcome"), i == 0 ? "ran" : "unknown");
     }
   EXPECT_EQ (target_server_runs (target, "h1"), 1u);
-  /* Its own host is gone: nobody knows whether it ran. */
+  /* The issuing host is gone, so the outcome is unknown. */
   put_hosts ({ host ("host-1", "127.0.0.1:1") });
   auto lost = make ("POST", "/holds", "h2");
   lost->url = std::string ("http://") + caller_task_address (other) + "/holds";
@@ -176,10 +176,9 @@
   caller_task_destroy (other);
 }
 
-/* A host is replaced in the middle of a wedding season's evening.  Callers
-   that still keep its address, and a request that takes longer than that,
-   must get their answers. */
-TEST_F (CallerTaskTest, LeavingHostServesUntilNothingIsInFlight)
+/* A host is replaced.  Callers that still use its address, and a request that
+   takes longer than the addresses are kept, must get their responses. */
+TEST_F (CallerTaskTest, LeavingHostServesRequestsInFlight)
 {
   put_hosts ({ host ("host-1", caller_task_address (task)),
                host ("host-2", "127.0.0.2:7001") });
@@ -191,7 +190,7 @@
   bool done = false;
   caller_task_begin_leaving (
       task, [] (void *owner) { *static_cast<bool *> (owner) = true; }, &done);
-  auto addresses = ask ();
+  auto addresses = get_addresses ();
   EXPECT_EQ (strings (*addresses, "addresses", "address"),
              std::vector<std::string>{ "127.0.0.2:7001" });
   EXPECT_EQ (addresses->field ("connection"), "close");
@@ -204,10 +203,10 @@
   EXPECT_TRUE (run_until ([&done] { return done; }));
 }
 
-/* The time to leave is over and a target still hangs.  Its caller is told so,
-   and does not just see a connection break.  A 503 would tell it that the
-   request has not run; it would place the hold again. */
-TEST_F (CallerTaskTest, GivingUpAnswersWhatHangs)
+/* The shutdown time is over and a target still hangs.  Its caller must get a
+   response instead of a closed connection.  A 503 would mean that the request
+   has not run, and the caller would send it again. */
+TEST_F (CallerTaskTest, AbortRespondsToPendingRequests)
 {
   target_server_faults (target)->hang = 100;
   auto call = make ("POST", "/holds", "h1");
@@ -236,8 +235,8 @@
   EXPECT_EQ (caller_task_recorder (task, "nobody"), nullptr);
 }
 
-/* A planner on a slow line uploads a floor plan for many seconds.  The target
-   is not to blame and must not be taken for a gray one. */
+/* A caller uploads for a long time over a slow connection.  The target is not
+   at fault and must not be taken for a slow one. */
 TEST_F (CallerTaskTest, SlowUploadDoesNotMakeTheTargetLookSlow)
 {
   const int64_t start_us = clock_now_us ();
@@ -264,7 +263,7 @@
   raw->hang_up ();
 }
 
-TEST_F (CallerTaskTest, RemovedServiceFinishesWhatItHas)
+TEST_F (CallerTaskTest, RemovedServiceFinishesRequestsInFlight)
 {
   target_server_faults (target)->delay_ms = 50;
   auto call = make ("GET", "/slow", "slow");
@@ -281,10 +280,10 @@
   EXPECT_EQ (get ("/calendar")->status, 404);
 }
 
-/* A host leaves; a caller with an old address answer comes four seconds later
-   and its request is passed on.  The process is over before the target has
-   answered, and the caller is left with a broken connection. */
-TEST_F (CallerTaskTest, WhatComesLateWhileLeavingIsSentElsewhere)
+/* A caller with an old address answer sends a request four seconds after the
+   host began to leave.  If it were forwarded, the process could exit before
+   the target responds, and the caller would get a broken connection. */
+TEST_F (CallerTaskTest, LateRequestAtLeavingHostIsRefused)
 {
   settings.times.shutdown_ms = 400;
   put_service (usual_routes);
@@ -302,8 +301,8 @@
   EXPECT_EQ (target_server_runs (target, "late"), 0u);
 }
 
-/* A host is stopped at once: nothing may be left behind, whatever was under
-   way. */
+/* A host is stopped immediately: nothing may be left behind, whatever was in
+   flight. */
 TEST_F (CallerTaskTest, DestroyedWithWorkInFlight)
 {
   target_server_faults (target)->hang = 100;
--- a/node/caller/tests/chaos_test.cc
+++ b/node/caller/tests/chaos_test.cc
@@ -1,6 +1,6 @@
-/* Many callers against targets that misbehave in every way at once.  The
-   naive account of what each target ran is the judge of what callers were
-   told. */
+/* Many callers against targets with all kinds of faults at once.  What each
+   target ran is recorded independently and compared with the outcomes that
+   callers got. */
 #include <algorithm>
 #include <random>
 
@@ -12,10 +12,10 @@
 {
 protected:
   static constexpr int requests = 600;
-  static constexpr int at_once = 24;
+  static constexpr int concurrent_calls = 24;
 
   std::unique_ptr<Call>
-  next (int number)
+  make_random_call (int number)
   {
     const std::string id = "id-" + std::to_string (number);
     const char *const methods[] = { "GET", "POST", "PUT" };
@@ -74,14 +74,14 @@
   }
 
   void
-  judge (const Call &call)
+  check (const Call &call)
   {
     const std::string outcome = call.field ("jaystair-outcome");
     const uint32_t ran = runs (call);
     EXPECT_TRUE (call.method != "POST" || ran <= 1) << call.fields[0];
     if (call.code != CURLE_OK)
       return;
-    told[outcome]++;
+    outcome_counts[outcome]++;
     EXPECT_TRUE (outcome == "ran" || outcome == "not-run"
                  || outcome == "unknown")
         << call.status;
@@ -94,10 +94,10 @@
   }
 
   std::mt19937 random{ 3 };
-  std::map<std::string, int> told;
+  std::map<std::string, int> outcome_counts;
 };
 
-TEST_F (ChaosTest, NobodyIsToldWhatIsNotSo)
+TEST_F (ChaosTest, ReportedOutcomesAreCorrect)
 {
   add_bad_targets ();
   target_options = ", 'slots': 4";
@@ -105,20 +105,20 @@
   put_service (usual_routes, ", 'limits': { 'timeout_ms': 200,"
                              " 'queue_requests': 12 }");
   std::vector<std::unique_ptr<Call>> calls;
-  std::vector<std::unique_ptr<RawCaller>> quitters;
+  std::vector<std::unique_ptr<RawCaller>> aborted_callers;
   size_t open = 0;
   while (calls.size () < requests || open > 0)
     {
-      while (calls.size () < requests && open < at_once)
+      while (calls.size () < requests && open < concurrent_calls)
         {
-          calls.push_back (next ((int)calls.size ()));
+          calls.push_back (make_random_call ((int)calls.size ()));
           begin (calls.back ().get ());
           open++;
           if (random () % 10 != 0)
             continue;
-          quitters.push_back (connect_raw ());
-          quitters.back ()->write ("PUT /quit HTTP/1.1\r\nHost: a\r\n"
-                                   "Content-Length: 6\r\n\r\nhalf");
+          aborted_callers.push_back (connect_raw ());
+          aborted_callers.back ()->write ("PUT /quit HTTP/1.1\r\nHost: a\r\n"
+                                          "Content-Length: 6\r\n\r\nhalf");
         }
       ASSERT_TRUE (run_until ([&] {
         size_t still = 0;
@@ -128,33 +128,33 @@
         open = still;
         return changed;
       }));
-      if (!quitters.empty () && random () % 4 == 0)
+      if (!aborted_callers.empty () && random () % 4 == 0)
         {
-          quitters.back ()->hang_up ();
-          quitters.pop_back ();
+          aborted_callers.back ()->hang_up ();
+          aborted_callers.pop_back ();
         }
     }
-  for (auto &quitter : quitters)
-    quitter->hang_up ();
+  for (auto &caller : aborted_callers)
+    caller->hang_up ();
   for (const auto &call : calls)
-    judge (*call);
+    check (*call);
   ASSERT_TRUE (
       run_until ([this] { return caller_task_in_flight (task) == 0; }));
   for (const char *outcome : { "ran", "not-run", "unknown" })
-    EXPECT_GT (told[outcome], 0) << outcome;
+    EXPECT_GT (outcome_counts[outcome], 0) << outcome;
 }
 
-/* Planners who hear nothing press the button again, and again, and once more
-   a minute later.  However often a hold is sent, at most one try runs, and no
-   more than one is told that it ran. */
-TEST_F (ChaosTest, AHoldSentAgainAndAgainRunsOnce)
+/* Callers without a response send an unrepeatable request several times, also
+   some time later.  At most one send may run, and at most one may get the
+   outcome "ran". */
+TEST_F (ChaosTest, RepeatedTicketRunsOnce)
 {
   add_bad_targets ();
   target_options = ", 'slots': 4";
   start ();
   put_service (usual_routes, ", 'limits': { 'timeout_ms': 200 }");
   const std::vector<std::string> tickets = take_tickets (96);
-  std::map<std::string, int> told_ran;
+  std::map<std::string, int> ran_counts;
   for (size_t first = 0; first + 8 <= tickets.size (); first += 8)
     for (const size_t tries : { 24, 8 })
       {
@@ -178,10 +178,10 @@
           {
             EXPECT_LE (runs (*call), 1u) << call->fields[0];
             if (call->field ("jaystair-outcome") == "ran")
-              told_ran[call->fields[0]]++;
+              ran_counts[call->fields[0]]++;
           }
       }
-  for (const auto &entry : told_ran)
+  for (const auto &entry : ran_counts)
     EXPECT_EQ (entry.second, 1) << entry.first;
-  EXPECT_GT (told_ran.size (), tickets.size () / 2);
+  EXPECT_GT (ran_counts.size (), tickets.size () / 2);
 }
--- a/node/caller/tests/connection_limit_test.cc
+++ b/node/caller/tests/connection_limit_test.cc
@@ -3,7 +3,7 @@
 namespace
 {
 
-class CrowdedTest : public CallerTest
+class ConnectionLimitTest : public CallerTest
 {
 protected:
   void
@@ -16,9 +16,10 @@
     put_service (usual_routes);
   }
 
-  /** A caller that stays connected after its answer, unless told to go. */
+  /** Connect a caller that stays connected after its response unless it gets
+   * "Connection: close". */
   std::unique_ptr<RawCaller>
-  stay (int number)
+  connect_and_get (int number)
   {
     auto raw = connect_raw ();
     raw->write ("GET /calendar HTTP/1.1\r\nHost: a\r\nX-Request-Id: c"
@@ -30,7 +31,7 @@
   }
 
   static bool
-  told_to_go (const RawCaller &raw)
+  is_closing (const RawCaller &raw)
   {
     return raw.received.find ("Connection: close") != std::string::npos;
   }
@@ -38,23 +39,24 @@
   target_server *target = nullptr;
 };
 
-/* Hosts are lost, and all their callers come to one that is left.  Each keeps
- * its connection after its answer, and soon nobody else's is accepted: whoever
- * comes waits until he gives up, though the host has little to do.  From nine
- * tenths on, connections must end with their answers. */
-TEST_F (CrowdedTest, CallersGoWithTheirAnswersBeforeAllConnectionsAreTaken)
+/* After other hosts fail, their callers all connect to the remaining ones.  If
+   each keeps its connection after its response, the connection limit is soon
+   reached and further callers wait until they time out, although the host has
+   little load.  Above nine tenths of the limit, connections must be closed
+   after their responses. */
+TEST_F (ConnectionLimitTest, ConnectionsAreClosedAfterResponsesNearLimit)
 {
   std::vector<std::unique_ptr<RawCaller>> kept;
   for (int i = 0; i < 8; i++)
     {
-      kept.push_back (stay (i));
-      EXPECT_FALSE (told_to_go (*kept.back ())) << i;
+      kept.push_back (connect_and_get (i));
+      EXPECT_FALSE (is_closing (*kept.back ())) << i;
     }
   for (int i = 8; i < 30; i++)
     {
-      auto raw = stay (i);
+      auto raw = connect_and_get (i);
       ASSERT_NE (raw->received.find (" 200 "), std::string::npos) << i;
-      if (!told_to_go (*raw))
+      if (!is_closing (*raw))
         kept.push_back (std::move (raw));
       else
         EXPECT_TRUE (run_until ([&raw] { return raw->closed; })) << i;
--- a/node/caller/tests/crash_check_test.cc
+++ b/node/caller/tests/crash_check_test.cc
@@ -54,8 +54,8 @@
   FILE *log = tmpfile ();
 };
 
-/* Guards against a crash that is not logged, or logged with another request.
- */
+/* A crash must be logged with the fingerprint of the request that was in
+   flight. */
 TEST_F (CrashCheckTest, CrashIsLoggedWithRequestFingerprint)
 {
   target_server *target = add_target ("t1");
@@ -78,8 +78,8 @@
              text.substr (text.find (key, crashed), size));
 }
 
-/* Guards against a missed crash when the exiting target still accepts the
-   first probe. */
+/* An exiting target may still accept the first probe; the crash must not be
+   missed. */
 TEST_F (CrashCheckTest, CrashOfTargetThatClosesListenerLastIsDetected)
 {
   auto target = std::make_unique<RawTarget> (loop);
@@ -90,8 +90,8 @@
   EXPECT_TRUE (run_until ([this] { return crash_count () == 1; }));
 }
 
-/* Guards against a running target that is reported as crashed because it
-   closed a connection. */
+/* A running target that closes a connection must not be reported as
+   crashed. */
 TEST_F (CrashCheckTest, ConnectionClosedByRunningTargetIsNotACrash)
 {
   target_server *target = add_target ("t1");
--- a/node/caller/tests/fault_test.cc
+++ b/node/caller/tests/fault_test.cc
@@ -42,8 +42,8 @@
   target_server *second = nullptr;
 };
 
-/* A browsing couple's page comes from a target that has just failed; the
-   other target would have had it. */
+/* A repeatable request fails at one target; it must be retried at the other
+   one. */
 TEST_F (FaultTest, FailedGetIsTriedAtAnotherTarget)
 {
   add_two ();
@@ -54,10 +54,10 @@
     EXPECT_EQ (get ("/calendar", "r")->status, 200) << i;
 }
 
-/* One of two targets can't be connected to, and the service has no retries.
-   No byte of the holds that are meant for it leaves the host, so that asking
-   the other target is their first try: all are made, each once. */
-TEST_F (FaultTest, WhatReachedNoTargetIsNoRetry)
+/* One of two targets refuses connections, and the service has no retries.  No
+   byte of a request is sent to that target, so sending it to the other one is
+   its first attempt: all requests run, each once. */
+TEST_F (FaultTest, AttemptWithNothingSentIsNoRetry)
 {
   second = add_target ("t2");
   settings.retry.reserve = 0;
@@ -78,7 +78,7 @@
     }
 }
 
-TEST_F (FaultTest, FailedPostIsPassedOnAndNotRepeated)
+TEST_F (FaultTest, FailedPostIsForwardedAndNotRetried)
 {
   add_two ();
   target_server_faults (first)->fail = 100;
@@ -92,9 +92,9 @@
   EXPECT_EQ (runs ("h1"), 1u);
 }
 
-/* A target that sheds says that it did not run the request, so even a hold
-   may go to another target. */
-TEST_F (FaultTest, ShedPostRunsOnceElsewhere)
+/* A target that sheds a request states that it has not run it, so even an
+   unrepeatable request may be sent to another target. */
+TEST_F (FaultTest, ShedPostRunsOnceAtOtherTarget)
 {
   add_two ();
   target_server_faults (first)->shed = 100;
@@ -111,7 +111,7 @@
     }
 }
 
-TEST_F (FaultTest, AllShedIsNotRunAndSaysWhenToComeBack)
+TEST_F (FaultTest, ShedByAllIsNotRunAndHasRetryTime)
 {
   add_two ();
   target_server_faults (first)->shed = 100;
@@ -127,8 +127,8 @@
   EXPECT_EQ (runs ("h1"), 0u);
 }
 
-/* A repeatable upload breaks at the first target; the second must get all of
-   it, not what was left. */
+/* A repeatable upload breaks off at the first target.  The second one must get
+   all of the body, not only the rest. */
 TEST_F (FaultTest, BodyOfARetryIsSentFromItsStart)
 {
   add_two ();
@@ -150,8 +150,8 @@
   EXPECT_GT (target_server_counts (second).runs, 0u);
 }
 
-/* A body that is larger than what a host holds can't be sent again. */
-TEST_F (FaultTest, LongBodyIsNotTriedAgain)
+/* A body that is larger than the host's buffer can't be sent again. */
+TEST_F (FaultTest, LongBodyIsNotRetried)
 {
   add_two ();
   target_server_faults (first)->close = 100;
@@ -166,8 +166,9 @@
   EXPECT_EQ (runs ("p1"), 1u);
 }
 
-/* A target refuses at the head while the body is still on its way. */
-TEST_F (FaultTest, RefusalDuringUploadIsNotRunAndHangsNobody)
+/* A target refuses a request at its head while the body is still being
+   sent. */
+TEST_F (FaultTest, RefusalDuringUploadIsNotRunAndDoesNotHang)
 {
   add_two ();
   target_server_faults (first)->early = 100;
@@ -187,11 +188,12 @@
       run_until ([this] { return caller_task_in_flight (task) == 0; }));
 }
 
-/* A target refuses an upload at its head; the request waits for its next try
-   while the rest of the body comes in.  The first part had been taken by the
-   failed try and made room for the rest: the next try sent a body without its
-   beginning, and the caller got a whole answer to half a request. */
-TEST_F (FaultTest, BodyComesWholeWhenItGrowsBetweenTwoTries)
+/* A target refuses an upload at its head, and the rest of the body arrives
+   while the request waits for its next attempt.  If the part that the first
+   attempt consumed were discarded to make space for the rest, the next attempt
+   would send a body without its beginning, and the caller would get a complete
+   response to half a request. */
+TEST_F (FaultTest, BodyIsCompleteWhenReceivedBetweenAttempts)
 {
   target_options = ", 'slots': 1";
   add_two ();
@@ -212,22 +214,22 @@
                : atoi (text.c_str () + at + series.size ());
   };
   const int sheds_before = sheds ();
-  const std::string begun (40000, 'a');
-  const std::string rest (60000, 'b');
+  const std::string first_part (40000, 'a');
+  const std::string second_part (60000, 'b');
   auto caller = connect_raw ();
   caller->write ("PUT /echo HTTP/1.1\r\nHost: a\r\nX-Request-Id: p1\r\n"
                  "Jaystair-Deadline-Ms: 1000\r\n"
                  "Transfer-Encoding: chunked\r\n\r\n9c40\r\n"
-                 + begun + "\r\n");
+                 + first_part + "\r\n");
   ASSERT_TRUE (run_until ([&] { return sheds () > sheds_before; }))
       << exposed ();
   target_server_faults (first)->early = 0;
-  caller->write ("ea60\r\n" + rest + "\r\n0\r\n\r\n");
+  caller->write ("ea60\r\n" + second_part + "\r\n0\r\n\r\n");
   ASSERT_TRUE (run_until ([&] {
     const size_t head = caller->received.find ("\r\n\r\n");
     return head != std::string::npos && caller_task_in_flight (task) == 1;
   })) << caller->received.substr (0, 400);
-  EXPECT_NE (caller->received.find ("\r\n\r\n" + begun + rest),
+  EXPECT_NE (caller->received.find ("\r\n\r\n" + first_part + second_part),
              std::string::npos)
       << caller->received.substr (0, 400);
   curl_loop_cancel (client, busy->easy);
@@ -249,9 +251,9 @@
   EXPECT_EQ (call->field ("jaystair-outcome"), "not-run");
 }
 
-/* A title search hangs in a gray target.  The answer must come when the time
-   is over, and must not claim that nothing was run. */
-TEST_F (FaultTest, DeadlineIsAnsweredAtOnceAndHonestly)
+/* A request hangs at a target.  The response must come when the deadline
+   passes, and must not state that the request was not run. */
+TEST_F (FaultTest, HangingRequestIsUnknownAtDeadline)
 {
   add_two ();
   target_server_faults (first)->hang = 100;
@@ -284,9 +286,9 @@
   EXPECT_EQ (runs ("r1"), 0u);
 }
 
-/* A caller whose upload stalls past its deadline is answered although
-   libmicrohttpd takes no response before the whole body is read. */
-TEST_F (FaultTest, DeadlineDuringUploadIsAnsweredAtOnce)
+/* A caller whose upload stalls past its deadline gets a response, although
+   libmicrohttpd accepts no response before the whole body is read. */
+TEST_F (FaultTest, StalledUploadGetsResponseAtDeadline)
 {
   add_two ();
   start ();
@@ -304,9 +306,9 @@
       run_until ([this] { return caller_task_in_flight (task) == 0; }));
 }
 
-/* A closing page is cut in the middle.  The caller must see a broken transfer,
-   whatever way its end is told in. */
-TEST_F (FaultTest, CutAnswerNeverLooksWhole)
+/* A target breaks off a response.  The caller must see a broken transfer,
+   however the end of the body is marked. */
+TEST_F (FaultTest, TruncatedResponseNeverLooksComplete)
 {
   first = add_target ("t1");
   target_server_faults (first)->cut = 100;
@@ -322,9 +324,9 @@
     }
 }
 
-/* The same with an answer in chunks that is longer than what a host holds: it
-   has begun to reach the caller when the target breaks off. */
-TEST_F (FaultTest, CutChunkedAnswerNeverLooksWhole)
+/* The same with a chunked response that is larger than the host's buffer: part
+   of it has been sent to the caller when the target breaks off. */
+TEST_F (FaultTest, TruncatedChunkedResponseNeverLooksComplete)
 {
   first = add_target ("t1");
   start ();
@@ -339,7 +341,7 @@
     }
 }
 
-TEST_F (FaultTest, CutUploadNeverRuns)
+TEST_F (FaultTest, TruncatedUploadNeverRuns)
 {
   first = add_target ("t1");
   start ();
@@ -363,9 +365,9 @@
   EXPECT_EQ (runs ("h1"), 0u);
 }
 
-/* A planner closes her browser while the target works: the work is cancelled
-   and the slot is free again. */
-TEST_F (FaultTest, CallerThatGoesAwayCancelsTheWork)
+/* A caller disconnects while the target works: the attempt is cancelled and
+   its slot is free again. */
+TEST_F (FaultTest, DisconnectedCallerCancelsAttempt)
 {
   first = add_target ("t1");
   target_server_faults (first)->hang = 100;
@@ -381,8 +383,8 @@
       run_until ([this] { return caller_task_in_flight (task) == 0; }));
 }
 
-/* The same while her request still waits for a free slot. */
-TEST_F (FaultTest, CallerThatGoesAwayWhileQueuedIsForgotten)
+/* The same while the request still waits for a free slot. */
+TEST_F (FaultTest, DisconnectedCallerLeavesQueue)
 {
   first = add_target ("t1");
   target_server_faults (first)->hang = 100;
@@ -405,10 +407,10 @@
   EXPECT_EQ (runs ("s2"), 0u);
 }
 
-/* A request with a body that is larger than what a host holds waits for a
-   free slot until its time is over.  It must be answered then, although most
-   of its body was never read. */
-TEST_F (FaultTest, LongBodyInTheQueueIsAnsweredAtItsDeadline)
+/* A request with a body that is larger than the host's buffer waits for a free
+   slot until its deadline.  It must get a response then, although most of its
+   body was never read. */
+TEST_F (FaultTest, QueuedLongBodyGetsResponseAtDeadline)
 {
   first = add_target ("t1");
   target_server_faults (first)->hang = 100;
@@ -430,9 +432,9 @@
       run_until ([this] { return caller_task_in_flight (task) == 0; }));
 }
 
-/* An answer that comes after its request was given up goes nowhere, least of
-   all to the next request. */
-TEST_F (FaultTest, LateAnswerReachesNobody)
+/* A response that arrives after its request was given up must reach nobody, in
+   particular not the next request. */
+TEST_F (FaultTest, LateResponseIsDiscarded)
 {
   first = add_target ("t1");
   target_server_faults (first)->delay_ms = 120;
@@ -451,9 +453,9 @@
     }
 }
 
-/* A target that says it leaves gets no new work, and gets some again once it
-   has been restarted in place. */
-TEST_F (FaultTest, LeavingTargetGetsNoNewWorkUntilItIsBack)
+/* A target that reports that it is leaving gets no new requests until it has
+   been restarted in place. */
+TEST_F (FaultTest, LeavingTargetGetsNoRequestsUntilActive)
 {
   add_two ();
   start ();
@@ -475,7 +477,7 @@
   EXPECT_EQ (get ("/calendar", "again")->field ("x-target"), "t1");
 }
 
-TEST_F (FaultTest, DrainedAndEjectedTargetsGetNoNewWork)
+TEST_F (FaultTest, EjectedTargetsGetNoRequests)
 {
   add_two ();
   start ();
--- a/node/caller/tests/poison_test.cc
+++ b/node/caller/tests/poison_test.cc
@@ -12,7 +12,7 @@
 {
 protected:
   void
-  begin_with (int count)
+  start_with (int count)
   {
     for (int i = 1; i <= count; i++)
       target_server_faults (add_target ("t" + std::to_string (i)))->crash = 1;
@@ -75,11 +75,11 @@
   int sent = 0;
 };
 
-/* Guards against a request that crashes one target after another under new
-   request ids. */
+/* A request must not crash one target after another, even under new request
+   ids. */
 TEST_F (PoisonTest, RequestIsBlockedAfterThreeCrashes)
 {
-  begin_with (12);
+  start_with (12);
   for (int i = 0; i < 10; i++)
     {
       const auto call = put ("/crash", "the same");
@@ -95,10 +95,10 @@
   EXPECT_NE (exposed ().find ("reason=\"poison-request\""), std::string::npos);
 }
 
-/* Guards against refusing requests that differ from the blocked one. */
+/* Requests that differ from the blocked one must not be refused. */
 TEST_F (PoisonTest, OtherRequestsAreServed)
 {
-  begin_with (12);
+  start_with (12);
   for (int i = 0; i < 5; i++)
     put ("/crash", "the same");
   ASSERT_EQ (block.strikes, 1u);
@@ -111,10 +111,10 @@
   EXPECT_EQ (put ("/crash", "the same")->status, 503);
 }
 
-/* Guards against sending a request before its fingerprint is available. */
+/* A request must not be sent before its fingerprint is available. */
 TEST_F (PoisonTest, WaitsForBodyPrefixBeforeSending)
 {
-  begin_with (8);
+  start_with (8);
   const std::string small (3000, 'p');
   for (int i = 0; i < 5; i++)
     put ("/crash", small);
@@ -145,10 +145,10 @@
   EXPECT_EQ (chunked->status, 200);
 }
 
-/* Guards against a host that observed no crash and ignores the block. */
+/* A host that observed no crash must enforce a block of another host. */
 TEST_F (PoisonTest, BlockFromAnotherHostIsEnforced)
 {
-  begin_with (12);
+  start_with (12);
   for (int i = 0; i < 5; i++)
     put ("/crash", "the same");
   ASSERT_EQ (block.strikes, 1u);
@@ -161,12 +161,12 @@
   EXPECT_EQ (runs (), before);
 }
 
-/* Guards against sent and queued duplicates that continue after the request is
+/* Sent and queued duplicates must not continue after the request is
    blocked. */
 TEST_F (PoisonTest, InFlightDuplicatesAreCancelled)
 {
   target_options = ", 'slots': 1";
-  begin_with (8);
+  start_with (8);
   for (int i = 0; i < 5; i++)
     put ("/crash", "the same");
   ASSERT_EQ (block.strikes, 1u);
@@ -203,11 +203,11 @@
   EXPECT_GE (unknown, 4);
 }
 
-/* Guards against a block that persists although the targets were at fault. */
+/* A block must not persist if the targets were at fault. */
 TEST_F (PoisonTest, SuccessfulTrialLiftsBlock)
 {
   settings.poison.block_ms = 50;
-  begin_with (8);
+  start_with (8);
   for (int i = 0; i < 5; i++)
     put ("/crash", "the same");
   ASSERT_EQ (block.strikes, 1u);
--- a/node/caller/tests/proxy_test.cc
+++ b/node/caller/tests/proxy_test.cc
@@ -27,7 +27,7 @@
   return text;
 }
 
-TEST_F (ProxyTest, AnswerOfTargetComesBackWhole)
+TEST_F (ProxyTest, ResponseOfTargetIsForwarded)
 {
   auto call = get ("/calendar?month=2", "r1");
   EXPECT_EQ (call->status, 200);
@@ -50,7 +50,7 @@
     }
 }
 
-TEST_F (ProxyTest, LengthIsKeptOrChunkedAsTheTargetHadIt)
+TEST_F (ProxyTest, ContentLengthIsForwarded)
 {
   auto sized = get ("/bytes/200000");
   EXPECT_EQ (sized->field ("content-length"), "200000");
@@ -82,9 +82,9 @@
   EXPECT_EQ (get ("/after")->status, 200);
 }
 
-/* Fields that are for one connection only must not reach the next one, and no
-   caller may pass off fields as the fleet's. */
-TEST_F (ProxyTest, FieldsOfOneConnectionAndForgedOnesAreTakenOut)
+/* Hop-by-hop fields must not be forwarded, and callers can't forge fields of
+   the protocol. */
+TEST_F (ProxyTest, HopByHopAndForgedFieldsAreRemoved)
 {
   auto call = make ("GET", "/headers", "r1");
   call->fields = { "Connection: X-Secret, keep-alive",
@@ -106,7 +106,7 @@
   EXPECT_NE (seen.find ("Jaystair-Deadline-Ms: "), std::string::npos);
 }
 
-TEST_F (ProxyTest, DeadlineIsPassedOnAsTimeLeft)
+TEST_F (ProxyTest, DeadlineIsForwardedAsRemainingTime)
 {
   auto call = make ("GET", "/", "r1");
   call->fields.push_back ("Jaystair-Deadline-Ms: 5000");
@@ -116,9 +116,9 @@
   EXPECT_GT (left, 0);
 }
 
-/* Answers come in another order than their requests, many at once: each must
-   reach the caller that asked. */
-TEST_F (ProxyTest, AnswersOutOfOrderReachTheirOwnCallers)
+/* Many concurrent responses arrive in another order than their requests: each
+   must reach the caller that sent the request. */
+TEST_F (ProxyTest, ResponsesOutOfOrderReachTheirCallers)
 {
   target_server_faults (target)->delay_ms = 30;
   target_server_faults (target)->jitter = 1;
@@ -151,9 +151,10 @@
   EXPECT_LT (in_place, 30u);
 }
 
-/* A caller that reads nothing must not make the host hold its answer: what is
-   held stays within the bound and the rest waits at the target. */
-TEST_F (ProxyTest, SlowReaderHoldsTheTargetBackAndGetsAll)
+/* A caller that reads nothing must not make the host buffer its whole
+   response: the buffer stays within its limit and the rest remains at the
+   target. */
+TEST_F (ProxyTest, SlowReaderIsBufferedWithinLimitAndGetsAll)
 {
   auto raw = connect_raw ();
   ev_io_stop (loop, &raw->io);
@@ -181,7 +182,7 @@
   raw->hang_up ();
 }
 
-TEST_F (ProxyTest, CountersAndTablesTellWhatHappened)
+TEST_F (ProxyTest, CountersAndTablesAreUpdated)
 {
   get ("/calendar", "r1");
   EXPECT_NE (exposed ().find ("jaystair_requests_total{service=\"holds\","
@@ -197,7 +198,7 @@
     }
 }
 
-TEST_F (ProxyTest, EachDecisionWritesALine)
+TEST_F (ProxyTest, EachDecisionIsLogged)
 {
   int ends[2];
   ASSERT_EQ (pipe (ends), 0);
--- a/node/caller/tests/raw_target.cc
+++ b/node/caller/tests/raw_target.cc
@@ -63,13 +63,13 @@
   auto *peer = static_cast<Peer *> (io->data);
   RawTarget *target = peer->target;
   char data[16384];
-  const ssize_t got = recv (peer->fd, data, sizeof data, 0);
-  if (got <= 0)
+  const ssize_t received_bytes = recv (peer->fd, data, sizeof data, 0);
+  if (received_bytes <= 0)
     {
       target->drop (peer);
       return;
     }
-  peer->received.append (data, (size_t)got);
+  peer->received.append (data, (size_t)received_bytes);
   if (peer->answered || peer->received.find ("\r\n\r\n") == std::string::npos)
     return;
   peer->answered = true;
--- a/node/caller/tests/raw_target.h
+++ b/node/caller/tests/raw_target.h
@@ -1,5 +1,5 @@
 /** @file
- * A target that answers each connection with bytes of the test's choice.
+ * A target that responds on each connection with bytes set by the test.
  */
 #ifndef NODE_CALLER_TESTS_RAW_TARGET_H
 #define NODE_CALLER_TESTS_RAW_TARGET_H
@@ -19,8 +19,8 @@
 
   std::string address () const;
 
-  std::string answer;      /**< written once the head of a request is there */
-  bool close_after = true; /**< else the connection is kept open */
+  std::string answer; /**< written once the head of a request was received */
+  bool close_after = true; /**< otherwise the connection stays open */
   int requests = 0;
 
 private:
