--- a/node/caller/address_answer.c
+++ b/node/caller/address_answer.c
@@ -12,8 +12,8 @@
 
 enum
 {
-  TICKETS_A_QUESTION = 8,
-  ADDRESSES_MAX = 64, /* more help no caller and cost bytes */
+  TICKETS_PER_RESPONSE = 8,
+  ADDRESSES_MAX = 64, /* more cost bytes and don't help a caller */
   NO_HOST_RETRY_AFTER_MS = 1000
 };
 
@@ -28,38 +28,38 @@
 }
 
 static enum MHD_Result
-refuse (struct caller_context *context, struct MHD_Connection *connection,
-        uint32_t status, const struct local_response *own)
+queue_error (struct caller_context *context, struct MHD_Connection *connection,
+             uint32_t status, const struct local_response *error)
 {
   struct MHD_Response *response
-      = local_response_create (own, context->interface, context->leaving);
+      = local_response_create (error, context->interface, context->leaving);
   const enum MHD_Result result
       = MHD_queue_response (connection, status, response);
   MHD_destroy_response (response);
   return result;
 }
 
-/* The hosts of the set that can be told of: a new array, with *COUNT. */
+/* Return the hosts of the set that may be listed as a new array of *COUNT. */
 static struct bus_set_host *
-usable_hosts (const struct caller_context *context,
-              const struct caller_service *service, size_t *count)
+listable_hosts (const struct caller_context *context,
+                const struct caller_service *service, size_t *count)
 {
-  struct bus_set_host *usable
-      = xcalloc (service->host_count + 1, sizeof *usable);
+  struct bus_set_host *listable
+      = xcalloc (service->host_count + 1, sizeof *listable);
   *count = 0;
   for (size_t i = 0; i < service->host_count; i++)
     {
       const struct bus_set_host *host = &service->hosts[i];
       const bool self = strcmp (host->name, context->settings->name) == 0;
       if (host->caller_address[0] != '\0' && !(self && context->leaving))
-        usable[(*count)++] = *host;
+        listable[(*count)++] = *host;
     }
-  return usable;
+  return listable;
 }
 
-/* Guards against herding: if all callers got the same order, all would use
-   the first host.  Each answer begins with another one.
-   @return the body of the answer; NULL: there is no host to tell of */
+/* Prevents herding: if all callers got the same order, all would use the
+   first host.  Each response therefore starts with another one.
+   @return the body of the response; NULL if there is no host to list */
 static struct json_object *
 format_hosts (struct caller_context *context,
               const struct caller_service *service, const char *caller_dc)
@@ -70,9 +70,9 @@
   struct address_selection_options options
       = { .caller_dc = caller_dc,
           .rotation = context->address_answer_count++ };
-  struct bus_set_host *usable
-      = usable_hosts (context, service, &options.count);
-  options.hosts = usable;
+  struct bus_set_host *listable
+      = listable_hosts (context, service, &options.count);
+  options.hosts = listable;
   struct address_list list
       = { .service = service->name,
           .entries = entries,
@@ -86,19 +86,19 @@
         = (struct address_entry){ context->own_address, settings->dc };
   struct json_object *body
       = list.count > 0 ? context->interface->format_addresses (&list) : NULL;
-  free (usable);
+  free (listable);
   return body;
 }
 
 static struct json_object *
-ticket_list (struct caller_context *context,
-             const struct caller_service *service)
+issue_tickets (struct caller_context *context,
+               const struct caller_service *service)
 {
   struct json_object *tickets = json_object_new_array ();
   if (!service->has_unrepeatable_route || context->leaving)
     return tickets;
   char text[TICKET_TEXT_SIZE];
-  for (int i = 0; i < TICKETS_A_QUESTION; i++)
+  for (int i = 0; i < TICKETS_PER_RESPONSE; i++)
     if (ticket_issuer_issue (context->tickets, text) == STATUS_OK)
       json_object_array_add (tickets, json_object_new_string (text));
   return tickets;
@@ -124,30 +124,33 @@
 }
 
 static const char *
-argument (struct MHD_Connection *connection, const char *name)
+query_parameter (struct MHD_Connection *connection, const char *name)
 {
   return MHD_lookup_connection_value (connection, MHD_GET_ARGUMENT_KIND, name);
 }
 
 static enum MHD_Result
-answer (struct caller_context *context, struct MHD_Connection *connection,
-        const struct caller_service *service)
+queue_addresses (struct caller_context *context,
+                 struct MHD_Connection *connection,
+                 const struct caller_service *service)
 {
   const struct caller_interface *interface = context->interface;
   struct json_object *body = format_hosts (
-      context, service, argument (connection, interface->dc_parameter));
+      context, service, query_parameter (connection, interface->dc_parameter));
   if (body == NULL)
     {
-      const struct local_response own
+      const struct local_response error
           = { .outcome = REQUEST_OUTCOME_NOT_RUN,
               .reason = "no-host",
-              .message = "no host can be handed out now: ask another host",
+              .message = "no host is available now: ask another host",
               .retry_after_ms = NO_HOST_RETRY_AFTER_MS };
-      return refuse (context, connection, MHD_HTTP_SERVICE_UNAVAILABLE, &own);
+      return queue_error (context, connection, MHD_HTTP_SERVICE_UNAVAILABLE,
+                          &error);
     }
   if (interface->has_tickets)
     {
-      json_object_object_add (body, "tickets", ticket_list (context, service));
+      json_object_object_add (body, "tickets",
+                              issue_tickets (context, service));
       json_object_object_add (body, "ticket_address",
                               json_object_new_string (context->own_address));
     }
@@ -156,25 +159,26 @@
 }
 
 static bool
-names_service (const struct caller_context *context,
-               struct MHD_Connection *connection)
+has_service_parameter (const struct caller_context *context,
+                       struct MHD_Connection *connection)
 {
   const struct caller_interface *interface = context->interface;
-  return argument (connection, interface->service_parameter) != NULL
-         || argument (connection, interface->host_parameter) != NULL;
+  return query_parameter (connection, interface->service_parameter) != NULL
+         || query_parameter (connection, interface->host_parameter) != NULL;
 }
 
-/* Any service will do for a host name that no route bears (yet): every host
-   takes requests for all services. */
+/* A host name that no route has (yet) gets any service of the configuration,
+   since every host takes requests for all services. */
 static const struct caller_service *
-asked_service (const struct caller_context *context,
-               struct MHD_Connection *connection)
+requested_service (const struct caller_context *context,
+                   struct MHD_Connection *connection)
 {
   const struct caller_interface *interface = context->interface;
-  const char *name = argument (connection, interface->service_parameter);
+  const char *name
+      = query_parameter (connection, interface->service_parameter);
   if (name != NULL)
     return caller_context_service (context, name);
-  const char *host = argument (connection, interface->host_parameter);
+  const char *host = query_parameter (connection, interface->host_parameter);
   if (host == NULL)
     return NULL;
   name = route_table_find_service_by_host (context->routes, host);
@@ -188,39 +192,41 @@
 address_answer_queue (struct caller_context *context,
                       struct MHD_Connection *connection, const char *method)
 {
-  struct local_response own = { .outcome = REQUEST_OUTCOME_NOT_RUN };
+  struct local_response error = { .outcome = REQUEST_OUTCOME_NOT_RUN };
   if (strcmp (method, "GET") != 0)
     {
-      own.reason = "method";
-      strcpy (own.message, "addresses are asked for with GET");
-      return refuse (context, connection, MHD_HTTP_METHOD_NOT_ALLOWED, &own);
+      error.reason = "method";
+      strcpy (error.message, "use GET to request addresses");
+      return queue_error (context, connection, MHD_HTTP_METHOD_NOT_ALLOWED,
+                          &error);
     }
-  if (!names_service (context, connection))
+  if (!has_service_parameter (context, connection))
     {
-      own.reason = "no-service";
-      snprintf (own.message, sizeof own.message,
-                "name the service: ?%s=NAME, or the host of its requests: "
-                "?%s=NAME",
+      error.reason = "no-service";
+      snprintf (error.message, sizeof error.message,
+                "no service is named: add ?%s=NAME, or the host name of its "
+                "requests as ?%s=NAME",
                 context->interface->service_parameter,
                 context->interface->host_parameter);
-      return refuse (context, connection, MHD_HTTP_BAD_REQUEST, &own);
+      return queue_error (context, connection, MHD_HTTP_BAD_REQUEST, &error);
     }
-  const struct caller_service *service = asked_service (context, connection);
+  const struct caller_service *service
+      = requested_service (context, connection);
   if (service != NULL)
-    return answer (context, connection, service);
+    return queue_addresses (context, connection, service);
   if (context->settings->modes.has_registry && context->config == NULL)
-    return refuse (context, connection, MHD_HTTP_SERVICE_UNAVAILABLE,
-                   &(struct local_response){
-                       .outcome = REQUEST_OUTCOME_NOT_RUN,
-                       .reason = "no-settings",
-                       .message = "this host doesn't know its settings yet: "
-                                  "ask another host",
-                       .retry_after_ms = NO_HOST_RETRY_AFTER_MS });
-  own.reason = "unknown-service";
-  snprintf (own.message, sizeof own.message,
-            "no service in force at this host was named by ?%s=NAME or "
+    return queue_error (
+        context, connection, MHD_HTTP_SERVICE_UNAVAILABLE,
+        &(struct local_response){ .outcome = REQUEST_OUTCOME_NOT_RUN,
+                                  .reason = "no-settings",
+                                  .message = "this host has no settings yet: "
+                                             "ask another host",
+                                  .retry_after_ms = NO_HOST_RETRY_AFTER_MS });
+  error.reason = "unknown-service";
+  snprintf (error.message, sizeof error.message,
+            "no service in force at this host matches ?%s=NAME or "
             "?%s=NAME: check the name or declare the service",
             context->interface->service_parameter,
             context->interface->host_parameter);
-  return refuse (context, connection, MHD_HTTP_NOT_FOUND, &own);
+  return queue_error (context, connection, MHD_HTTP_NOT_FOUND, &error);
 }
--- a/node/caller/address_answer.h
+++ b/node/caller/address_answer.h
@@ -1,5 +1,6 @@
 /** @file
- * Tells callers which addresses of the fleet to use for a service.
+ * Serves address requests: which hosts of the fleet a caller may send the
+ * requests for a service to.
  */
 #ifndef NODE_CALLER_ADDRESS_ANSWER_H
 #define NODE_CALLER_ADDRESS_ANSWER_H
@@ -10,11 +11,11 @@
 
 #include "node/caller/caller_context.h"
 
-/** Is URI the question for addresses? */
+/** Whether URI is that of an address request. */
 bool address_answer_matches_uri (const struct caller_context *context,
                                  const char *uri);
 
-/** Answer the question on CONNECTION. */
+/** Queue the response to an address request on CONNECTION. */
 enum MHD_Result address_answer_queue (struct caller_context *context,
                                       struct MHD_Connection *connection,
                                       const char *method);
--- a/node/caller/address_selection.h
+++ b/node/caller/address_selection.h
@@ -1,11 +1,12 @@
 /** @file
- * Which hosts of a set a caller is told of.
+ * Which hosts of a set are listed in the response to an address request.
  *
- * A caller takes any of the addresses that it was told.  Told of the whole
- * set, most callers send their requests to another data centre, and each byte
- * crosses over twice.  Told of the hosts near by alone, callers have nowhere
- * to go while these are lost, until they ask again.  So a caller is told of
- * the near ones, and of one host of another data centre.
+ * A caller uses any of the listed addresses.  If the whole set were listed,
+ * most callers would send their requests to another data centre, and each byte
+ * would cross between data centres twice.  If only the hosts of the caller's
+ * data centre were listed, callers would have no host to use from the loss of
+ * these until their next address request.  So the response lists the hosts of
+ * the caller's data centre and one host of another.
  */
 #ifndef NODE_CALLER_ADDRESS_SELECTION_H
 #define NODE_CALLER_ADDRESS_SELECTION_H
@@ -14,20 +15,21 @@
 
 #include "node/bus.h"
 
-/** The hosts to choose from, and for whom. */
+/** The candidate hosts and the caller that they are selected for. */
 struct address_selection_options
 {
-  const struct bus_set_host *hosts; /**< the set, without those that leave */
+  const struct bus_set_host *hosts; /**< the set without leaving hosts */
   size_t count;
-  const char *caller_dc; /**< NULL: not told */
-  size_t
-      rotation; /**< counts answers, so that each begins with another host */
+  const char *caller_dc; /**< NULL: unknown */
+  /** Counts responses, so that each starts with another host. */
+  size_t rotation;
 };
 
-/** Fill CHOSEN, which has room for MAX, with hosts in the order to be told.
- * All hosts go out where the caller's data centre has too few.
- * @return how many */
+/** Fill SELECTED, of capacity MAX, with hosts in the order to list them.  All
+ * hosts are selected if the caller's data centre has too few.
+ * @return their number */
 size_t address_selection_fill (const struct address_selection_options *options,
-                               const struct bus_set_host **chosen, size_t max);
+                               const struct bus_set_host **selected,
+                               size_t max);
 
 #endif
--- a/node/caller/caller_context.h
+++ b/node/caller/caller_context.h
@@ -1,5 +1,5 @@
 /** @file
- * What the parts of the caller task share.
+ * State shared by the modules of the caller task.
  */
 #ifndef NODE_CALLER_CALLER_CONTEXT_H
 #define NODE_CALLER_CALLER_CONTEXT_H
@@ -39,35 +39,37 @@
   struct hangup_watch *hangup;
   struct route_table *routes;
   struct caller_service *services; /**< by name */
-  /** Of the configuration in force, for keys. */
+  /** Whether the configuration in force is recent enough to check keys. */
   struct freshness freshness;
-  int64_t
-      proof_wait_since_us; /**< since when a proof is waited for; 0: isn't */
+  /** Since when requests wait for a freshness proof; 0: none do. */
+  int64_t proof_wait_since_us;
   struct quota_client *quotas;
-  uint32_t awaiting_count; /**< requests that wait to be judged */
+  /** Requests that wait for settings, a freshness proof, a quota token or the
+   * prefix of their body. */
+  uint32_t awaiting_count;
   struct host_directory *host_directory;
   struct ticket_issuer *tickets;
   struct fleet_config *config; /**< in force; NULL: none, or none yet */
   int64_t first_config_ms;     /**< when the first one came into force */
-  struct workspace_table
-      *workspaces; /**< of it; NULL: keys aren't asked for */
+  /** Of the configuration in force; NULL: requests need no key. */
+  struct workspace_table *workspaces;
   struct caller_counters counters;
   struct decision_ring decisions;
-  struct exchange *exchanges;          /**< all that are alive */
+  struct exchange *exchanges;          /**< not yet destroyed */
   char own_address[HOST_ADDRESS_SIZE]; /**< where callers reach this host */
-  size_t address_answer_count;         /**< given so far */
+  size_t address_answer_count;         /**< responses to address requests */
   uint64_t last_request_id;
   int64_t started_us;
   uint32_t in_flight;
   struct crash_checks *crash_checks;
   struct poison_filter *poison;
-  struct caller_server *server; /**< callers are connected to it */
+  struct caller_server *server; /**< accepts the callers' connections */
   ev_timer limit_refresh_timer;
   bool leaving;
   int64_t leaving_since_ms;
 };
 
-/** The service called NAME, or NULL. */
+/** The service in force called NAME, or NULL. */
 struct caller_service *
 caller_context_service (const struct caller_context *context,
                         const char *name);
--- a/node/caller/caller_counters.c
+++ b/node/caller/caller_counters.c
@@ -1,7 +1,8 @@
 #include "node/caller/caller_counters.h"
 
 void
-caller_counters_init (struct caller_counters *own, struct counters *counters)
+caller_counters_init (struct caller_counters *families,
+                      struct counters *counters)
 {
   const struct counter_family_options requests
       = { .name = "jaystair_requests_total",
@@ -50,18 +51,18 @@
           .help = "From the sending of an attempt to its end.",
           .kind = COUNTER_HISTOGRAM,
           .label_names = { "service", "end" } };
-  own->request_times = counters_family (counters, &request_times);
-  own->attempt_times = counters_family (counters, &attempt_times);
-  own->requests = counters_family (counters, &requests);
-  own->attempts = counters_family (counters, &attempts);
-  own->retries = counters_family (counters, &retries);
-  own->timeouts = counters_family (counters, &timeouts);
-  own->refusals = counters_family (counters, &refusals);
-  own->poison_blocks = counters_family (counters, &poison_blocks);
-  own->target_crashes = counters_family (counters, &target_crashes);
-  own->in_flight
+  families->request_times = counters_family (counters, &request_times);
+  families->attempt_times = counters_family (counters, &attempt_times);
+  families->requests = counters_family (counters, &requests);
+  families->attempts = counters_family (counters, &attempts);
+  families->retries = counters_family (counters, &retries);
+  families->timeouts = counters_family (counters, &timeouts);
+  families->refusals = counters_family (counters, &refusals);
+  families->poison_blocks = counters_family (counters, &poison_blocks);
+  families->target_crashes = counters_family (counters, &target_crashes);
+  families->in_flight
       = counter_series (counters_family (counters, &in_flight), NULL);
-  own->address_answers
+  families->address_answers
       = counter_series (counters_family (counters, &addresses), NULL);
 }
 
--- a/node/caller/caller_counters.h
+++ b/node/caller/caller_counters.h
@@ -1,18 +1,18 @@
 /** @file
- * What the caller side counts.
+ * Metrics of the caller side.
  */
 #ifndef NODE_CALLER_CALLER_COUNTERS_H
 #define NODE_CALLER_CALLER_COUNTERS_H
 
 #include "base/counters.h"
 
-/** The families; series are looked up by their labels at each use. */
+/** The metric families; each use looks up a series by its labels. */
 struct caller_counters
 {
   struct counter_family *requests;       /**< by service and outcome */
   struct counter_family *attempts;       /**< by service and end */
   struct counter_family *retries;        /**< by service */
-  struct counter_family *timeouts;       /**< by service and what followed */
+  struct counter_family *timeouts;       /**< by service and next step */
   struct counter_family *refusals;       /**< by service and reason */
   struct counter_family *target_crashes; /**< by service */
   struct counter_family *poison_blocks;  /**< by source */
@@ -22,7 +22,8 @@
   struct counter *address_answers;
 };
 
-void caller_counters_init (struct caller_counters *own,
+/** Register the families with COUNTERS. */
+void caller_counters_init (struct caller_counters *families,
                            struct counters *counters);
 
 /** Add one to the series of FAMILY with labels FIRST and SECOND; SECOND is
@@ -30,7 +31,7 @@
 void caller_counters_add (struct counter_family *family, const char *first,
                           const char *second);
 
-/** Count a time in the series of FAMILY with labels FIRST and SECOND. */
+/** Observe TIME_US in the histogram of FAMILY with labels FIRST and SECOND. */
 void caller_counters_observe (struct counter_family *family, const char *first,
                               const char *second, int64_t time_us);
 
--- a/node/caller/caller_interface.h
+++ b/node/caller/caller_interface.h
@@ -1,9 +1,10 @@
 /** @file
- * The names and forms in which callers and targets are spoken to.
+ * The header, path and parameter names of the HTTP interface to callers and
+ * targets.
  *
- * jaystair's own are caller_interface_own.  Another set of names serves a
- * fleet whose callers and targets speak another dialect of the same exchange;
- * what is decided doesn't depend on it.
+ * caller_interface_own holds jaystair's names.  Another set of names serves a
+ * fleet whose callers and targets use a variant of the same protocol; the
+ * decisions don't depend on it.
  */
 #ifndef NODE_CALLER_CALLER_INTERFACE_H
 #define NODE_CALLER_CALLER_INTERFACE_H
@@ -14,68 +15,71 @@
 
 #include <json-c/json.h>
 
-/** One host to hand out. */
+/** A host listed in the response to an address request. */
 struct address_entry
 {
   const char *address; /**< IP:PORT */
   const char *dc;
 };
 
-/** What an address answer says. */
+/** The content of a response to an address request. */
 struct address_list
 {
-  const char *service; /**< it serves what was asked for */
+  const char *service; /**< the service that the request was matched to */
   const struct address_entry *entries;
   size_t count;
-  uint32_t keep_ms;
+  uint32_t keep_ms; /**< how long the caller may use it */
 };
 
-/** A name of NULL is a field that this interface doesn't have. */
+/** A name that is NULL stands for a field that this interface lacks. */
 struct caller_interface
 {
-  /** Identity of one sending of a caller. */
+  /** Identifies one request as sent by a caller. */
   const char *request_id;
-  /** Every answer of a target repeats the request's identity; another one
-   * shows that the answer is some other request's. */
+  /** Targets repeat the request's identity in each response; a different one
+   * shows that the response belongs to another request. */
   bool targets_echo_request_id;
-  /** Milliseconds for which the answer is waited for. */
+  /** How long the caller waits for the response, in milliseconds. */
   const char *deadline_ms;
-  /** In answers to callers: enum request_outcome. */
+  /** In responses to callers: enum request_outcome. */
   const char *outcome;
-  /** In a target's answer: it has not run the request. */
+  /** In a target's response: the target has not run the request. */
   const char *not_run;
-  const char *not_run_value; /**< what it says then; NULL: anything */
-  /** Borne by each success of a target; one without it isn't a target's. */
+  const char *not_run_value; /**< its value then; NULL: any */
+  /** In each successful response of a target; one that lacks it doesn't come
+   * from a target. */
   const char *signature;
-  /** To a target: the identity that the request is meant for. */
+  /** In requests to a target: the identity of the intended target. */
   const char *intended_target;
-  /** To a target: the workspace that the request is of. */
+  /** In requests to a target: the workspace of the request. */
   const char *workspace;
-  /** In answers beside Retry-After: the same in milliseconds. */
+  /** In responses with Retry-After: the same time in milliseconds. */
   const char *retry_after_ms;
-  /** Retry-After may have decimals; else it is rounded up to seconds. */
+  /** Retry-After may have decimals; otherwise it is rounded up to seconds. */
   bool retry_after_has_decimals;
-  /** Callers ask for bodies without coding, so a coded one is not whole. */
+  /** Callers request bodies without a content coding, so a response with one
+   * counts as incomplete. */
   bool rejects_content_coding;
-  /** In a target's answer: its limit on the requests a second from all hosts
-   * together. */
+  /** In a target's response: its limit on the requests per second from all
+   * hosts together. */
   const char *target_limit;
-  /** In a target's answer: it takes no new work. */
+  /** In a target's response: it takes no new work. */
   const char *leaving;
 
-  /** Path of the question for addresses, and names in its query. */
+  /** Path of address requests, and the names of their query parameters. */
   const char *addresses_path;
   const char *service_parameter;
-  const char *host_parameter; /**< the name that requests will bear */
-  const char *dc_parameter;   /**< the caller's own data centre */
-  /** Members of an address answer.
+  const char *host_parameter; /**< the Host of the requests to be sent */
+  const char *dc_parameter;   /**< the caller's data centre */
+  /** Format the body of the response to an address request.
    * @return a new object */
   struct json_object *(*format_addresses) (const struct address_list *list);
 
-  /** Answers hand out tickets as well, and requests may bear them. */
+  /** Responses to address requests include tickets, and requests may carry
+   * one. */
   bool has_tickets;
 
-  /** Path at which it is asked whether this host takes work. */
+  /** Path of requests for this host's readiness to take work. */
   const char *readiness_path;
 };
 
--- a/node/caller/caller_rows.c
+++ b/node/caller/caller_rows.c
@@ -19,7 +19,7 @@
 {
   const struct target_spec *target = &service->spec->targets[i];
   const struct caller_target *state = &service->targets[i];
-  const struct policy_target_status belief
+  const struct policy_target_status status
       = service_policy_target_status (service->policy, (uint32_t)i);
   struct json_object *row = json_object_new_object ();
   json_row_text (row, "service", service->name);
@@ -27,15 +27,15 @@
   json_row_text (row, "address", target->address);
   json_row_text (row, "dc", target->dc);
   json_row_text (row, "state", target_state_name (target, state));
-  json_row_number (row, "in_flight", belief.in_flight);
-  json_row_number (row, "latency_us", belief.latency_us);
-  json_row_number (row, "failure_permille", belief.failure_permille);
+  json_row_number (row, "in_flight", status.in_flight);
+  json_row_number (row, "latency_us", status.latency_us);
+  json_row_number (row, "failure_permille", status.failure_permille);
   json_row_number (row, "limit_millis", state->limit.rate_millis);
-  json_row_flag (row, "suspect", belief.suspect);
-  json_row_flag (row, "warming", belief.warming);
-  json_row_flag (row, "ejected", belief.ejected);
-  json_row_number (row, "requests", (int64_t)belief.requests);
-  json_row_number (row, "failures", (int64_t)belief.failures);
+  json_row_flag (row, "suspect", status.suspect);
+  json_row_flag (row, "warming", status.warming);
+  json_row_flag (row, "ejected", status.ejected);
+  json_row_number (row, "requests", (int64_t)status.requests);
+  json_row_number (row, "failures", (int64_t)status.failures);
   return row;
 }
 
--- a/node/caller/caller_rows.h
+++ b/node/caller/caller_rows.h
@@ -7,7 +7,7 @@
 #include "node/caller/caller_context.h"
 #include "node/tables.h"
 
-/** Register "targets", "services", "routes" and "decisions". */
+/** Register "targets", "services", "poison", "routes" and "decisions". */
 void caller_rows_register (struct tables *tables,
                            struct caller_context *context);
 
--- a/node/caller/caller_server.c
+++ b/node/caller/caller_server.c
@@ -19,19 +19,20 @@
 {
   MS_PER_SECOND = 1000,
   LOG_TEXT_SIZE = 256,
-  /* What is left takes those who come within a turn of the loop. */
-  CROWDED_PERCENT = 90
+  /* The remaining connections are for callers that connect within one
+     iteration of the event loop. */
+  NEAR_CONNECTION_LIMIT_PERCENT = 90
 };
 
 struct caller_server
 {
   struct caller_context *context;
   struct MHD_Daemon *daemon;
-  bool crowded; /* as was noted last */
+  bool was_near_limit; /* at the last check */
 };
 
-/* The path must reach the target as the caller wrote it; this is the only
-   place where the library shows it so. */
+/* The target must get the path as the caller sent it; this is the only
+   callback in which libmicrohttpd passes it unmodified. */
 static void *
 on_request_line (void *owner, const char *uri,
                  struct MHD_Connection *connection)
@@ -43,7 +44,7 @@
 on_head (struct exchange *x, struct MHD_Connection *connection,
          const char *method, const char *version)
 {
-  /* With a directory address of its own every path is a request's. */
+  /* With a separate directory address, every path is routed to targets. */
   if (x->context->settings->directory_address[0] == '\0'
       && address_answer_matches_uri (x->context, x->uri))
     {
@@ -52,10 +53,11 @@
       return address_answer_queue (x->context, connection, method);
     }
   exchange_start (x, method, version);
-  /* A caller that waits for leave to send its body is told at once. */
-  size_t nothing = 0;
+  /* A caller that sent "Expect: 100-continue" gets the response before it
+     sends its body. */
+  size_t no_body_bytes = 0;
   if (x->state == EXCHANGE_LOCAL_RESPONSE && x->head.expects_continue)
-    return exchange_on_request (x, NULL, &nothing);
+    return exchange_on_request (x, NULL, &no_body_bytes);
   return MHD_YES;
 }
 
@@ -82,7 +84,7 @@
 }
 
 static void
-on_gone (void *watched)
+on_caller_disconnected (void *watched)
 {
   struct exchange *x = watched;
   x->caller_disconnected = true;
@@ -99,7 +101,7 @@
   LOG_WARN ("http", LOG_STR ("message", message));
 }
 
-/* Seconds are the library's unit; less than one would mean no timeout. */
+/* libmicrohttpd takes whole seconds; 0 would mean no timeout. */
 static unsigned int
 idle_seconds (const struct caller_limits *limits)
 {
@@ -113,7 +115,8 @@
   const struct caller_limits *limits = &context->settings->limits;
   const unsigned int family
       = address->ss_family == AF_INET6 ? MHD_USE_IPv6 : 0;
-  /* The memory of a connection holds a request's head and an answer's. */
+  /* The memory of a connection holds the head of a request and that of its
+     response. */
   const size_t memory_bytes = (size_t)limits->header_bytes * 2;
   return MHD_start_daemon (
       MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_ERROR_LOG | family, 0,
@@ -126,27 +129,28 @@
       context, MHD_OPTION_END);
 }
 
-/* Guards callers that come when all connections are taken, as after a loss of
-   many hosts: nobody accepts theirs, and they wait in vain until they give up
-   and come again.  Others keep theirs without a request under way.  Closed
-   with the answer, those become free in time. */
+/* When all connections are in use, for example after the loss of many hosts,
+   the connections of further callers aren't accepted: these callers wait until
+   their timeout and then retry, while other callers keep idle connections
+   open.  Closing connections with the response near the limit frees them in
+   time. */
 bool
 caller_server_is_near_connection_limit (struct caller_server *server)
 {
   const union MHD_DaemonInfo *info = MHD_get_daemon_info (
       server->daemon, MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
-  const uint64_t taken = info != NULL ? info->num_connections : 0;
-  const uint64_t most = server->context->settings->limits.connections;
-  const bool crowded = taken * 100 >= most * CROWDED_PERCENT;
-  if (crowded != server->crowded)
-    LOG_WARN ("connections", LOG_INT ("crowded", crowded),
-              LOG_INT ("taken", taken), LOG_INT ("most", most));
-  server->crowded = crowded;
-  return crowded;
+  const uint64_t used = info != NULL ? info->num_connections : 0;
+  const uint64_t limit = server->context->settings->limits.connections;
+  const bool is_near = used * 100 >= limit * NEAR_CONNECTION_LIMIT_PERCENT;
+  if (is_near != server->was_near_limit)
+    LOG_WARN ("connections", LOG_INT ("crowded", is_near),
+              LOG_INT ("taken", used), LOG_INT ("most", limit));
+  server->was_near_limit = is_near;
+  return is_near;
 }
 
 static void
-note_address (struct caller_context *context, struct MHD_Daemon *daemon)
+set_own_address (struct caller_context *context, struct MHD_Daemon *daemon)
 {
   const char *advertised = context->settings->caller_advertised;
   if (advertised[0] != '\0')
@@ -155,21 +159,22 @@
                 advertised);
       return;
     }
-  const char *wanted = context->settings->caller_address;
-  const char *colon = strrchr (wanted, ':');
+  const char *address_text = context->settings->caller_address;
+  const char *colon = strrchr (address_text, ':');
   snprintf (context->own_address, sizeof context->own_address, "%.*s:%u",
-            (int)(colon - wanted), wanted, mhd_loop_port (daemon));
+            (int)(colon - address_text), address_text, mhd_loop_port (daemon));
 }
 
 struct caller_server *
 caller_server_create (struct caller_context *context)
 {
-  const char *wanted = context->settings->caller_address;
+  const char *address_text = context->settings->caller_address;
   struct sockaddr_storage address;
-  if (mhd_loop_address (wanted, &address) == 0)
+  if (mhd_loop_address (address_text, &address) == 0)
     {
       status_set (STATUS_INVALID,
-                  "caller address \"%s\" is not IP:PORT: mend it", wanted);
+                  "caller address \"%s\" is not IP:PORT: correct it",
+                  address_text);
       return NULL;
     }
   struct MHD_Daemon *daemon = start_daemon (context, &address);
@@ -177,10 +182,11 @@
     {
       status_errno ("can't listen for callers on %s: free the address or "
                     "choose another",
-                    wanted);
+                    address_text);
       return NULL;
     }
-  context->hangup = hangup_watch_create (context->loop, on_gone);
+  context->hangup
+      = hangup_watch_create (context->loop, on_caller_disconnected);
   context->mhd_loop = mhd_loop_create (context->loop, daemon);
   if (context->hangup == NULL || context->mhd_loop == NULL)
     {
@@ -189,7 +195,7 @@
       MHD_stop_daemon (daemon);
       return NULL;
     }
-  note_address (context, daemon);
+  set_own_address (context, daemon);
   struct caller_server *server = xcalloc (1, sizeof *server);
   server->context = context;
   server->daemon = daemon;
--- a/node/caller/caller_server.h
+++ b/node/caller/caller_server.h
@@ -11,15 +11,16 @@
 
 struct caller_server;
 
-/** Listen on the caller address of the settings; fills the context's
- * `mhd_loop`, `hangup` and `own_address`.
+/** Listen on the caller address of the settings and set `mhd_loop`, `hangup`
+ * and `own_address` of CONTEXT.
  * @return NULL on failure, with a message */
 struct caller_server *caller_server_create (struct caller_context *context);
 
-/** Are nearly all connections taken, so that answers should close theirs? */
+/** Whether nearly all connections are in use, so that responses should close
+ * theirs. */
 bool caller_server_is_near_connection_limit (struct caller_server *server);
 
-/** Close all connections; what is in flight is cut. */
+/** Close all connections, which breaks off the requests in flight. */
 void caller_server_destroy (struct caller_server *server);
 
 #endif
--- a/node/caller/caller_service.c
+++ b/node/caller/caller_service.c
@@ -11,18 +11,19 @@
 enum
 {
   DC_DISTANCE_US = 1500,
-  /* Enough to outweigh the blur of costs, not a target that is likely ill. */
+  /* Enough to outweigh the random jitter of the costs, but not the cost of a
+     target that is probably unhealthy. */
   BACKUP_COST_PERCENT = 50,
   US_PER_MS = 1000,
 };
 
 static const double US_PER_SECOND = 1e6;
 
-static void arm_wake (struct caller_service *service);
+static void schedule_wake (struct caller_service *service);
 
-/* Hand on what the policy has decided for requests that waited. */
+/* Deliver the policy's decisions to the queued requests. */
 static void
-run_queue (struct caller_service *service)
+dispatch_decisions (struct caller_service *service)
 {
   struct policy_decision decision;
   while (service_policy_next (service->policy, clock_now_us (), &decision))
@@ -36,17 +37,17 @@
       waiter->waiting = false;
       waiter->on_decision (waiter, &decision);
     }
-  arm_wake (service);
+  schedule_wake (service);
 }
 
 static void
 on_wake (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  run_queue (timer->data);
+  dispatch_decisions (timer->data);
 }
 
 static void
-arm_wake (struct caller_service *service)
+schedule_wake (struct caller_service *service)
 {
   ev_timer_stop (service->loop, &service->wake_timer);
   const int64_t wake_us = service_policy_wake_us (service->policy);
@@ -59,11 +60,12 @@
   ev_timer_start (service->loop, &service->wake_timer);
 }
 
-/* Guards against a reserve that is spent more than once: hosts that are cut
-   off from one another each see a smaller fleet, and would each take a larger
-   part.  So the parts never grow again while the process lives. */
+/* Keeps the largest fleet seen.  In a network partition each host sees a
+   smaller fleet and would take a larger part of the retry reserve, so that
+   together the hosts would use more than all of it.  Therefore a host's part
+   never grows during the lifetime of the process. */
 static void
-note_fleet (struct caller_service *service)
+update_retry_fleet (struct caller_service *service)
 {
   struct retry_fleet *fleet = &service->retry_fleet;
   const uint32_t in_set = (uint32_t)service->host_count;
@@ -90,7 +92,7 @@
   service->retry = &settings->retry;
   service->prefers_own_dc = settings->modes.prefers_own_dc;
   service->used_percent = settings->retry.used_percent;
-  note_fleet (service);
+  update_retry_fleet (service);
   service->recorder = detection_recorder_create ();
   ev_timer_init (&service->wake_timer, on_wake, 0., 0.);
   service->wake_timer.data = service;
@@ -191,7 +193,7 @@
   detection_recorder_set_targets (service->recorder, keys, count);
   free (keys);
   free (targets);
-  run_queue (service);
+  dispatch_decisions (service);
 }
 
 void
@@ -209,10 +211,11 @@
   return POLICY_NO_TARGET;
 }
 
-/* Guards against what is known of a former process, when a target starts again
-   under its name: it would count as warm, as leaving, as failing. */
+/* Differs for each process of a target.  If a target restarted under the same
+   name and kept its key, the state of the former process would apply to the
+   new one, which would count as warm, leaving or failing. */
 static uint64_t
-target_hash (const struct target_spec *target)
+target_process_hash (const struct target_spec *target)
 {
   const uint64_t name_hash = hash_string (target->name);
   return target->started_ms == 0
@@ -220,10 +223,11 @@
              : hash_pair (name_hash, (uint64_t)target->started_ms);
 }
 
-/* What was known of the targets of SPEC that were there before. */
+/* Return the states of the targets of SPEC, copied for those that the spec in
+   force also has. */
 static struct caller_target *
-carry_over (const struct caller_service *service,
-            const struct service_spec *spec)
+copy_known_targets (const struct caller_service *service,
+                    const struct service_spec *spec)
 {
   struct caller_target *targets
       = xcalloc (spec->target_count + 1, sizeof *targets);
@@ -231,7 +235,7 @@
   for (size_t i = 0; i < spec->target_count; i++)
     {
       const uint64_t key
-          = hash_pair (service_hash, target_hash (&spec->targets[i]));
+          = hash_pair (service_hash, target_process_hash (&spec->targets[i]));
       const uint32_t before = service->spec != NULL
                                   ? caller_service_find_target (service, key)
                                   : POLICY_NO_TARGET;
@@ -243,7 +247,7 @@
 }
 
 static bool
-any_unrepeatable (const struct service_spec *spec)
+has_unrepeatable_route (const struct service_spec *spec)
 {
   for (size_t i = 0; i < spec->route_count; i++)
     if (!spec->routes[i].repeatable)
@@ -255,12 +259,12 @@
 caller_service_set_spec (struct caller_service *service,
                          const struct service_spec *spec)
 {
-  struct caller_target *targets = carry_over (service, spec);
+  struct caller_target *targets = copy_known_targets (service, spec);
   service_spec_destroy (service->spec);
   free (service->targets);
   service->targets = targets;
   service->spec = service_spec_copy (spec);
-  service->has_unrepeatable_route = any_unrepeatable (spec);
+  service->has_unrepeatable_route = has_unrepeatable_route (spec);
   const struct service_policy_options options = policy_options (service);
   if (service->policy == NULL)
     service->policy = service_policy_create (&options);
@@ -281,7 +285,7 @@
   caller_share_update_hosts (service);
   service->in_set = set->self;
   service->fleet_count = set->fleet_count;
-  note_fleet (service);
+  update_retry_fleet (service);
   if (service->spec == NULL)
     return;
   const struct service_policy_options options = policy_options (service);
@@ -289,7 +293,8 @@
   apply_targets (service);
 }
 
-/* Does a share of SHARE give other slots than the one in force? */
+/* Whether SHARE gives this host other numbers of slots than the share in
+   force. */
 static bool
 changes_slots (struct caller_service *service, const struct slot_share *share)
 {
@@ -324,7 +329,7 @@
 }
 
 static void
-note_demand (struct caller_service *service)
+record_demand (struct caller_service *service)
 {
   demand_peak_add (&service->demand, clock_now_us (),
                    service_policy_in_flight (service->policy)
@@ -359,7 +364,7 @@
       service_policy_set_ejected (service->policy, clock_now_us (),
                                   (uint32_t)i, ejected);
     }
-  run_queue (service);
+  dispatch_decisions (service);
 }
 
 void
@@ -380,7 +385,7 @@
       service_policy_set_avoided (service->policy, clock_now_us (),
                                   (uint32_t)i, avoided);
     }
-  run_queue (service);
+  dispatch_decisions (service);
 }
 
 void
@@ -411,13 +416,13 @@
 {
   const struct policy_decision decision
       = service_policy_admit (service->policy, clock_now_us (), r);
-  note_demand (service);
+  record_demand (service);
   if (decision.verdict == POLICY_QUEUE)
     {
       waiter->id = r->id;
       waiter->waiting = true;
       HASH_ADD (hh, service->waiters, id, sizeof waiter->id, waiter);
-      arm_wake (service);
+      schedule_wake (service);
     }
   return decision;
 }
@@ -446,9 +451,9 @@
                                           .end = end,
                                           .latency_us = latency_us,
                                           .repeatable = repeatable };
-  note_demand (service);
+  record_demand (service);
   service_policy_outcome (service->policy, clock_now_us (), &outcome);
-  run_queue (service);
+  dispatch_decisions (service);
 }
 
 void
@@ -468,5 +473,5 @@
     return;
   service_policy_remote_outcome (service->policy, clock_now_us (), target,
                                  end);
-  run_queue (service);
+  dispatch_decisions (service);
 }
--- a/node/caller/caller_share.c
+++ b/node/caller/caller_share.c
@@ -11,9 +11,10 @@
 
 enum
 {
-  /** Beyond its equal part, by roots of it: what a host has in flight
-   * fluctuates so, and is beyond two of them one time in forty. */
-  SHARE_ROOTS = 2,
+  /** Added to the equal part, in square roots of it: the number of requests
+   * that a host has in flight has this standard deviation, and exceeds the
+   * mean by two of them one time in forty. */
+  SHARE_DEVIATIONS = 2,
 };
 
 void
@@ -29,16 +30,18 @@
                                .weight = 1 };
 }
 
-/* Of TOTAL, when all hosts of the set ask alike.  Guards against a host that
-   must use ill targets while good ones have room: targets have few slots, and
-   with an equal part of them each good one would be full with one request.
-   Where hosts meet at one, it lets some wait or sheds, which costs less. */
+/* The share of TOTAL if all hosts of the set have the same demand, with a
+   margin.  Targets have few slots, so with exactly equal parts one request
+   would fill a host's part of each healthy target, and the host would have to
+   use unhealthy targets while healthy ones have free slots.  If several hosts
+   use the same target at once, it queues or sheds some requests, which costs
+   less. */
 static uint32_t
 equal_share (const struct caller_service *service, uint32_t total)
 {
   const double hosts = service->host_count > 0 ? service->host_count : 1;
   const double part = total / hosts;
-  const double share = ceil (part + SHARE_ROOTS * sqrt (part));
+  const double share = ceil (part + SHARE_DEVIATIONS * sqrt (part));
   return (uint32_t)fmax (fmin (share, total), 1);
 }
 
--- a/node/caller/caller_task.c
+++ b/node/caller/caller_task.c
@@ -25,12 +25,12 @@
 #include "node/plain_server.h"
 #include "node/tables.h"
 
-static const double LEAVING_CHECK_SECONDS = 0.05;
+static const double LEAVING_CHECK_INTERVAL_S = 0.05;
 
 enum
 {
-  /** A host that knows no target for so long is ready all the same. */
-  TARGETS_AWAITED_MS = 3000,
+  /** A host that has known no target for this long counts as ready. */
+  TARGET_WAIT_MAX_MS = 3000,
 };
 
 struct caller_task
@@ -38,7 +38,7 @@
   struct caller_context context;
   struct bus *bus;
   struct tables *tables;
-  struct plain_server *directory; /* NULL: at the caller address only */
+  struct plain_server *address_server; /* NULL: at the caller address only */
   struct leaving_probe *probe;
   uint64_t seed;
   ev_timer leaving_check;
@@ -48,7 +48,7 @@
 };
 
 static struct caller_service *
-find_entry (const struct caller_context *context, const char *name)
+find_service (const struct caller_context *context, const char *name)
 {
   struct caller_service *service;
   HASH_FIND_STR (context->services, name, service);
@@ -58,17 +58,17 @@
 struct caller_service *
 caller_context_service (const struct caller_context *context, const char *name)
 {
-  struct caller_service *service = find_entry (context, name);
+  struct caller_service *service = find_service (context, name);
   return service != NULL && service->spec != NULL ? service : NULL;
 }
 
-/* The entry of NAME; hosts and ejections may be heard of before the service
-   itself. */
+/* Creates the service if needed, since its hosts and ejections may be received
+   before its spec. */
 static struct caller_service *
-entry_of (struct caller_task *task, const char *name)
+get_or_create_service (struct caller_task *task, const char *name)
 {
   struct caller_context *context = &task->context;
-  struct caller_service *service = find_entry (context, name);
+  struct caller_service *service = find_service (context, name);
   if (service != NULL)
     return service;
   service = caller_service_create (context->loop, name, context->settings->dc,
@@ -78,7 +78,7 @@
 }
 
 static void
-drop_entry (struct caller_context *context, struct caller_service *service)
+remove_service (struct caller_context *context, struct caller_service *service)
 {
   route_table_remove_service (context->routes, service->name);
   HASH_DEL (context->services, service);
@@ -86,11 +86,11 @@
 }
 
 static void
-on_in_force (void *owner, const struct bus_message *message)
+on_service_in_force (void *owner, const struct bus_message *message)
 {
   struct caller_task *task = owner;
   const struct service_spec *spec = message->service_in_force.spec;
-  struct caller_service *service = entry_of (task, spec->name);
+  struct caller_service *service = get_or_create_service (task, spec->name);
   if (service->spec != NULL && spec->version < service->spec->version)
     return;
   caller_service_set_spec (service, spec);
@@ -98,15 +98,16 @@
 }
 
 static void
-on_removed (void *owner, const struct bus_message *message)
+on_service_removed (void *owner, const struct bus_message *message)
 {
   struct caller_task *task = owner;
   const struct bus_service_removed *removed = &message->service_removed;
-  struct caller_service *service = find_entry (&task->context, removed->name);
+  struct caller_service *service
+      = find_service (&task->context, removed->name);
   if (service == NULL || service->spec == NULL
       || removed->version < service->spec->version)
     return;
-  drop_entry (&task->context, service);
+  remove_service (&task->context, service);
 }
 
 static void
@@ -137,7 +138,6 @@
   exchange_quota_resume_all (&task->context, quota->workspace);
 }
 
-/* Requests that wait to be judged are looked at again. */
 static void
 on_freshness (void *owner, const struct bus_message *message)
 {
@@ -148,14 +148,14 @@
 }
 
 static void
-on_poison_heard (void *owner, const struct bus_message *message)
+on_poison_received (void *owner, const struct bus_message *message)
 {
   struct caller_task *task = owner;
   poison_filter_receive (task->context.poison, &message->poison);
 }
 
 static void
-on_limits_heard (void *owner, const struct bus_message *message)
+on_limits_received (void *owner, const struct bus_message *message)
 {
   struct caller_task *task = owner;
   target_limits_receive (&task->context, &message->limits);
@@ -167,7 +167,7 @@
   struct caller_task *task = owner;
   const struct bus_host_set *set = &message->host_set;
   host_directory_update (task->context.host_directory, set);
-  caller_service_set_hosts (entry_of (task, set->service), set);
+  caller_service_set_hosts (get_or_create_service (task, set->service), set);
 }
 
 static void
@@ -175,7 +175,8 @@
 {
   struct caller_task *task = owner;
   const struct bus_slot_shares *shares = &message->slot_shares;
-  caller_service_set_share (entry_of (task, shares->service), &shares->share);
+  caller_service_set_share (get_or_create_service (task, shares->service),
+                            &shares->share);
 }
 
 static void
@@ -184,18 +185,18 @@
   struct caller_task *task = owner;
   const struct bus_path_faults *faults = &message->path_faults;
   struct caller_service *service
-      = find_entry (&task->context, faults->service);
+      = find_service (&task->context, faults->service);
   if (service != NULL)
     caller_service_set_path_faults (service, faults);
 }
 
 static void
-on_outcome_heard (void *owner, const struct bus_message *message)
+on_outcome_received (void *owner, const struct bus_message *message)
 {
   struct caller_task *task = owner;
   const struct bus_outcome *outcome = &message->outcome;
   struct caller_service *service
-      = find_entry (&task->context, outcome->service);
+      = find_service (&task->context, outcome->service);
   if (service != NULL)
     caller_service_record_remote_outcome (service, outcome->target_key,
                                           outcome->end);
@@ -206,7 +207,7 @@
 {
   struct caller_task *task = owner;
   struct caller_service *service
-      = find_entry (&task->context, message->ejections.service);
+      = find_service (&task->context, message->ejections.service);
   if (service != NULL)
     caller_service_set_ejections (service, &message->ejections);
 }
@@ -225,16 +226,16 @@
 static void
 subscribe (struct caller_task *task)
 {
-  bus_subscribe (task->bus, BUS_SERVICE_IN_FORCE, on_in_force, task);
-  bus_subscribe (task->bus, BUS_SERVICE_REMOVED, on_removed, task);
+  bus_subscribe (task->bus, BUS_SERVICE_IN_FORCE, on_service_in_force, task);
+  bus_subscribe (task->bus, BUS_SERVICE_REMOVED, on_service_removed, task);
   bus_subscribe (task->bus, BUS_CONFIG_IN_FORCE, on_config, task);
   bus_subscribe (task->bus, BUS_FRESHNESS, on_freshness, task);
   bus_subscribe (task->bus, BUS_QUOTA_GRANTED, on_quota_granted, task);
-  bus_subscribe (task->bus, BUS_POISON_RECEIVED, on_poison_heard, task);
-  bus_subscribe (task->bus, BUS_LIMITS_RECEIVED, on_limits_heard, task);
+  bus_subscribe (task->bus, BUS_POISON_RECEIVED, on_poison_received, task);
+  bus_subscribe (task->bus, BUS_LIMITS_RECEIVED, on_limits_received, task);
   bus_subscribe (task->bus, BUS_HOST_SET, on_host_set, task);
   bus_subscribe (task->bus, BUS_EJECTIONS, on_ejections, task);
-  bus_subscribe (task->bus, BUS_OUTCOME_RECEIVED, on_outcome_heard, task);
+  bus_subscribe (task->bus, BUS_OUTCOME_RECEIVED, on_outcome_received, task);
   bus_subscribe (task->bus, BUS_SLOT_SHARES, on_slot_shares, task);
   bus_subscribe (task->bus, BUS_PATH_FAULTS, on_path_faults, task);
 }
@@ -264,30 +265,30 @@
 }
 
 static enum MHD_Result
-on_directory_question (void *owner, struct MHD_Connection *connection,
-                       const char *path, const char *method)
+on_directory_request (void *owner, struct MHD_Connection *connection,
+                      const char *path, const char *method)
 {
   struct caller_task *task = owner;
   if (address_answer_matches_uri (&task->context, path))
     return address_answer_queue (&task->context, connection, method);
   return plain_server_reply (connection, MHD_HTTP_NOT_FOUND, "text/plain",
-                             "ask for addresses here\n");
+                             "only address requests are served here\n");
 }
 
 static enum status
-create_directory (struct caller_task *task)
+create_address_server (struct caller_task *task)
 {
   const char *address = task->context.settings->directory_address;
   const struct plain_server_options options = {
     .loop = task->context.loop,
     .address = address,
     .what = "directory",
-    .answer = on_directory_question,
+    .answer = on_directory_request,
     .owner = task,
   };
   if (address[0] == '\0')
     return STATUS_OK;
-  return plain_server_create (&options, &task->directory);
+  return plain_server_create (&options, &task->address_server);
 }
 
 struct caller_task *
@@ -301,10 +302,11 @@
     rng_secret (&task->seed, sizeof task->seed);
   init_context (&task->context, options);
   ev_timer_init (&task->leaving_check, on_leaving_check, 0.,
-                 LEAVING_CHECK_SECONDS);
+                 LEAVING_CHECK_INTERVAL_S);
   task->leaving_check.data = task;
   task->context.server = caller_server_create (&task->context);
-  if (task->context.server == NULL || create_directory (task) != STATUS_OK)
+  if (task->context.server == NULL
+      || create_address_server (task) != STATUS_OK)
     {
       caller_task_destroy (task);
       return NULL;
@@ -330,7 +332,7 @@
     tables_unregister (task->tables, context);
   ev_timer_stop (context->loop, &task->leaving_check);
   leaving_probe_destroy (task->probe);
-  plain_server_destroy (task->directory);
+  plain_server_destroy (task->address_server);
   caller_server_destroy (task->context.server);
   curl_loop_destroy (context->curl);
   crash_checks_destroy (context->crash_checks);
@@ -340,7 +342,7 @@
   struct caller_service *next;
   HASH_ITER (hh, context->services, service, next)
   {
-    drop_entry (context, service);
+    remove_service (context, service);
   }
   ticket_issuer_destroy (context->tickets);
   host_directory_destroy (context->host_directory);
@@ -369,8 +371,9 @@
     return;
   context->leaving = true;
   context->leaving_since_ms = clock_now_ms ();
-  /* Another host may hand this one out until it hears of the leaving, at the
-     latest when it misses the heartbeats; callers keep that answer. */
+  /* Another host may list this one until it receives the announcement or, at
+     the latest, misses the heartbeats; callers may keep that response for
+     keep_answer_ms. */
   task->leave_after_ms = clock_now_ms ()
                          + host_settings_keep_answer_ms (settings)
                          + settings->times.suspect_after_ms;
@@ -392,7 +395,7 @@
 }
 
 static bool
-knows_targets (const struct caller_context *context)
+has_targets (const struct caller_context *context)
 {
   const struct caller_service *service;
   for (service = context->services; service != NULL;
@@ -402,14 +405,14 @@
   return false;
 }
 
-/* Targets come apart from the configuration, and moments later. */
+/* Targets arrive separately from the configuration, and shortly after it. */
 static bool
 has_registry_settings (const struct caller_context *context)
 {
   return context->config != NULL
-         && (knows_targets (context)
+         && (has_targets (context)
              || clock_now_ms () - context->first_config_ms
-                    >= TARGETS_AWAITED_MS);
+                    >= TARGET_WAIT_MAX_MS);
 }
 
 bool
--- a/node/caller/caller_task.h
+++ b/node/caller/caller_task.h
@@ -1,10 +1,10 @@
 /** @file
- * The caller side of a host: takes requests over HTTP, decides with the
- * policy of their service, and carries each to a target and its answer back.
+ * The caller side of a host: accepts requests over HTTP, lets the policy of
+ * their service decide, and proxies each to a target and the response back.
  *
  * The task owns the listening socket, the connections to targets, and for
- * each service in force its policy.  It learns services, ejections and host
- * sets from the bus, and runs on the loop alone.
+ * each service in force its policy.  It receives services, ejections and host
+ * sets over the bus, and runs only on the event loop.
  */
 #ifndef NODE_CALLER_CALLER_TASK_H
 #define NODE_CALLER_CALLER_TASK_H
@@ -24,17 +24,17 @@
 struct detection_recorder;
 struct tables;
 
-/** What the task stands on; all of it outlives the task. */
+/** The dependencies of the task, all of which must outlive it. */
 struct caller_task_options
 {
   struct ev_loop *loop;
   struct bus *bus;
   const struct host_settings *settings;
   struct counters *counters;
-  struct tables *tables; /**< operator rows are added here; may be NULL */
-  /** Names in which callers and targets are spoken to; NULL: jaystair's. */
+  struct tables *tables; /**< registry of operator tables; may be NULL */
+  /** NULL: caller_interface_own. */
   const struct caller_interface *interface;
-  uint64_t seed;        /**< of the choices; 0 takes one from the system */
+  uint64_t seed;        /**< of random decisions; 0: a random one */
   uint64_t incarnation; /**< of this process, in tickets; 0: a random one */
 };
 
@@ -44,7 +44,7 @@
 struct caller_task *
 caller_task_create (const struct caller_task_options *options);
 
-/** Stop at once: whatever is still in flight is cut. */
+/** Stop at once, which breaks off the requests in flight. */
 void caller_task_destroy (struct caller_task *task);
 
 /** IP:PORT where callers reach the task. */
@@ -52,26 +52,29 @@
 
 typedef void caller_task_left_callback (void *owner);
 
-/** Leave gracefully: address answers leave this host out, answers close their
- * connections, and requests are served until the longest kept address answer
- * is over and nothing is in flight.  Then DONE is called, once. */
+/** Leave gracefully: this host is no longer listed in responses to address
+ * requests, responses close their connections, and requests are served until
+ * all responses that list this host have expired and nothing is in flight.
+ * Then DONE is called, once. */
 void caller_task_begin_leaving (struct caller_task *task,
                                 caller_task_left_callback *done, void *owner);
 
-/** The time to leave is over: answer all that waits for a target or for its
- * answer at once, with what is truly known, so that no caller is left with a
- * broken connection.  DONE of caller_task_begin_leaving() follows when those
- * answers, and the ones that were under way, are written. */
+/** End leaving when its time is over: respond at once to all requests that
+ * wait for a target or its response, with the outcome that is known for
+ * certain, so that no caller gets a broken connection.  DONE of
+ * caller_task_begin_leaving() is called when these responses, and those that
+ * were already being sent, are written. */
 void caller_task_answer_all_now (struct caller_task *task);
 
-/** Does it take work: is what it routes by in force, and isn't it leaving? */
+/** Whether the host takes work: the settings that it routes by are in force,
+ * and it isn't leaving. */
 bool caller_task_is_ready (const struct caller_task *task);
 
-/** Requests taken in and not yet answered to the end. */
+/** Accepted requests whose response isn't completely sent. */
 uint32_t caller_task_in_flight (const struct caller_task *task);
 
-/** Outcomes by target since they were last drained, of the service called
- * NAME; NULL when there is no such service in force. */
+/** The outcomes by target, since they were last drained, of the service called
+ * NAME; NULL if no such service is in force. */
 struct detection_recorder *caller_task_recorder (struct caller_task *task,
                                                  const char *name);
 
@@ -80,8 +83,8 @@
 bool caller_task_clear_poison (struct caller_task *task,
                                const struct fingerprint *fingerprint);
 
-/** The most requests of the service called NAME that were at targets or
- * waited for one at once lately; 0 when it isn't in force. */
+/** The recent maximum of requests of the service called NAME that were at
+ * targets or queued for one at the same time; 0 if it isn't in force. */
 uint32_t caller_task_demand (struct caller_task *task, const char *name);
 
 #endif
--- a/node/caller/host_directory.c
+++ b/node/caller/host_directory.c
@@ -20,7 +20,7 @@
 
 struct host_directory
 {
-  struct entry *entries; /* by name, the longest unheard first */
+  struct entry *entries; /* by name, the least recently updated first */
 };
 
 struct host_directory *
@@ -46,7 +46,7 @@
 }
 
 static void
-learn_one (struct host_directory *directory, const struct bus_set_host *host)
+update_host (struct host_directory *directory, const struct bus_set_host *host)
 {
   struct entry *entry;
   HASH_FIND_STR (directory->entries, host->name, entry);
@@ -65,7 +65,7 @@
                        const struct bus_host_set *set)
 {
   for (size_t i = 0; i < set->count; i++)
-    learn_one (directory, &set->hosts[i]);
+    update_host (directory, &set->hosts[i]);
 }
 
 const char *
--- a/node/caller/host_directory.h
+++ b/node/caller/host_directory.h
@@ -1,6 +1,6 @@
 /** @file
- * Where callers reach the other hosts, as last heard: needed to pass a ticket
- * on to the host that issued it.
+ * The last known caller addresses of the other hosts, for passing a ticket to
+ * the host that issued it.
  */
 #ifndef NODE_CALLER_HOST_DIRECTORY_H
 #define NODE_CALLER_HOST_DIRECTORY_H
@@ -12,7 +12,7 @@
 struct host_directory *host_directory_create (void);
 void host_directory_destroy (struct host_directory *directory);
 
-/** Take in the hosts of SET. */
+/** Add the hosts of SET, or update their addresses. */
 void host_directory_update (struct host_directory *directory,
                             const struct bus_host_set *set);
 
--- a/node/caller/leaving_probe.c
+++ b/node/caller/leaving_probe.c
@@ -13,34 +13,34 @@
   CONNECT_TIMEOUT_MS = 1000
 };
 
-static const double PERIOD_SECONDS = 2.0;
+static const double PROBE_INTERVAL_S = 2.0;
 
-/* One question to one target. */
-struct question
+/* A probe request to one target. */
+struct pending_probe
 {
   struct leaving_probe *probe;
   struct caller_service *service;
   uint64_t key;
   struct target_call *call;
   bool leaving;
-  struct question *prev;
-  struct question *next;
+  struct pending_probe *prev;
+  struct pending_probe *next;
 };
 
 struct leaving_probe
 {
   struct caller_context *context;
   ev_timer timer;
-  struct question *questions;
+  struct pending_probe *pending;
 };
 
 static void
 on_head (void *owner, const struct target_head *head)
 {
-  struct question *question = owner;
-  const char *name = question->probe->context->interface->leaving;
+  struct pending_probe *pending = owner;
+  const char *name = pending->probe->context->interface->leaving;
   const char *leaving = header_list_find (head->headers, name);
-  question->leaving = leaving != NULL && strcmp (leaving, "1") == 0;
+  pending->leaving = leaving != NULL && strcmp (leaving, "1") == 0;
 }
 
 static bool
@@ -50,62 +50,63 @@
 }
 
 static void
-finish (struct question *question)
+finish (struct pending_probe *pending)
 {
-  struct caller_service *service = question->service;
-  const uint32_t target = caller_service_find_target (service, question->key);
+  struct caller_service *service = pending->service;
+  const uint32_t target = caller_service_find_target (service, pending->key);
   if (target != POLICY_NO_TARGET)
     service->targets[target].probing = false;
-  DL_DELETE (question->probe->questions, question);
+  DL_DELETE (pending->probe->pending, pending);
   caller_service_unref (service);
-  free (question);
+  free (pending);
 }
 
 static void
 on_end (void *owner, enum target_call_end end, const char *message)
 {
-  struct question *question = owner;
-  if (end == TARGET_CALL_COMPLETE && !question->leaving)
-    caller_service_set_leaving (question->service, question->key, false);
-  finish (question);
+  struct pending_probe *pending = owner;
+  if (end == TARGET_CALL_COMPLETE && !pending->leaving)
+    caller_service_set_leaving (pending->service, pending->key, false);
+  finish (pending);
 }
 
 static void
-ask (struct leaving_probe *probe, struct caller_service *service, size_t i)
+start_probe (struct leaving_probe *probe, struct caller_service *service,
+             size_t i)
 {
   static const struct target_call_events events
       = { .head = on_head, .body = on_body, .end = on_end };
   static const struct header_list no_headers;
-  struct question *question = xcalloc (1, sizeof *question);
+  struct pending_probe *pending = xcalloc (1, sizeof *pending);
   service->targets[i].probing = true;
   caller_service_ref (service);
-  question->probe = probe;
-  question->service = service;
-  question->key = service->targets[i].key;
-  DL_APPEND (probe->questions, question);
+  pending->probe = probe;
+  pending->service = service;
+  pending->key = service->targets[i].key;
+  DL_APPEND (probe->pending, pending);
   const struct target_call_options options
       = { .curl = probe->context->curl,
           .events = &events,
-          .owner = question,
+          .owner = pending,
           .address = service->spec->targets[i].address,
           .method = "OPTIONS",
           .uri = "*",
           .headers = &no_headers,
           .force_new_connection = true,
           .connect_timeout_ms = CONNECT_TIMEOUT_MS };
-  question->call = target_call_start (&options);
+  pending->call = target_call_start (&options);
 }
 
-/* What has not answered by the next turn is asked anew. */
+/* Cancel the probes without a response; on_timer() repeats them. */
 static void
-drop_questions (struct leaving_probe *probe)
+cancel_pending (struct leaving_probe *probe)
 {
-  struct question *question;
-  struct question *next;
-  DL_FOREACH_SAFE (probe->questions, question, next)
+  struct pending_probe *pending;
+  struct pending_probe *next;
+  DL_FOREACH_SAFE (probe->pending, pending, next)
   {
-    target_call_cancel (question->call);
-    finish (question);
+    target_call_cancel (pending->call);
+    finish (pending);
   }
 }
 
@@ -113,14 +114,14 @@
 on_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct leaving_probe *probe = timer->data;
-  drop_questions (probe);
+  cancel_pending (probe);
   struct caller_service *service;
   for (service = probe->context->services; service != NULL;
        service = service->hh.next)
     for (size_t i = 0;
          service->spec != NULL && i < service->spec->target_count; i++)
       if (service->targets[i].leaving && !service->targets[i].probing)
-        ask (probe, service, i);
+        start_probe (probe, service, i);
 }
 
 struct leaving_probe *
@@ -128,7 +129,7 @@
 {
   struct leaving_probe *probe = xcalloc (1, sizeof *probe);
   probe->context = context;
-  ev_timer_init (&probe->timer, on_timer, PERIOD_SECONDS, PERIOD_SECONDS);
+  ev_timer_init (&probe->timer, on_timer, PROBE_INTERVAL_S, PROBE_INTERVAL_S);
   probe->timer.data = probe;
   ev_timer_start (context->loop, &probe->timer);
   return probe;
@@ -139,7 +140,7 @@
 {
   if (probe == NULL)
     return;
-  drop_questions (probe);
+  cancel_pending (probe);
   ev_timer_stop (probe->context->loop, &probe->timer);
   free (probe);
 }
--- a/node/caller/leaving_probe.h
+++ b/node/caller/leaving_probe.h
@@ -1,9 +1,9 @@
 /** @file
- * Finds out whether a target that said it leaves is back.
+ * Detects that a target which reported that it is leaving is back.
  *
- * A target that leaves gets no new work, so nothing would ever tell that it
- * has been restarted in place.  It is asked now and then with `OPTIONS *`,
- * which is no work: an answer without `Jaystair-Leaving` says that it is
+ * A leaving target gets no new work, so no response would ever show that it
+ * has been restarted in place.  It is probed at an interval with `OPTIONS *`,
+ * which is no work: a response without `Jaystair-Leaving` shows that it is
  * back.
  */
 #ifndef NODE_CALLER_LEAVING_PROBE_H
--- a/node/caller/outcome_report.h
+++ b/node/caller/outcome_report.h
@@ -1,5 +1,6 @@
 /** @file
- * Which outcomes of attempts at a service's targets other hosts are told.
+ * Which outcomes of attempts at a service's targets are reported to other
+ * hosts.
  */
 #ifndef NODE_CALLER_OUTCOME_REPORT_H
 #define NODE_CALLER_OUTCOME_REPORT_H
@@ -9,8 +10,8 @@
 
 #include "node/caller/caller_service.h"
 
-/** Is it worth telling other hosts that an attempt at target KEY ended as
- * END?  To be asked before caller_service_record_outcome(). */
+/** Whether to report to other hosts that an attempt at target KEY ended with
+ * END.  Call it before caller_service_record_outcome(). */
 bool outcome_report_is_due (struct caller_service *service, uint64_t key,
                             enum attempt_end end);
 
--- a/node/caller/poison_filter.c
+++ b/node/caller/poison_filter.c
@@ -29,7 +29,7 @@
 };
 
 static void
-announce (const struct poison_filter *desk, const char *service,
+announce (const struct poison_filter *filter, const char *service,
           const struct poison_row *rows, size_t count,
           enum poison_recipients to, bool is_stored)
 {
@@ -40,7 +40,7 @@
             service);
   message.poison.rows = xcalloc (count, sizeof *rows);
   memcpy (message.poison.rows, rows, count * sizeof *rows);
-  bus_post (desk->context->bus, &message);
+  bus_post (filter->context->bus, &message);
 }
 
 /* Recent crashes are resent to more hosts, because a lost report may be the
@@ -58,18 +58,18 @@
 static void
 on_refresh (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  struct poison_filter *desk = timer->data;
+  struct poison_filter *filter = timer->data;
   struct poison_row rows[REFRESH_ROWS_MAX];
   const int64_t now_ms = clock_now_ms ();
-  poison_table_expire (desk->table, now_ms);
+  poison_table_expire (filter->table, now_ms);
   const size_t count
-      = poison_table_export (desk->table, now_ms, rows, REFRESH_ROWS_MAX);
+      = poison_table_export (filter->table, now_ms, rows, REFRESH_ROWS_MAX);
   if (count > 0)
-    announce (desk, "", rows, count,
+    announce (filter, "", rows, count,
               has_recent_crash (rows, count) ? POISON_TO_RANDOM_FEW
                                              : POISON_TO_RANDOM_ONE,
               false);
-  if (poison_table_is_empty (desk->table))
+  if (poison_table_is_empty (filter->table))
     ev_timer_stop (loop, timer);
 }
 
@@ -81,41 +81,41 @@
       = { .crashes = settings->crashes,
           .block_ms = settings->block_ms,
           .block_max_ms = settings->block_max_ms };
-  struct poison_filter *desk = xcalloc (1, sizeof *desk);
-  desk->context = context;
-  desk->table = poison_table_create (&options);
-  ev_timer_init (&desk->refresh, on_refresh, 0., REFRESH_INTERVAL_S);
-  desk->refresh.data = desk;
-  return desk;
+  struct poison_filter *filter = xcalloc (1, sizeof *filter);
+  filter->context = context;
+  filter->table = poison_table_create (&options);
+  ev_timer_init (&filter->refresh, on_refresh, 0., REFRESH_INTERVAL_S);
+  filter->refresh.data = filter;
+  return filter;
 }
 
 void
-poison_filter_destroy (struct poison_filter *desk)
+poison_filter_destroy (struct poison_filter *filter)
 {
-  if (desk == NULL)
+  if (filter == NULL)
     return;
-  ev_timer_stop (desk->context->loop, &desk->refresh);
-  poison_table_destroy (desk->table);
-  free (desk);
+  ev_timer_stop (filter->context->loop, &filter->refresh);
+  poison_table_destroy (filter->table);
+  free (filter);
 }
 
 bool
-poison_filter_is_empty (const struct poison_filter *desk)
+poison_filter_is_empty (const struct poison_filter *filter)
 {
-  return poison_table_is_empty (desk->table);
+  return poison_table_is_empty (filter->table);
 }
 
 bool
-poison_filter_has_head (const struct poison_filter *desk, uint64_t head)
+poison_filter_has_head (const struct poison_filter *filter, uint64_t head)
 {
-  return poison_table_has_head (desk->table, head);
+  return poison_table_has_head (filter->table, head);
 }
 
 /* Rendezvous hashing selects the one host of the service's set that runs the
    trials of a request. */
 static bool
-owns_trials (const struct caller_service *service,
-             const struct fingerprint *fingerprint)
+is_trial_owner (const struct caller_service *service,
+                const struct fingerprint *fingerprint)
 {
   const struct fleet_host *first = NULL;
   for (size_t i = 0; i < service->host_count; i++)
@@ -127,13 +127,13 @@
 }
 
 enum poison_verdict
-poison_filter_check (struct poison_filter *desk,
+poison_filter_check (struct poison_filter *filter,
                      const struct caller_service *service,
                      const struct fingerprint *fingerprint, uint32_t *left_ms)
 {
   const enum poison_verdict verdict
-      = poison_table_check (desk->table, clock_now_ms (), fingerprint,
-                            owns_trials (service, fingerprint), left_ms);
+      = poison_table_check (filter->table, clock_now_ms (), fingerprint,
+                            is_trial_owner (service, fingerprint), left_ms);
   if (verdict == POISON_TRIAL)
     {
       char text[FINGERPRINT_TEXT_SIZE];
@@ -160,112 +160,113 @@
 }
 
 static void
-start_refresh (struct poison_filter *desk)
+start_refresh (struct poison_filter *filter)
 {
-  if (!ev_is_active (&desk->refresh))
-    ev_timer_again (desk->context->loop, &desk->refresh);
+  if (!ev_is_active (&filter->refresh))
+    ev_timer_again (filter->context->loop, &filter->refresh);
 }
 
 static struct poison_row
-current_block (const struct poison_filter *desk,
+current_block (const struct poison_filter *filter,
                const struct fingerprint *fingerprint)
 {
-  return poison_table_get_block (desk->table, clock_now_ms (), fingerprint);
+  return poison_table_get_block (filter->table, clock_now_ms (), fingerprint);
 }
 
 /* Announces a block that applying ROW has created.  Only a host that counted
-   the crashes itself, rather than received the block, has it stored. */
+   the crashes itself, rather than receiving the block, has it stored. */
 static void
-announce_block (struct poison_filter *desk, const char *service,
+announce_block (struct poison_filter *filter, const char *service,
                 const struct poison_row *row, uint32_t strikes_before,
                 bool is_counted)
 {
-  const struct poison_row block = current_block (desk, &row->fingerprint);
+  const struct poison_row block = current_block (filter, &row->fingerprint);
   const char *source = is_counted ? "counted" : "heard";
   if (block.strikes <= strikes_before)
     return;
   log_change ("poison-blocked", service, &row->fingerprint, &block, source);
-  caller_counters_add (desk->context->counters.poison_blocks, source, NULL);
-  announce (desk, service, &block, 1, POISON_TO_RANDOM_FEW, is_counted);
-  exchange_poison_cancel_all (desk->context, &row->fingerprint, block.left_ms);
+  caller_counters_add (filter->context->counters.poison_blocks, source, NULL);
+  announce (filter, service, &block, 1, POISON_TO_RANDOM_FEW, is_counted);
+  exchange_poison_cancel_all (filter->context, &row->fingerprint,
+                              block.left_ms);
 }
 
 void
-poison_filter_add_crash (struct poison_filter *desk, const char *service,
+poison_filter_add_crash (struct poison_filter *filter, const char *service,
                          const struct poison_crash *crash)
 {
   struct poison_row row;
-  const uint32_t before = current_block (desk, &crash->fingerprint).strikes;
-  start_refresh (desk);
-  if (!poison_table_add_crash (desk->table, clock_now_ms (), crash, &row))
+  const uint32_t before = current_block (filter, &crash->fingerprint).strikes;
+  start_refresh (filter);
+  if (!poison_table_add_crash (filter->table, clock_now_ms (), crash, &row))
     return;
   log_change ("poison-suspected", service, &crash->fingerprint, &row, "own");
-  announce (desk, service, &row, 1, POISON_TO_SET, false);
-  announce_block (desk, service, &row, before, true);
+  announce (filter, service, &row, 1, POISON_TO_SET, false);
+  announce_block (filter, service, &row, before, true);
 }
 
 /* SERVICE is "" if unknown: the hosts of its set then receive the change from
    other hosts only. */
 static bool
-clear_request (struct poison_filter *desk, const char *service,
+clear_request (struct poison_filter *filter, const char *service,
                const struct fingerprint *fingerprint, const char *source)
 {
   struct poison_row row;
-  const bool was_blocked = current_block (desk, fingerprint).strikes > 0;
-  if (!poison_table_clear (desk->table, clock_now_ms (), fingerprint, &row))
+  const bool was_blocked = current_block (filter, fingerprint).strikes > 0;
+  if (!poison_table_clear (filter->table, clock_now_ms (), fingerprint, &row))
     return false;
   log_change ("poison-cleared", service, fingerprint, &row, source);
-  announce (desk, service, &row, 1, POISON_TO_SET, was_blocked);
-  announce (desk, service, &row, 1, POISON_TO_RANDOM_FEW, false);
+  announce (filter, service, &row, 1, POISON_TO_SET, was_blocked);
+  announce (filter, service, &row, 1, POISON_TO_RANDOM_FEW, false);
   return true;
 }
 
 void
-poison_filter_clear (struct poison_filter *desk, const char *service,
+poison_filter_clear (struct poison_filter *filter, const char *service,
                      const struct fingerprint *fingerprint)
 {
-  clear_request (desk, service, fingerprint, "own");
+  clear_request (filter, service, fingerprint, "own");
 }
 
 bool
-poison_filter_clear_manually (struct poison_filter *desk,
+poison_filter_clear_manually (struct poison_filter *filter,
                               const struct fingerprint *fingerprint)
 {
-  return clear_request (desk, "", fingerprint, "operator");
+  return clear_request (filter, "", fingerprint, "operator");
 }
 
 static void
-merge_row (struct poison_filter *desk, const char *service,
+merge_row (struct poison_filter *filter, const char *service,
            const struct poison_row *row)
 {
-  const uint32_t before = current_block (desk, &row->fingerprint).strikes;
-  if (!poison_table_merge (desk->table, clock_now_ms (), row))
+  const uint32_t before = current_block (filter, &row->fingerprint).strikes;
+  if (!poison_table_merge (filter->table, clock_now_ms (), row))
     return;
   if (row->target != 0)
     log_change ("poison-suspected", service, &row->fingerprint, row, "heard");
   else if (row->strikes == 0)
     {
       log_change ("poison-cleared", service, &row->fingerprint, row, "heard");
-      announce (desk, service, row, 1, POISON_TO_RANDOM_FEW, false);
+      announce (filter, service, row, 1, POISON_TO_RANDOM_FEW, false);
     }
-  announce_block (desk, service, row, before, row->target != 0);
+  announce_block (filter, service, row, before, row->target != 0);
 }
 
 void
-poison_filter_receive (struct poison_filter *desk,
+poison_filter_receive (struct poison_filter *filter,
                        const struct bus_poison *received)
 {
-  start_refresh (desk);
+  start_refresh (filter);
   for (size_t i = 0; i < received->count; i++)
-    merge_row (desk, received->service, &received->rows[i]);
+    merge_row (filter, received->service, &received->rows[i]);
 }
 
 struct json_object *
-poison_filter_rows (const struct poison_filter *desk)
+poison_filter_rows (const struct poison_filter *filter)
 {
   struct poison_summary summaries[POISON_ENTRIES_MAX];
   struct json_object *rows = json_object_new_array ();
-  const size_t count = poison_table_list (desk->table, clock_now_ms (),
+  const size_t count = poison_table_list (filter->table, clock_now_ms (),
                                           summaries, POISON_ENTRIES_MAX);
   for (size_t i = 0; i < count; i++)
     {
--- a/node/caller/quota_client.c
+++ b/node/caller/quota_client.c
@@ -9,16 +9,16 @@
 
 enum
 {
-  /** From so many on, stocks that nobody used lately are dropped before
-   * another is made. */
-  STOCKS_KEPT = 1024,
-  UNUSED_MS = 10 * 1000,
+  /** With this many caches, those that are unused for CACHE_IDLE_MS are
+   * evicted before another one is created. */
+  CACHES_BEFORE_EVICTION = 1024,
+  CACHE_IDLE_MS = 10 * 1000,
 };
 
-struct desk_stock
+struct workspace_cache
 {
   uint64_t workspace;
-  struct quota_cache stock;
+  struct quota_cache cache;
   int64_t used_ms;
   UT_hash_handle hh;
 };
@@ -26,141 +26,144 @@
 struct quota_client
 {
   struct bus *bus;
-  struct desk_stock *stocks;
+  struct workspace_cache *caches;
 };
 
 struct quota_client *
 quota_client_create (struct bus *bus)
 {
-  struct quota_client *desk = xcalloc (1, sizeof *desk);
-  desk->bus = bus;
-  return desk;
+  struct quota_client *client = xcalloc (1, sizeof *client);
+  client->bus = bus;
+  return client;
 }
 
-/* Drop the stocks that nobody waits at and that weren't used since BEFORE_MS;
-   INT64_MAX: all. */
+/* Evict the caches that no request waits for and that haven't been used since
+   BEFORE_MS; INT64_MAX: all. */
 static void
-drop_unused (struct quota_client *desk, int64_t before_ms)
+evict_unused (struct quota_client *client, int64_t before_ms)
 {
-  struct desk_stock *held = desk->stocks;
-  HASH_CLEAR (hh, desk->stocks);
-  while (held != NULL)
+  struct workspace_cache *entry = client->caches;
+  HASH_CLEAR (hh, client->caches);
+  while (entry != NULL)
     {
-      struct desk_stock *next = held->hh.next;
+      struct workspace_cache *next = entry->hh.next;
       const bool is_used
-          = held->used_ms > before_ms
-            || (held->stock.waiters > 0 && before_ms != INT64_MAX);
+          = entry->used_ms > before_ms
+            || (entry->cache.waiters > 0 && before_ms != INT64_MAX);
       if (is_used)
-        HASH_ADD (hh, desk->stocks, workspace, sizeof held->workspace, held);
+        HASH_ADD (hh, client->caches, workspace, sizeof entry->workspace,
+                  entry);
       else
-        free (held);
-      held = next;
+        free (entry);
+      entry = next;
     }
 }
 
 void
-quota_client_destroy (struct quota_client *desk)
+quota_client_destroy (struct quota_client *client)
 {
-  if (desk == NULL)
+  if (client == NULL)
     return;
-  drop_unused (desk, INT64_MAX);
-  free (desk);
+  evict_unused (client, INT64_MAX);
+  free (client);
 }
 
-static struct desk_stock *
-find (const struct quota_client *desk, uint64_t workspace)
+static struct workspace_cache *
+find (const struct quota_client *client, uint64_t workspace)
 {
-  struct desk_stock *held;
-  HASH_FIND (hh, desk->stocks, &workspace, sizeof workspace, held);
-  return held;
+  struct workspace_cache *entry;
+  HASH_FIND (hh, client->caches, &workspace, sizeof workspace, entry);
+  return entry;
 }
 
-static struct desk_stock *
-stock_of (struct quota_client *desk, uint64_t workspace, int64_t now_ms)
+static struct workspace_cache *
+get_or_create (struct quota_client *client, uint64_t workspace, int64_t now_ms)
 {
-  struct desk_stock *held = find (desk, workspace);
-  if (held == NULL)
+  struct workspace_cache *entry = find (client, workspace);
+  if (entry == NULL)
     {
-      if (HASH_COUNT (desk->stocks) >= STOCKS_KEPT)
-        drop_unused (desk, now_ms - UNUSED_MS);
-      held = xcalloc (1, sizeof *held);
-      held->workspace = workspace;
-      HASH_ADD (hh, desk->stocks, workspace, sizeof held->workspace, held);
+      if (HASH_COUNT (client->caches) >= CACHES_BEFORE_EVICTION)
+        evict_unused (client, now_ms - CACHE_IDLE_MS);
+      entry = xcalloc (1, sizeof *entry);
+      entry->workspace = workspace;
+      HASH_ADD (hh, client->caches, workspace, sizeof entry->workspace, entry);
     }
-  held->used_ms = now_ms;
-  return held;
+  entry->used_ms = now_ms;
+  return entry;
 }
 
 static void
-ask_if_low (struct quota_client *desk, struct desk_stock *held, int64_t now_ms)
+request_if_low (struct quota_client *client, struct workspace_cache *entry,
+                int64_t now_ms)
 {
-  const uint32_t wanted = quota_cache_tokens_needed (&held->stock, now_ms);
-  if (wanted == 0)
+  const uint32_t requested = quota_cache_tokens_needed (&entry->cache, now_ms);
+  if (requested == 0)
     return;
   const struct bus_message message
       = { .topic = BUS_QUOTA_REQUESTED,
-          .quota = { .workspace = held->workspace,
-                     .answer = { .requested = wanted } } };
-  bus_post (desk->bus, &message);
-  quota_cache_note_request (&held->stock, now_ms);
+          .quota = { .workspace = entry->workspace,
+                     .answer = { .requested = requested } } };
+  bus_post (client->bus, &message);
+  quota_cache_note_request (&entry->cache, now_ms);
 }
 
 enum quota_verdict
-quota_client_take (struct quota_client *desk, uint64_t workspace, bool again,
-                   int64_t *until_ms)
+quota_client_take (struct quota_client *client, uint64_t workspace, bool again,
+                   int64_t *expires_ms)
 {
   const int64_t now_ms = clock_now_ms ();
-  struct desk_stock *held = stock_of (desk, workspace, now_ms);
-  *until_ms = quota_cache_next_expiry_ms (&held->stock, now_ms);
+  struct workspace_cache *entry = get_or_create (client, workspace, now_ms);
+  *expires_ms = quota_cache_next_expiry_ms (&entry->cache, now_ms);
   const enum quota_verdict verdict
-      = again ? quota_cache_retry (&held->stock, now_ms)
-              : quota_cache_take (&held->stock, now_ms);
+      = again ? quota_cache_retry (&entry->cache, now_ms)
+              : quota_cache_take (&entry->cache, now_ms);
   if (verdict == QUOTA_WAIT)
-    quota_cache_add_waiter (&held->stock);
-  ask_if_low (desk, held, now_ms);
+    quota_cache_add_waiter (&entry->cache);
+  request_if_low (client, entry, now_ms);
   return verdict;
 }
 
 void
-quota_client_cancel_wait (struct quota_client *desk, uint64_t workspace)
+quota_client_cancel_wait (struct quota_client *client, uint64_t workspace)
 {
-  struct desk_stock *held = find (desk, workspace);
-  if (held != NULL)
-    quota_cache_remove_waiter (&held->stock);
+  struct workspace_cache *entry = find (client, workspace);
+  if (entry != NULL)
+    quota_cache_remove_waiter (&entry->cache);
 }
 
 void
-quota_client_return (struct quota_client *desk, uint64_t workspace,
-                     int64_t until_ms)
+quota_client_return (struct quota_client *client, uint64_t workspace,
+                     int64_t expires_ms)
 {
   const int64_t now_ms = clock_now_ms ();
-  quota_cache_return (&stock_of (desk, workspace, now_ms)->stock, now_ms,
-                      until_ms);
+  quota_cache_return (&get_or_create (client, workspace, now_ms)->cache,
+                      now_ms, expires_ms);
 }
 
 uint32_t
-quota_client_next_token_ms (const struct quota_client *desk,
+quota_client_next_token_ms (const struct quota_client *client,
                             uint64_t workspace)
 {
-  const struct desk_stock *held = find (desk, workspace);
-  return held != NULL
-             ? quota_cache_retry_after_ms (&held->stock, clock_now_ms ())
+  const struct workspace_cache *entry = find (client, workspace);
+  return entry != NULL
+             ? quota_cache_retry_after_ms (&entry->cache, clock_now_ms ())
              : 1;
 }
 
 uint32_t
-quota_client_max_wait_ms (const struct quota_client *desk, uint64_t workspace)
+quota_client_max_wait_ms (const struct quota_client *client,
+                          uint64_t workspace)
 {
-  const struct desk_stock *held = find (desk, workspace);
-  return held != NULL ? quota_cache_hold_ms (&held->stock, clock_now_ms ())
-                      : 0;
+  const struct workspace_cache *entry = find (client, workspace);
+  return entry != NULL ? quota_cache_hold_ms (&entry->cache, clock_now_ms ())
+                       : 0;
 }
 
 void
-quota_client_receive_grant (struct quota_client *desk, uint64_t workspace,
+quota_client_receive_grant (struct quota_client *client, uint64_t workspace,
                             const struct quota_answer *answer)
 {
-  struct desk_stock *held = find (desk, workspace);
-  if (held != NULL)
-    quota_cache_note_answer (&held->stock, clock_now_ms (), answer);
+  struct workspace_cache *entry = find (client, workspace);
+  if (entry != NULL)
+    quota_cache_note_answer (&entry->cache, clock_now_ms (), answer);
 }
--- a/node/caller/request_key.c
+++ b/node/caller/request_key.c
@@ -10,7 +10,7 @@
   SCHEME_SIZE = sizeof scheme - 1,
 };
 
-/* Only these may stand in a key (RFC 6750, section 2.1). */
+/* The characters that a key may consist of (RFC 6750, section 2.1). */
 static const char key_characters[]
     = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~+/=";
 
@@ -42,7 +42,7 @@
       if (!header_name_matches (header_list_name (headers, i),
                                 "Authorization"))
         continue;
-      /* Of two, whoever stands behind might take the other one. */
+      /* If there are two, the target might use the other one. */
       if (key.state != REQUEST_KEY_NONE)
         return (struct request_key){ .state = REQUEST_KEY_MALFORMED };
       key = read_credentials (header_list_value (headers, i));
--- a/node/caller/request_key.h
+++ b/node/caller/request_key.h
@@ -1,5 +1,5 @@
 /** @file
- * The key that a request bears: `Authorization: Bearer KEY`.
+ * The key in a request's header: `Authorization: Bearer KEY`.
  */
 #ifndef NODE_CALLER_REQUEST_KEY_H
 #define NODE_CALLER_REQUEST_KEY_H
@@ -10,7 +10,7 @@
 enum request_key_state
 {
   REQUEST_KEY_NONE,
-  REQUEST_KEY_MALFORMED, /**< no key, or more than one */
+  REQUEST_KEY_MALFORMED, /**< a field without a valid key, or several fields */
   REQUEST_KEY_GIVEN
 };
 
@@ -20,7 +20,7 @@
   struct digest digest; /**< with REQUEST_KEY_GIVEN */
 };
 
-/** The key among HEADERS. */
+/** Read the key from HEADERS. */
 struct request_key request_key_read (const struct header_list *headers);
 
 #endif
--- a/node/caller/route_path.c
+++ b/node/caller/route_path.c
@@ -26,25 +26,26 @@
 }
 
 static enum status
-bad_path (const char *why)
+invalid_path (const char *problem)
 {
-  return status_set (STATUS_INVALID, "the path %s: send it in plain form",
-                     why);
+  return status_set (STATUS_INVALID, "the path %s: send a normalized path",
+                     problem);
 }
 
-/* The next character of the path at *URI as routes see it, or -1 for an
-   escape that they can't judge; *KEEP says that it stays escaped. */
+/* Decode the next character of the path at *URI.
+   *KEEP_ESCAPED is set if it must stay percent-encoded.
+   @return -1 for a percent-encoding whose meaning depends on the target */
 static int
-next_char (const char **uri, bool *keep)
+next_char (const char **uri, bool *keep_escaped)
 {
-  *keep = false;
+  *keep_escaped = false;
   if (**uri != '%')
     return (unsigned char)*(*uri)++;
   const int c = hex_pair (*uri + 1);
   if (c < 0 || c == '/' || c == '\\' || c == '\0')
     return -1;
   *uri += 3;
-  *keep = !is_unreserved (c);
+  *keep_escaped = !is_unreserved (c);
   return c;
 }
 
@@ -62,31 +63,31 @@
 {
   static const char digits[] = "0123456789ABCDEF";
   if (uri[0] != '/')
-    return bad_path ("does not begin with \"/\"");
+    return invalid_path ("does not begin with \"/\"");
   size_t used = 0;
   size_t segment = 0;
   while (*uri != '\0' && *uri != '?' && *uri != '#')
     {
-      bool keep;
-      const int c = next_char (&uri, &keep);
+      bool keep_escaped;
+      const int c = next_char (&uri, &keep_escaped);
       if (c < 0)
-        return bad_path ("holds an escape that targets may read as another "
-                         "path");
+        return invalid_path ("contains a percent-encoding that targets may "
+                             "decode to another path");
       if (c == '\\')
-        return bad_path ("holds a backslash");
+        return invalid_path ("contains a backslash");
       if (used + 4 > size)
-        return bad_path ("is too long");
-      if (c == '/' && !keep)
+        return invalid_path ("is too long");
+      if (c == '/' && !keep_escaped)
         {
           if (used > 0 && is_dot_segment (path, segment, used))
-            return bad_path ("holds a dot segment");
+            return invalid_path ("contains a dot segment");
           if (used > 0 && path[used - 1] == '/')
             continue;
           path[used++] = '/';
           segment = used;
           continue;
         }
-      if (keep)
+      if (keep_escaped)
         {
           path[used++] = '%';
           path[used++] = digits[c >> 4];
@@ -96,7 +97,7 @@
         path[used++] = (char)c;
     }
   if (is_dot_segment (path, segment, used))
-    return bad_path ("holds a dot segment");
+    return invalid_path ("contains a dot segment");
   path[used] = '\0';
   return STATUS_OK;
 }
--- a/node/caller/route_table.c
+++ b/node/caller/route_table.c
@@ -24,7 +24,7 @@
 static const char *const method_names[METHOD_COUNT]
     = { "GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS" };
 
-/* The routes of one host and prefix, the most specific first. */
+/* The routes of one host and prefix, in order of precedence. */
 struct bucket
 {
   char key[KEY_SIZE]; /* host, a NUL, prefix without a last "/" */
@@ -90,9 +90,9 @@
   return host_size + 1 + prefix_size;
 }
 
-/* Less than 0 when A goes before B. */
+/* Less than 0 if A takes precedence over B. */
 static int
-compare (const struct route *a, const struct route *b)
+compare_precedence (const struct route *a, const struct route *b)
 {
   const bool a_any = a->spec.methods == 0;
   const bool b_any = b->spec.methods == 0;
@@ -106,11 +106,11 @@
 static void
 bucket_insert (struct bucket *bucket, struct route *route)
 {
-  struct route **place = &bucket->routes;
-  while (*place != NULL && compare (*place, route) <= 0)
-    place = &(*place)->next;
-  route->next = *place;
-  *place = route;
+  struct route **link = &bucket->routes;
+  while (*link != NULL && compare_precedence (*link, route) <= 0)
+    link = &(*link)->next;
+  route->next = *link;
+  *link = route;
 }
 
 static struct route *
@@ -151,16 +151,16 @@
 static void
 bucket_remove (struct bucket *bucket, const char *service)
 {
-  struct route **place = &bucket->routes;
-  while (*place != NULL)
+  struct route **link = &bucket->routes;
+  while (*link != NULL)
     {
-      struct route *route = *place;
+      struct route *route = *link;
       if (strcmp (route->service, service) != 0)
         {
-          place = &route->next;
+          link = &route->next;
           continue;
         }
-      *place = route->next;
+      *link = route->next;
       route_destroy (route);
     }
 }
@@ -178,10 +178,11 @@
   }
 }
 
-/* Guards against hosts in step: each begins a share of ten in a hundred at
-   another point, else the first requests of all would go to one part. */
+/* Starts each host at another point of the sequence of parts.  Otherwise all
+   hosts would be in step: their first requests would go to the same part, and
+   none of them to a part with a share of ten in a hundred, for example. */
 static void
-shuffle_credits (struct route *route, uint64_t seed)
+randomize_current_weights (struct route *route, uint64_t seed)
 {
   struct rng rng;
   rng_seed (&rng, hash_pair (seed, hash_string (route->spec.path_prefix)));
@@ -193,8 +194,8 @@
 }
 
 static void
-add_configured (struct route_table *table, const struct fleet_route *from,
-                uint64_t seed)
+add_config_route (struct route_table *table, const struct fleet_route *from,
+                  uint64_t seed)
 {
   struct route *route = add_route (table, "", &from->spec);
   route->timeout_ms = from->timeout_ms;
@@ -207,7 +208,7 @@
   memcpy (route->parts, from->parts, from->part_count * sizeof *route->parts);
   route->current_weights
       = xcalloc (from->part_count, sizeof *route->current_weights);
-  shuffle_credits (route, seed);
+  randomize_current_weights (route, seed);
 }
 
 void
@@ -216,11 +217,12 @@
 {
   route_table_remove_service (table, "");
   for (size_t i = 0; i < config->route_count; i++)
-    add_configured (table, &config->routes[i], seed);
+    add_config_route (table, &config->routes[i], seed);
 }
 
-/* Each part earns its weight with each request; the one with the most pays
-   for it with the weights of all. */
+/* Smooth weighted round-robin: each request adds the weight of each part to
+   its current weight.  The part with the largest current weight is selected
+   and has the sum of all weights subtracted. */
 const char *
 route_select_service (const struct route *route)
 {
@@ -260,10 +262,10 @@
   return 0;
 }
 
-/* A configured prefix counts to its last character: "/holds/" doesn't take
-   "/holds". */
+/* A configured prefix is compared including a trailing "/": "/holds/" doesn't
+   match "/holds". */
 static bool
-takes (const struct route *route, const char *path, uint32_t method)
+route_matches (const struct route *route, const char *path, uint32_t method)
 {
   if (route->spec.methods != 0 && (route->spec.methods & method) == 0)
     return false;
@@ -285,14 +287,15 @@
     return NULL;
   for (const struct route *route = bucket->routes; route != NULL;
        route = route->next)
-    if (takes (route, path, method))
+    if (route_matches (route, path, method))
       return route;
   return NULL;
 }
 
-/* The size of the prefix of PATH that is one segment shorter than SIZE. */
+/* The size of the prefix of PATH that is one segment shorter than its first
+   SIZE bytes. */
 static size_t
-shorter (const char *path, size_t size)
+parent_prefix_size (const char *path, size_t size)
 {
   while (size > 0 && path[size - 1] != '/')
     size--;
@@ -315,7 +318,7 @@
         route = bucket_match (table, "", path, size, method);
       if (route != NULL || size == 0)
         return route;
-      size = shorter (path, size);
+      size = parent_prefix_size (path, size);
     }
 }
 
--- a/node/caller/target_limits.c
+++ b/node/caller/target_limits.c
@@ -22,8 +22,9 @@
 static const double REFRESH_INTERVAL_S = 2.0;
 
 static void
-announce (const struct caller_context *context, const char *service,
-          const struct limit_row *rows, size_t count, enum limit_recipients to)
+announce_limits (const struct caller_context *context, const char *service,
+                 const struct limit_row *rows, size_t count,
+                 enum limit_recipients to)
 {
   struct bus_message message = { .topic = BUS_LIMITS_ANNOUNCED,
                                  .limits = { .count = count, .to = to } };
@@ -35,7 +36,7 @@
 }
 
 static struct limit_row
-row_of (const struct caller_target *target)
+limit_row_of (const struct caller_target *target)
 {
   const int64_t ago_us = clock_now_us () - target->limit.sent_us;
   return (struct limit_row){
@@ -49,22 +50,22 @@
 
 static void
 apply_change (const struct caller_context *context,
-              struct caller_service *service, uint32_t number, bool is_own)
+              struct caller_service *service, uint32_t index, bool is_own)
 {
-  const struct caller_target *target = &service->targets[number];
-  const struct limit_row row = row_of (target);
+  const struct caller_target *target = &service->targets[index];
+  const struct limit_row row = limit_row_of (target);
   LOG_INFO ("target-limit", LOG_STR ("service", service->name),
-            LOG_STR ("target", service->spec->targets[number].name),
+            LOG_STR ("target", service->spec->targets[index].name),
             LOG_INT ("limit_millis", row.rate_millis),
             LOG_STR ("source", is_own ? "answer" : "heard"));
   if (is_own)
-    announce (context, service->name, &row, 1, LIMIT_TO_SET);
-  announce (context, service->name, &row, 1, LIMIT_TO_RANDOM_FEW);
+    announce_limits (context, service->name, &row, 1, LIMIT_TO_SET);
+  announce_limits (context, service->name, &row, 1, LIMIT_TO_RANDOM_FEW);
   caller_service_apply_limits (service);
 }
 
 static void
-log_refused (const struct exchange *x, const char *text)
+log_invalid_limit (const struct exchange *x, const char *text)
 {
   char shown[LOGGED_VALUE_SIZE];
   const char *value = shown;
@@ -75,7 +76,7 @@
                                "above 0"));
 }
 
-/* Reads the lowest valid limit of the answer, which may have several fields.
+/* Reads the lowest valid limit of the response, which may have several fields.
    *IS_PRESENT is set if there is any field, valid or not.
    @return 0 if there is no valid limit */
 static uint32_t
@@ -92,7 +93,7 @@
         continue;
       *is_present = true;
       if (!limit_text_parse (header_list_value (headers, i), &rate_millis))
-        log_refused (x, header_list_value (headers, i));
+        log_invalid_limit (x, header_list_value (headers, i));
       else if (lowest == 0 || rate_millis < lowest)
         lowest = rate_millis;
     }
@@ -102,12 +103,11 @@
 void
 target_limits_update_from_answer (const struct exchange *x)
 {
-  const uint32_t number
+  const uint32_t index
       = caller_service_find_target (x->service, x->attempt.key);
-  if (number == POLICY_NO_TARGET
-      || x->context->interface->target_limit == NULL)
+  if (index == POLICY_NO_TARGET || x->context->interface->target_limit == NULL)
     return;
-  struct limit_state *limit = &x->service->targets[number].limit;
+  struct limit_state *limit = &x->service->targets[index].limit;
   const int64_t sent_us = x->attempt.started_us;
   bool is_present;
   const uint32_t rate_millis = read_limit (x, &is_present);
@@ -118,26 +118,25 @@
                               && limit_state_note_missing (
                                   limit, clock_now_us (), sent_us);
   if (changes)
-    apply_change (x->context, x->service, number, true);
+    apply_change (x->context, x->service, index, true);
 }
 
 void
 target_limits_receive (struct caller_context *context,
-                       const struct bus_limits *heard)
+                       const struct bus_limits *received)
 {
   struct caller_service *service
-      = caller_context_service (context, heard->service);
-  for (size_t i = 0; service != NULL && i < heard->count; i++)
+      = caller_context_service (context, received->service);
+  for (size_t i = 0; service != NULL && i < received->count; i++)
     {
-      const struct limit_row *row = &heard->rows[i];
-      const uint32_t number
-          = caller_service_find_target (service, row->target);
+      const struct limit_row *row = &received->rows[i];
+      const uint32_t index = caller_service_find_target (service, row->target);
       const int64_t sent_us
           = clock_now_us () - (int64_t)row->sent_ago_ms * US_PER_MS;
-      if (number != POLICY_NO_TARGET
-          && limit_state_note_reported (&service->targets[number].limit,
+      if (index != POLICY_NO_TARGET
+          && limit_state_note_reported (&service->targets[index].limit,
                                         row->rate_millis, sent_us))
-        apply_change (context, service, number, false);
+        apply_change (context, service, index, false);
     }
 }
 
@@ -151,9 +150,9 @@
                      && count < REFRESH_ROWS_MAX;
        i++)
     if (service->targets[i].limit.sent_us != 0)
-      rows[count++] = row_of (&service->targets[i]);
+      rows[count++] = limit_row_of (&service->targets[i]);
   if (count > 0)
-    announce (context, service->name, rows, count, LIMIT_TO_RANDOM_ONE);
+    announce_limits (context, service->name, rows, count, LIMIT_TO_RANDOM_ONE);
 }
 
 /* Periodic resend for hosts that were partitioned or have just started. */
--- a/node/caller/ticket_issuer.h
+++ b/node/caller/ticket_issuer.h
@@ -1,9 +1,9 @@
 /** @file
- * Tickets of this host: handed out with address answers, claimed when a
- * request brings one.
+ * Tickets of this host: issued in responses to address requests, and claimed
+ * when a request carries one.
  *
- * The keyed check of a ticket is an HMAC under a key that only this process
- * knows, so that a caller can't make up a ticket that was never issued.
+ * The MAC of a ticket is an HMAC with a key that only this process knows, so
+ * that a caller can't forge a ticket that was never issued.
  */
 #ifndef NODE_CALLER_TICKET_ISSUER_H
 #define NODE_CALLER_TICKET_ISSUER_H
@@ -15,27 +15,28 @@
 
 struct ticket_issuer;
 
-/** @param incarnation of this process; 0 makes a random one */
+/** @param incarnation of this process; 0: a random one */
 struct ticket_issuer *ticket_issuer_create (const char *host,
                                             uint64_t incarnation);
-void ticket_issuer_destroy (struct ticket_issuer *desk);
+void ticket_issuer_destroy (struct ticket_issuer *issuer);
 
-/** A new ticket as text. */
-enum status ticket_issuer_issue (struct ticket_issuer *desk,
+/** Issue a ticket and write it to TEXT.
+ * @return STATUS_LIMIT if too many claims are remembered */
+enum status ticket_issuer_issue (struct ticket_issuer *issuer,
                                  char text[TICKET_TEXT_SIZE]);
 
 /** Claim the ticket in TEXT.
- * @return TICKET_CLAIM_FORGED also for a text that is no ticket */
-enum ticket_claim ticket_issuer_claim (struct ticket_issuer *desk,
+ * @return TICKET_CLAIM_FORGED also if TEXT is not a ticket */
+enum ticket_claim ticket_issuer_claim (struct ticket_issuer *issuer,
                                        const char *text,
                                        struct ticket *ticket);
 
-/** The run of ticket SEQUENCE ended. */
-void ticket_issuer_finish (struct ticket_issuer *desk, uint64_t sequence,
+/** Record how the run of ticket SEQUENCE ended. */
+void ticket_issuer_finish (struct ticket_issuer *issuer, uint64_t sequence,
                            enum ticket_end end, uint32_t status);
 
-/** The status that ticket SEQUENCE was answered with; 0 when none is known. */
-uint32_t ticket_issuer_status (const struct ticket_issuer *desk,
+/** The status of the response to ticket SEQUENCE; 0 if none is known. */
+uint32_t ticket_issuer_status (const struct ticket_issuer *issuer,
                                uint64_t sequence);
 
 #endif
--- a/node/caller/workspace_table.c
+++ b/node/caller/workspace_table.c
@@ -50,7 +50,7 @@
 workspace_table_find (const struct workspace_table *table,
                       const struct digest *key)
 {
-  const uint32_t number = key_table_find (table->keys, key);
-  return number != KEY_TABLE_NO_WORKSPACE ? &table->config->workspaces[number]
-                                          : NULL;
+  const uint32_t index = key_table_find (table->keys, key);
+  return index != KEY_TABLE_NO_WORKSPACE ? &table->config->workspaces[index]
+                                         : NULL;
 }
--- a/node/caller/workspace_table.h
+++ b/node/caller/workspace_table.h
@@ -1,5 +1,5 @@
 /** @file
- * The workspaces of the configuration in force, by their keys.
+ * Looks up the workspaces of the configuration in force by their keys.
  */
 #ifndef NODE_CALLER_WORKSPACE_TABLE_H
 #define NODE_CALLER_WORKSPACE_TABLE_H
@@ -9,8 +9,8 @@
 
 struct workspace_table;
 
-/** A table of the workspaces of CONFIG, which outlives it; NULL when requests
- * need no key. */
+/** Create a table of the workspaces of CONFIG, which must outlive the table.
+ * @return NULL if requests need no key */
 struct workspace_table *
 workspace_table_create (const struct fleet_config *config);
 void workspace_table_destroy (struct workspace_table *table);
