--- a/node/caller/tests/address_selection_test.cc
+++ b/node/caller/tests/address_selection_test.cc
@@ -13,10 +13,10 @@
 namespace
 {
 
-constexpr size_t MAX = 64;
+constexpr size_t CAPACITY = 64;
 
 std::vector<bus_set_host>
-set_of (const std::vector<std::string> &dcs)
+hosts_in (const std::vector<std::string> &dcs)
 {
   std::vector<bus_set_host> hosts (dcs.size ());
   for (size_t i = 0; i < dcs.size (); i++)
@@ -28,65 +28,66 @@
 }
 
 std::vector<std::string>
-told (const std::vector<bus_set_host> &hosts, const char *dc, size_t turn,
-      size_t max = MAX)
+selected_names (const std::vector<bus_set_host> &hosts, const char *dc,
+                size_t rotation, size_t max = CAPACITY)
 {
-  const bus_set_host *chosen[MAX];
+  const bus_set_host *selected[CAPACITY];
   const address_selection_options options
-      = { hosts.data (), hosts.size (), dc, turn };
-  const size_t count = address_selection_fill (&options, chosen, max);
+      = { hosts.data (), hosts.size (), dc, rotation };
+  const size_t count = address_selection_fill (&options, selected, max);
   std::vector<std::string> names;
   for (size_t i = 0; i < count; i++)
-    names.push_back (chosen[i]->name);
+    names.push_back (selected[i]->name);
   return names;
 }
 
-/* Five data centres with three hosts each.  Callers that are told of all
- * fifteen send four requests of five to another data centre. */
-TEST (AddressChoice, CallersAreToldOfTheirOwnDataCentreAndOneOther)
+/* Five data centres with three hosts each.  If all fifteen hosts were listed,
+ * callers would send four of five requests to another data centre. */
+TEST (AddressSelection, LocalHostsAndOneRemoteHostAreSelected)
 {
   std::vector<std::string> dcs;
   for (int i = 0; i < 15; i++)
     dcs.push_back ("dc-" + std::to_string (i % 5));
-  const auto hosts = set_of (dcs);
+  const auto hosts = hosts_in (dcs);
   std::map<std::string, int> counts;
-  for (size_t turn = 0; turn < 1500; turn++)
+  for (size_t rotation = 0; rotation < 1500; rotation++)
     {
-      const auto names = told (hosts, "dc-2", turn);
+      const auto names = selected_names (hosts, "dc-2", rotation);
       ASSERT_EQ (names.size (), 4u);
       for (const std::string &name : names)
         counts[name]++;
     }
-  for (const char *near : { "host-2", "host-7", "host-12" })
-    EXPECT_EQ (counts[near], 1500);
-  /* The others share what is left, so that none is everybody's second. */
+  for (const char *local : { "host-2", "host-7", "host-12" })
+    EXPECT_EQ (counts[local], 1500);
+  /* The remote host differs between responses, so that not all callers use
+     the same one. */
   EXPECT_EQ (counts.size (), 15u);
   for (const auto &[name, count] : counts)
     EXPECT_GE (count, 50) << name;
 }
 
-TEST (AddressChoice, AllAreToldWhereTheDataCentreHasTooFew)
+TEST (AddressSelection, AllHostsAreSelectedIfTheDataCentreHasTooFew)
 {
-  const auto hosts = set_of ({ "a", "b", "c" });
-  EXPECT_EQ (told (hosts, "a", 0).size (), 3u);
-  EXPECT_EQ (told (hosts, "x", 0).size (), 3u);
-  EXPECT_EQ (told (hosts, nullptr, 0).size (), 3u);
+  const auto hosts = hosts_in ({ "a", "b", "c" });
+  EXPECT_EQ (selected_names (hosts, "a", 0).size (), 3u);
+  EXPECT_EQ (selected_names (hosts, "x", 0).size (), 3u);
+  EXPECT_EQ (selected_names (hosts, nullptr, 0).size (), 3u);
 }
 
-TEST (AddressChoice, EachAnswerBeginsWithAnotherHost)
+TEST (AddressSelection, EachResponseStartsWithAnotherHost)
 {
-  const auto hosts = set_of ({ "a", "a", "b", "b" });
-  EXPECT_EQ (told (hosts, "a", 0)[0], "host-0");
-  EXPECT_EQ (told (hosts, "a", 1)[0], "host-1");
-  EXPECT_EQ (told (hosts, nullptr, 3)[0], "host-3");
+  const auto hosts = hosts_in ({ "a", "a", "b", "b" });
+  EXPECT_EQ (selected_names (hosts, "a", 0)[0], "host-0");
+  EXPECT_EQ (selected_names (hosts, "a", 1)[0], "host-1");
+  EXPECT_EQ (selected_names (hosts, nullptr, 3)[0], "host-3");
 }
 
-TEST (AddressChoice, NoMoreThanThereIsRoomFor)
+TEST (AddressSelection, SelectionDoesNotExceedCapacity)
 {
-  const auto hosts = set_of ({ "a", "a", "b", "b" });
-  EXPECT_EQ (told (hosts, "a", 0, 2).size (), 2u);
-  EXPECT_EQ (told (hosts, nullptr, 0, 3).size (), 3u);
-  EXPECT_TRUE (told ({}, "a", 0).empty ());
+  const auto hosts = hosts_in ({ "a", "a", "b", "b" });
+  EXPECT_EQ (selected_names (hosts, "a", 0, 2).size (), 2u);
+  EXPECT_EQ (selected_names (hosts, nullptr, 0, 3).size (), 3u);
+  EXPECT_TRUE (selected_names ({}, "a", 0).empty ());
 }
 
 }
--- a/node/caller/tests/caller_service_test.cc
+++ b/node/caller/tests/caller_service_test.cc
@@ -46,10 +46,10 @@
   }
 };
 
-/* A target fails, says that it leaves, ends and starts again under its name.
- * The new process has done nothing of that: it must get work like any other
- * that is new. */
-TEST_F (CallerService, NothingOfAFormerProcessHoldsForTheNewOne)
+/* A target fails, announces that it is leaving, and restarts under the same
+ * name.  The new process must get work like any new target, without the state
+ * of the former one. */
+TEST_F (CallerService, StateOfAFormerProcessDoesNotApplyToTheNewOne)
 {
   const uint64_t former = service->targets[0].key;
   for (int i = 0; i < 3; i++)
@@ -61,18 +61,18 @@
   caller_service_set_spec (service, &spec);
   EXPECT_NE (service->targets[0].key, former);
   EXPECT_FALSE (service->targets[0].leaving);
-  const policy_target_status belief
+  const policy_target_status status
       = service_policy_target_status (service->policy, 0);
-  EXPECT_FALSE (belief.suspect);
-  EXPECT_TRUE (belief.warming);
-  EXPECT_EQ (belief.requests, 0u);
-  /* What the former one still ends says nothing of it. */
+  EXPECT_FALSE (status.suspect);
+  EXPECT_TRUE (status.warming);
+  EXPECT_EQ (status.requests, 0u);
+  /* An outcome of the former process doesn't count for the new one. */
   caller_service_record_outcome (service, former, ATTEMPT_CUT, 1000, false);
   EXPECT_EQ (service_policy_target_status (service->policy, 0).failures, 0u);
 }
 
-/* Any other change leaves what is known. */
-TEST_F (CallerService, TheSameProcessKeepsWhatIsKnown)
+/* A change of settings without a restart keeps the state of the target. */
+TEST_F (CallerService, OtherChangesKeepTheStateOfATarget)
 {
   caller_service_record_outcome (service, service->targets[0].key, ATTEMPT_CUT,
                                  1000, false);
@@ -81,10 +81,11 @@
   EXPECT_EQ (service_policy_target_status (service->policy, 0).failures, 1u);
 }
 
-/* The way from a host to half of all targets is cut, and it tells so of each.
- * The others would visit targets that the host which sees to them reaches
- * well; so it tells of its own subset only, and not with each request. */
-TEST_F (CallerService, WhatCouldNotBeSentIsNewsOfTheOwnSubset)
+/* A host that can't reach half of all targets must report this only for the
+ * targets of its own subset, and not for each request.  Otherwise the other
+ * hosts would send to targets that the host whose subset holds them can
+ * reach. */
+TEST_F (CallerService, UnsentAttemptsAreReportedForTheOwnSubsetOnly)
 {
   EXPECT_FALSE (outcome_report_is_due (service, service->targets[0].key,
                                        ATTEMPT_NOT_SENT));
--- a/node/caller/tests/message_parts_test.cc
+++ b/node/caller/tests/message_parts_test.cc
@@ -1,4 +1,4 @@
-/* The small parts of a message on its way: body buffer and header fields. */
+/* Parts of a proxied message: the body buffer and the header list. */
 #include <deque>
 #include <random>
 #include <string>
@@ -11,9 +11,10 @@
 #include "node/caller/stream_buffer.h"
 }
 
-/* Against a queue without a bound: the same bytes in the same order, never
-   more held than the bound, and a rewind only while nothing is gone. */
-TEST (StreamBufferTest, AgreesWithAPlainQueue)
+/* Compares the buffer with an unbounded queue: it must return the same bytes
+   in the same order, never hold more than its bound, and rewind only if no
+   byte has been discarded. */
+TEST (StreamBufferTest, MatchesAnUnboundedQueue)
 {
   std::mt19937 random (5);
   for (int round = 0; round < 100; round++)
@@ -21,7 +22,7 @@
       const bool keep = round % 2 == 0;
       stream_buffer buffer;
       stream_buffer_init (&buffer, 5000, keep);
-      std::deque<char> plain;
+      std::deque<char> queue;
       std::string sent;
       size_t taken_total = 0;
       for (int step = 0; step < 200; step++)
@@ -33,19 +34,19 @@
               for (size_t i = 0; i < size; i++)
                 data[i] = (char)random ();
               const size_t in = stream_buffer_append (&buffer, data, size);
-              EXPECT_EQ (in, std::min (size, 5000 - plain.size ()));
-              plain.insert (plain.end (), data, data + in);
+              EXPECT_EQ (in, std::min (size, 5000 - queue.size ()));
+              queue.insert (queue.end (), data, data + in);
               sent.append (data, in);
             }
           else
             {
               const size_t out = stream_buffer_read (&buffer, data, size);
-              EXPECT_EQ (out, std::min (size, plain.size ()));
-              EXPECT_TRUE (std::equal (data, data + out, plain.begin ()));
-              plain.erase (plain.begin (), plain.begin () + (long)out);
+              EXPECT_EQ (out, std::min (size, queue.size ()));
+              EXPECT_TRUE (std::equal (data, data + out, queue.begin ()));
+              queue.erase (queue.begin (), queue.begin () + (long)out);
               taken_total += out;
             }
-          EXPECT_EQ (stream_buffer_pending_bytes (&buffer), plain.size ());
+          EXPECT_EQ (stream_buffer_pending_bytes (&buffer), queue.size ());
           EXPECT_LE (buffer.size_bytes, 5000u);
         }
       EXPECT_EQ (buffer.start_discarded,
@@ -71,7 +72,7 @@
              STATUS_OK);
 }
 
-TEST (HeaderListTest, FieldsOfOneConnectionGoWithAllThatTheyList)
+TEST (HeaderListTest, HopByHopFieldsAndThoseListedInConnectionAreRemoved)
 {
   header_list list = {};
   add (&list, "connection", "close, X-One");
@@ -88,7 +89,7 @@
   header_list_release (&list);
 }
 
-TEST (HeaderListTest, IsBounded)
+TEST (HeaderListTest, SizeIsBounded)
 {
   header_list list = {};
   const std::string value (1000, 'x');
--- a/node/caller/tests/request_key_test.cc
+++ b/node/caller/tests/request_key_test.cc
@@ -1,4 +1,4 @@
-/* The key of a request, in the spellings that callers send. */
+/* Parsing of the key of a request, in the spellings that callers send. */
 #include <string>
 #include <vector>
 
@@ -60,7 +60,7 @@
   EXPECT_EQ (read ({ "Host: a" }).state, REQUEST_KEY_NONE);
 }
 
-TEST (RequestKey, WhatIsNoKeyIsMalformed)
+TEST (RequestKey, OtherCredentialsAreMalformed)
 {
   for (const char *line :
        { "Authorization: x", "Authorization: Bearer",
@@ -71,9 +71,9 @@
     EXPECT_EQ (read ({ line }).state, REQUEST_KEY_MALFORMED) << line;
 }
 
-/* A caller sends two keys, in two spellings of the field's name.  One who
-   stands behind would take the second one for the key that was checked. */
-TEST (RequestKey, TwoAreMalformedInAnySpelling)
+/* A caller sends two keys, in two spellings of the field's name.  The target
+   could use the second one, though only the first was checked. */
+TEST (RequestKey, SeveralFieldsAreMalformedInAnySpelling)
 {
   for (const char *second :
        { "Authorization: Bearer k-2", "authorization: Bearer k-1",
@@ -83,7 +83,7 @@
         << second;
 }
 
-TEST (RequestKey, SpellingsOfAFieldAreTakenOut)
+TEST (RequestKey, AllSpellingsOfAFieldAreRemoved)
 {
   Fields fields ({ "X-Kept: 1", "Some-Field: 1", "some_field: 2",
                    "SOME-FIELD : 3", "Some-Fields: 4", "Some-Fiel: 5" });
@@ -93,8 +93,8 @@
   EXPECT_STREQ (header_list_name (&fields.list, 2), "Some-Fiel");
 }
 
-/* Bytes of every kind: never a crash, and never a key that wasn't sent. */
-TEST (RequestKey, GarbageIsNoKey)
+/* Random bytes must cause no crash, and no key other than the one sent. */
+TEST (RequestKey, RandomBytesYieldNoOtherKey)
 {
   rng random;
   rng_seed (&random, 7);
--- a/node/caller/tests/route_table_test.cc
+++ b/node/caller/tests/route_table_test.cc
@@ -9,7 +9,7 @@
 #include "node/caller/route_table.h"
 }
 
-struct Owned
+struct ServiceRoute
 {
   std::string service;
   route_spec spec;
@@ -25,7 +25,8 @@
   }
 
   void
-  put (const std::string &service, const std::vector<route_spec> &routes)
+  set_routes (const std::string &service,
+              const std::vector<route_spec> &routes)
   {
     service_spec spec = {};
     strcpy (spec.name, service.c_str ());
@@ -63,9 +64,9 @@
 
 TEST_F (RouteTableTest, LongestPrefixWins)
 {
-  put ("web", { make_route ("", "/", 0, true) });
-  put ("holds", { make_route ("", "/holds", 0, false),
-                  make_route ("", "/holds/archive/", 0, true) });
+  set_routes ("web", { make_route ("", "/", 0, true) });
+  set_routes ("holds", { make_route ("", "/holds", 0, false),
+                         make_route ("", "/holds/archive/", 0, true) });
   EXPECT_EQ (match ("", "/"), "web:/");
   EXPECT_EQ (match ("", "/holds"), "holds:/holds");
   EXPECT_EQ (match ("", "/holds/"), "holds:/holds");
@@ -74,11 +75,11 @@
   EXPECT_EQ (match ("", "/holdsale"), "web:/");
 }
 
-TEST_F (RouteTableTest, HostAndMethodChooseBetweenEqualPrefixes)
+TEST_F (RouteTableTest, HostAndMethodDecideBetweenEqualPrefixes)
 {
-  put ("a", { make_route ("", "/x", ROUTE_METHOD_GET, true) });
-  put ("b", { make_route ("venue.example", "/x", 0, true) });
-  put ("c", { make_route ("", "/x", 0, false) });
+  set_routes ("a", { make_route ("", "/x", ROUTE_METHOD_GET, true) });
+  set_routes ("b", { make_route ("venue.example", "/x", 0, true) });
+  set_routes ("c", { make_route ("", "/x", 0, false) });
   EXPECT_EQ (match ("venue.example", "/x"), "b:/x");
   EXPECT_EQ (match ("other.example", "/x"), "a:/x");
   EXPECT_EQ (match ("other.example", "/x", ROUTE_METHOD_POST), "c:/x");
@@ -86,40 +87,40 @@
   EXPECT_EQ (match ("other.example", "/y"), "-");
 }
 
-/* Two teams declare the same route, one as unrepeatable.  The careful reading
-   must win, whichever came first. */
+/* Two services declare the same route, one of them as unrepeatable.  That one
+   must win, in any order, since the other would allow repeats. */
 TEST_F (RouteTableTest, UnrepeatableWinsOverRepeatable)
 {
-  put ("a", { make_route ("", "/x", 0, true) });
-  put ("b", { make_route ("", "/x", 0, false) });
+  set_routes ("a", { make_route ("", "/x", 0, true) });
+  set_routes ("b", { make_route ("", "/x", 0, false) });
   EXPECT_EQ (match ("", "/x"), "b:/x");
 }
 
-TEST_F (RouteTableTest, ReplacedAndRemovedServicesLeaveNothing)
+TEST_F (RouteTableTest, RoutesOfReplacedAndRemovedServicesAreGone)
 {
-  put ("a",
-       { make_route ("", "/x", 0, true), make_route ("", "/y", 0, true) });
-  put ("a", { make_route ("", "/z", 0, true) });
+  set_routes (
+      "a", { make_route ("", "/x", 0, true), make_route ("", "/y", 0, true) });
+  set_routes ("a", { make_route ("", "/z", 0, true) });
   EXPECT_EQ (match ("", "/x"), "-");
   EXPECT_EQ (match ("", "/z"), "a:/z");
   route_table_remove_service (table, "a");
   EXPECT_EQ (match ("", "/z"), "-");
 }
 
-/* The naive table: look at all routes, keep the best. */
+/* The reference implementation: a linear search for the best of all routes. */
 static std::string
-naive (const std::vector<Owned> &all, const std::string &host,
-       const std::string &path, uint32_t method)
+reference_match (const std::vector<ServiceRoute> &all, const std::string &host,
+                 const std::string &path, uint32_t method)
 {
-  const Owned *best = nullptr;
-  const auto rank = [] (const Owned &o) {
+  const ServiceRoute *best = nullptr;
+  const auto rank = [] (const ServiceRoute &o) {
     std::string prefix = o.spec.path_prefix;
     while (!prefix.empty () && prefix.back () == '/')
       prefix.pop_back ();
     return std::make_tuple (-(long)prefix.size (), o.spec.host[0] == '\0',
                             o.spec.methods == 0, o.spec.repeatable, o.service);
   };
-  for (const Owned &o : all)
+  for (const ServiceRoute &o : all)
     {
       std::string prefix = o.spec.path_prefix;
       if (prefix.back () != '/')
@@ -136,7 +137,7 @@
   return best == nullptr ? "-" : best->service + ":" + best->spec.path_prefix;
 }
 
-TEST_F (RouteTableTest, AgreesWithTheNaiveTable)
+TEST_F (RouteTableTest, MatchesALinearSearch)
 {
   std::mt19937 random (11);
   const std::vector<std::string> hosts = { "", "a.example", "b.example" };
@@ -149,7 +150,7 @@
   };
   for (int round = 0; round < 200; round++)
     {
-      std::vector<Owned> all;
+      std::vector<ServiceRoute> all;
       for (int s = 0; s < 4; s++)
         {
           const std::string service = "s" + std::to_string (s);
@@ -158,21 +159,21 @@
                                         (uint32_t)(random () % 4),
                                         random () % 2 == 0));
           all.push_back ({ service, routes[0] });
-          put (service, routes);
+          set_routes (service, routes);
         }
-      for (int question = 0; question < 50; question++)
+      for (int lookup = 0; lookup < 50; lookup++)
         {
           const std::string host = hosts[random () % 3];
-          const std::string asked = path ();
+          const std::string request_path = path ();
           const uint32_t method = 1U << (random () % 3);
-          EXPECT_EQ (match (host, asked, method),
-                     naive (all, host, asked, method))
-              << host << asked;
+          EXPECT_EQ (match (host, request_path, method),
+                     reference_match (all, host, request_path, method))
+              << host << request_path;
         }
     }
 }
 
-TEST (RoutePathTest, EscapesAreReadAsTargetsReadThem)
+TEST (RoutePathTest, PercentEncodingsAreNormalizedOrRefused)
 {
   char path[256];
   EXPECT_EQ (route_path_normalise ("/%68olds//7?x=/../", path, sizeof path),
--- a/node/caller/tests/slot_share_test.cc
+++ b/node/caller/tests/slot_share_test.cc
@@ -5,7 +5,7 @@
 class SlotShareTest : public CallerTest
 {
 protected:
-  static constexpr int call_count = 8;
+  static constexpr int CALL_COUNT = 8;
 
   void
   SetUp () override
@@ -17,7 +17,7 @@
   }
 
   void
-  put_share (uint32_t permille)
+  post_share (uint32_t permille)
   {
     bus_message message = {};
     message.topic = BUS_SLOT_SHARES;
@@ -27,7 +27,7 @@
   }
 
   static auto
-  one_name (const char *name)
+  new_name_list (const char *name)
   {
     auto names = static_cast<char (*)[SERVICE_NAME_SIZE]> (
         calloc (1, SERVICE_NAME_SIZE));
@@ -36,39 +36,39 @@
   }
 
   void
-  put_path_fault_of (const char *name)
+  post_path_fault (const char *name)
   {
     bus_message message = {};
     message.topic = BUS_PATH_FAULTS;
     strcpy (message.path_faults.service, "holds");
-    message.path_faults.targets = one_name (name);
+    message.path_faults.targets = new_name_list (name);
     message.path_faults.count = 1;
     bus_post (the_bus, &message);
   }
 
   void
-  put_ejection_of (const char *name)
+  post_ejection (const char *name)
   {
     bus_message message = {};
     message.topic = BUS_EJECTIONS;
     strcpy (message.ejections.service, "holds");
-    message.ejections.targets = one_name (name);
+    message.ejections.targets = new_name_list (name);
     message.ejections.count = 1;
     bus_post (the_bus, &message);
   }
 
   void
-  put_set_of (size_t count)
+  post_host_set (size_t count)
   {
     put_hosts (std::vector<bus_set_host> (count));
   }
 
-  /** Begin calls that the target keeps open. */
+  /** Begin calls that the target doesn't respond to. */
   void
-  hold_calls ()
+  begin_hanging_calls ()
   {
     target_server_faults (target)->hang = 100;
-    for (int i = 0; i < call_count; i++)
+    for (int i = 0; i < CALL_COUNT; i++)
       {
         calls.push_back (make ("GET", "/seats", "c" + std::to_string (i)));
         begin (calls.back ().get ());
@@ -76,17 +76,17 @@
   }
 
   int
-  at_target ()
+  count_at_target ()
   {
     int sum = 0;
-    for (int i = 0; i < call_count; i++)
+    for (int i = 0; i < CALL_COUNT; i++)
       sum += (int)target_server_runs (target,
                                       ("c" + std::to_string (i)).c_str ());
     return sum;
   }
 
   int
-  queued ()
+  count_queued ()
   {
     json_object *rows = tables_read (the_tables, "services");
     json_object *row = json_object_array_get_idx (rows, 0);
@@ -96,12 +96,14 @@
     return count;
   }
 
-  /** So many reach the target and all others wait here. */
+  /** Wait until RUNNING calls are at the target and all others are queued.
+   * @return false on a timeout */
   bool
-  settles_at (int running)
+  settles_with_running (int running)
   {
     return run_until ([this, running] {
-      return at_target () == running && queued () == call_count - running;
+      return count_at_target () == running
+             && count_queued () == CALL_COUNT - running;
     });
   }
 
@@ -109,62 +111,64 @@
   std::vector<std::unique_ptr<Call>> calls;
 };
 
-/* A target of 8 slots gets 8 requests from each host of the set at once and
-   falls over: the hosts don't know of each other. */
-TEST_F (SlotShareTest, AShareBoundsWhatIsSentAtOnce)
+/* Without shares, a target with 8 slots would get 8 requests at once from each
+   host of the set, and be overloaded. */
+TEST_F (SlotShareTest, ShareBoundsConcurrentAttempts)
 {
-  put_share (250); // heard of before the service itself
+  post_share (250); // received before the service itself
   put_service (usual_routes);
-  hold_calls ();
-  ASSERT_TRUE (settles_at (2)) << at_target ();
-  EXPECT_EQ (caller_task_demand (task, "holds"), (uint32_t)call_count);
+  begin_hanging_calls ();
+  ASSERT_TRUE (settles_with_running (2)) << count_at_target ();
+  EXPECT_EQ (caller_task_demand (task, "holds"), (uint32_t)CALL_COUNT);
   EXPECT_EQ (caller_task_demand (task, "nobody"), 0u);
-  put_share (625);
-  EXPECT_TRUE (settles_at (5)) << at_target ();
-  put_share (1250);
-  EXPECT_TRUE (settles_at (8)) << at_target ();
+  post_share (625);
+  EXPECT_TRUE (settles_with_running (5)) << count_at_target ();
+  post_share (1250);
+  EXPECT_TRUE (settles_with_running (8)) << count_at_target ();
 }
 
-/* The owner is silent, or was never heard: a host that then took all slots,
-   as would the others, would send a set's size too much. */
-TEST_F (SlotShareTest, WithoutAShareTheSetDividesEqually)
+/* Without a message from the owner, a host must not use all slots: if each
+   host did, the target would get as many times its slots as the set has
+   hosts. */
+TEST_F (SlotShareTest, WithoutAShareTheHostsOfTheSetGetEqualShares)
 {
-  put_share (1250);
-  put_set_of (4);
-  put_share (0);
+  post_share (1250);
+  post_host_set (4);
+  post_share (0);
   put_service (usual_routes);
-  hold_calls ();
-  ASSERT_TRUE (settles_at (5)) << at_target (); // 8 by 4, and 2 * sqrt (2)
-  put_set_of (2);
-  EXPECT_TRUE (settles_at (8)) << at_target ();
+  begin_hanging_calls ();
+  // 8 / 4 + 2 * sqrt (8 / 4), rounded up
+  ASSERT_TRUE (settles_with_running (5)) << count_at_target ();
+  post_host_set (2);
+  EXPECT_TRUE (settles_with_running (8)) << count_at_target ();
 }
 
-/* A target that takes few connections refuses what goes beyond them, though
-   it has slots. */
-TEST_F (SlotShareTest, ConnectionsAreSharedToo)
+/* A target refuses connections beyond its limit even if it has free slots. */
+TEST_F (SlotShareTest, SharesApplyToConnectionsToo)
 {
   target_options = ", 'slots': 8, 'connections': 4";
-  put_share (500);
+  post_share (500);
   put_service (usual_routes);
-  hold_calls ();
-  EXPECT_TRUE (settles_at (2)) << at_target ();
+  begin_hanging_calls ();
+  EXPECT_TRUE (settles_with_running (2)) << count_at_target ();
 }
 
-/* The line from this dc to one target drops answers, as others here have
-   found; this host would learn it from its own callers' failures. */
-TEST_F (SlotShareTest, AFaultyPathIsAvoidedButNotClosed)
+/* Other hosts of this data centre have reported that responses of one target
+   are lost on the path to it.  Without the report, requests of this host's
+   callers would have to fail first. */
+TEST_F (SlotShareTest, FaultyPathIsAvoidedButStillUsable)
 {
   add_target ("t2");
   put_service (usual_routes);
-  put_path_fault_of ("t1");
+  post_path_fault ("t1");
   for (int i = 0; i < 40; i++)
     EXPECT_EQ (get ("/seats")->status, 200);
   EXPECT_LE (target_server_counts (target).runs, 4u);
   EXPECT_EQ (target_server_counts (target).runs
                  + target_server_counts (targets[1]).runs,
              40u);
-  // Without another it gets all the work: it was never out.
-  put_ejection_of ("t2");
+  // If the other target is ejected, it gets all requests: it wasn't ejected.
+  post_ejection ("t2");
   for (int i = 0; i < 10; i++)
     EXPECT_EQ (get ("/seats")->status, 200);
   EXPECT_GE (target_server_counts (target).runs, 10u);
--- a/node/caller/tests/target_limits_test.cc
+++ b/node/caller/tests/target_limits_test.cc
@@ -1,4 +1,4 @@
-/* Rate limits that targets set in their answers. */
+/* Rate limits that targets set in their responses. */
 #include "node/caller/tests/caller_fixture.h"
 
 #include <cstring>
@@ -15,10 +15,10 @@
   void
   start_with_two_targets ()
   {
-    limited = add_target ("t1");
-    other = add_target ("t2");
-    target_server_faults (limited)->delay_ms = 5;
-    target_server_faults (other)->delay_ms = 30;
+    limited_target = add_target ("t1");
+    other_target = add_target ("t2");
+    target_server_faults (limited_target)->delay_ms = 5;
+    target_server_faults (other_target)->delay_ms = 30;
     bus_subscribe (the_bus, BUS_LIMITS_ANNOUNCED, on_announced, this);
     start ();
     put_service (usual_routes);
@@ -44,33 +44,33 @@
   void
   set_limit (const char *text)
   {
-    strcpy (target_server_faults (limited)->limit, text);
+    strcpy (target_server_faults (limited_target)->limit, text);
   }
 
   /* Sends requests one after the other for MS milliseconds.
      @return how many ran at the limited target */
   uint64_t
-  send_for (int64_t ms)
+  send_for_ms (int64_t ms)
   {
-    const uint64_t before = target_server_counts (limited).runs;
+    const uint64_t before = target_server_counts (limited_target).runs;
     const int64_t until_ms = clock_now_ms () + ms;
     while (clock_now_ms () < until_ms)
       {
         EXPECT_EQ (get ("/calendar", "r")->status, 200);
         sent++;
       }
-    return target_server_counts (limited).runs - before;
+    return target_server_counts (limited_target).runs - before;
   }
 
   /* Sends COUNT requests.
      @return how many ran at the limited target */
   uint64_t
-  send_count (int count)
+  send_requests (int count)
   {
-    const uint64_t before = target_server_counts (limited).runs;
+    const uint64_t before = target_server_counts (limited_target).runs;
     for (int i = 0; i < count; i++)
       EXPECT_EQ (get ("/calendar", "r")->status, 200);
-    return target_server_counts (limited).runs - before;
+    return target_server_counts (limited_target).runs - before;
   }
 
   /* Sends requests until CHANGES changes of limits were announced. */
@@ -98,26 +98,26 @@
     ev_run (loop, EVRUN_NOWAIT);
   }
 
-  target_server *limited = nullptr;
-  target_server *other = nullptr;
+  target_server *limited_target = nullptr;
+  target_server *other_target = nullptr;
   std::vector<limit_row> announced;
   int sent = 0;
 };
 
-/* Guards against a limit that is exceeded and against one that leaves the
-   target underused. */
+/* The target must get its rate limit, neither more nor much less. */
 TEST_F (TargetLimitsTest, TargetReceivesItsLimitAndNoMore)
 {
   start_with_two_targets ();
   set_limit ("10");
   send_until_announced (1);
   EXPECT_EQ (announced[0].rate_millis, 10000u);
-  const uint64_t runs = send_for (2000);
+  const uint64_t runs = send_for_ms (2000);
   EXPECT_LE (runs, 2 * 10u + 4);
   EXPECT_GE (runs, 18u - 1);
 }
 
-/* Guards against several hosts that each use the whole limit. */
+/* A small limit must be used by one host of the set only, not by each host in
+   full. */
 TEST_F (TargetLimitsTest, OneHostOfTheSetSendsWithSmallLimit)
 {
   start_with_two_targets ();
@@ -130,14 +130,14 @@
       for (int i = 0; i < 5; i++)
         names.push_back ("other-" + std::to_string (10 * own + i));
       put_host_set (names);
-      const uint64_t runs = send_for (100);
+      const uint64_t runs = send_for_ms (100);
       EXPECT_LE (runs, 3u);
       senders += runs > 0;
     }
   EXPECT_LE (senders, 4);
 }
 
-/* Guards against an invalid value that stops a host from sending or lifts the
+/* An invalid value must neither stop a host from sending nor withdraw the
    limit in force. */
 TEST_F (TargetLimitsTest, InvalidValuesChangeNothing)
 {
@@ -145,18 +145,18 @@
   for (const char *invalid : { "0", "-1", "nan", "many", "1e9" })
     {
       set_limit (invalid);
-      EXPECT_GT (send_count (100), 5u) << invalid;
+      EXPECT_GT (send_requests (100), 5u) << invalid;
     }
   EXPECT_TRUE (announced.empty ());
   set_limit ("5");
   send_until_announced (1);
   set_limit ("-1");
-  EXPECT_LE (send_for (1500), 5 * 1.5 + 4);
+  EXPECT_LE (send_for_ms (1500), 5 * 1.5 + 4);
   EXPECT_EQ (announced.size (), 1u);
 }
 
-/* Guards against a limit that is never withdrawn, and against one that is
-   lifted by the first answer without the field. */
+/* Responses without the field must withdraw a limit, but not the first one
+   already. */
 TEST_F (TargetLimitsTest, ChangedAndWithdrawnLimitsTakeEffect)
 {
   start_with_two_targets ();
@@ -165,18 +165,18 @@
   set_limit ("50");
   send_until_announced (2);
   EXPECT_EQ (announced[1].rate_millis, 50000u);
-  EXPECT_GT (send_for (500), 15u);
+  EXPECT_GT (send_for_ms (500), 15u);
   set_limit ("");
-  EXPECT_LE (send_for (500), 45u);
+  EXPECT_LE (send_for_ms (500), 45u);
   EXPECT_EQ (announced.size (), 2u);
-  send_for (1000);
+  send_for_ms (1000);
   ASSERT_EQ (announced.size (), 3u);
   EXPECT_EQ (announced[2].rate_millis, 0u);
-  send_for (500);
-  EXPECT_GT (send_count (100), 25u);
+  send_for_ms (500);
+  EXPECT_GT (send_requests (100), 25u);
 }
 
-/* Guards against a host that ignores limits reported by other hosts. */
+/* A host must enforce limits that other hosts report. */
 TEST_F (TargetLimitsTest, LimitReportedByAnotherHostIsEnforced)
 {
   start_with_two_targets ();
@@ -195,5 +195,5 @@
   message.limits.count = 1;
   bus_post (the_bus, &message);
   ev_run (loop, EVRUN_NOWAIT);
-  EXPECT_LE (send_for (500), 6u);
+  EXPECT_LE (send_for_ms (500), 6u);
 }
