--- a/policy/access/freshness.c
+++ b/policy/access/freshness.c
@@ -2,8 +2,8 @@
 
 enum
 {
-  /** Of the bound, left for clocks that run unevenly. */
-  DRIFT_PARTS = 100,
+  /** The clock drift allowance is the bound divided by this. */
+  CLOCK_DRIFT_DIVISOR = 100,
 };
 
 void
@@ -14,7 +14,7 @@
 }
 
 static bool
-raise_time (struct freshness *freshness, int64_t time_ms)
+advance_time (struct freshness *freshness, int64_t time_ms)
 {
   if (time_ms <= freshness->time_ms)
     return false;
@@ -23,14 +23,15 @@
 }
 
 static void
-await (struct freshness *freshness, const struct freshness_proof *proof)
+note_pending_proof (struct freshness *freshness,
+                    const struct freshness_proof *proof)
 {
-  struct freshness_proof *awaited = &freshness->pending_proof;
-  const bool is_newer = proof->version > awaited->version
-                        || (proof->version == awaited->version
-                            && proof->time_ms > awaited->time_ms);
+  struct freshness_proof *pending = &freshness->pending_proof;
+  const bool is_newer = proof->version > pending->version
+                        || (proof->version == pending->version
+                            && proof->time_ms > pending->time_ms);
   if (is_newer)
-    *awaited = *proof;
+    *pending = *proof;
 }
 
 bool
@@ -40,8 +41,8 @@
   if (proof->version == 0)
     return false;
   if (proof->version <= freshness->version)
-    return raise_time (freshness, proof->time_ms);
-  await (freshness, proof);
+    return advance_time (freshness, proof->time_ms);
+  note_pending_proof (freshness, proof);
   return false;
 }
 
@@ -53,7 +54,7 @@
   freshness->version = version;
   if (freshness->pending_proof.version > version)
     return;
-  raise_time (freshness, freshness->pending_proof.time_ms);
+  advance_time (freshness, freshness->pending_proof.time_ms);
   freshness->pending_proof = (struct freshness_proof){ .time_ms = INT64_MIN };
 }
 
@@ -81,5 +82,5 @@
                            uint32_t bound_ms)
 {
   const uint32_t age_ms = freshness_age_ms (freshness, now_ms);
-  return age_ms < bound_ms - bound_ms / DRIFT_PARTS;
+  return age_ms < bound_ms - bound_ms / CLOCK_DRIFT_DIVISOR;
 }
--- a/policy/access/key_table.c
+++ b/policy/access/key_table.c
@@ -8,20 +8,20 @@
 
 enum
 {
-  PLACES_MIN = 16,
-  PLACES_PER_KEY = 2,
+  SLOTS_MIN = 16,
+  SLOTS_PER_KEY = 2,
 };
 
-struct key_place
+struct key_slot
 {
   struct digest key;
-  uint32_t workspace; /* KEY_TABLE_NO_WORKSPACE: the place is free */
+  uint32_t workspace; /* KEY_TABLE_NO_WORKSPACE: the slot is free */
 };
 
 struct key_table
 {
-  struct key_place *places;
-  size_t place_count; /* a power of two */
+  struct key_slot *slots;
+  size_t slot_count; /* a power of two */
   size_t count;
 };
 
@@ -29,12 +29,12 @@
 key_table_create (size_t count)
 {
   struct key_table *table = xcalloc (1, sizeof *table);
-  table->place_count = PLACES_MIN;
-  while (table->place_count < count * PLACES_PER_KEY)
-    table->place_count *= 2;
-  table->places = xcalloc (table->place_count, sizeof *table->places);
-  for (size_t i = 0; i < table->place_count; i++)
-    table->places[i].workspace = KEY_TABLE_NO_WORKSPACE;
+  table->slot_count = SLOTS_MIN;
+  while (table->slot_count < count * SLOTS_PER_KEY)
+    table->slot_count *= 2;
+  table->slots = xcalloc (table->slot_count, sizeof *table->slots);
+  for (size_t i = 0; i < table->slot_count; i++)
+    table->slots[i].workspace = KEY_TABLE_NO_WORKSPACE;
   return table;
 }
 
@@ -43,40 +43,40 @@
 {
   if (table == NULL)
     return;
-  free (table->places);
+  free (table->slots);
   free (table);
 }
 
-/* The place of KEY, or the free one where it would be added. */
-static struct key_place *
-find_place (const struct key_table *table, const struct digest *key)
+/* Returns the slot of KEY, or the free slot where it would be inserted. */
+static struct key_slot *
+find_slot (const struct key_table *table, const struct digest *key)
 {
   uint64_t hash;
   memcpy (&hash, key->bytes, sizeof hash);
-  size_t at = (size_t)hash & (table->place_count - 1);
-  while (table->places[at].workspace != KEY_TABLE_NO_WORKSPACE
-         && !digest_equal (&table->places[at].key, key))
-    at = (at + 1) & (table->place_count - 1);
-  return &table->places[at];
+  size_t index = (size_t)hash & (table->slot_count - 1);
+  while (table->slots[index].workspace != KEY_TABLE_NO_WORKSPACE
+         && !digest_equal (&table->slots[index].key, key))
+    index = (index + 1) & (table->slot_count - 1);
+  return &table->slots[index];
 }
 
 void
 key_table_add (struct key_table *table, const struct digest *key,
                uint32_t workspace)
 {
-  struct key_place *place = find_place (table, key);
-  if (place->workspace != KEY_TABLE_NO_WORKSPACE)
+  struct key_slot *slot = find_slot (table, key);
+  if (slot->workspace != KEY_TABLE_NO_WORKSPACE)
     return;
-  place->key = *key;
-  place->workspace = workspace;
+  slot->key = *key;
+  slot->workspace = workspace;
   table->count++;
-  assert (table->count < table->place_count);
+  assert (table->count < table->slot_count);
 }
 
 uint32_t
 key_table_find (const struct key_table *table, const struct digest *key)
 {
-  return find_place (table, key)->workspace;
+  return find_slot (table, key)->workspace;
 }
 
 size_t
@@ -88,5 +88,5 @@
 size_t
 key_table_bytes (const struct key_table *table)
 {
-  return sizeof *table + table->place_count * sizeof *table->places;
+  return sizeof *table + table->slot_count * sizeof *table->slots;
 }
--- a/policy/access/tests/freshness_test.cc
+++ b/policy/access/tests/freshness_test.cc
@@ -1,4 +1,4 @@
-/* When a host may say yes or no to a key. */
+/* Checks when a host may accept or reject a key. */
 #include <algorithm>
 #include <deque>
 #include <vector>
@@ -16,72 +16,73 @@
 const uint32_t bound_ms = 5000;
 
 freshness
-fresh (uint64_t version, int64_t time_ms)
+make_freshness (uint64_t version, int64_t time_ms)
 {
-  freshness made;
-  freshness_init (&made);
-  freshness_set_version_in_force (&made, version);
+  freshness state;
+  freshness_init (&state);
+  freshness_set_version_in_force (&state, version);
   const freshness_proof proof = { version, time_ms };
-  freshness_add_proof (&made, &proof);
-  return made;
+  freshness_add_proof (&state, &proof);
+  return state;
 }
 
-TEST (Freshness, NothingIsKnownAtFirst)
+TEST (Freshness, HasNoProofInitially)
 {
-  freshness made;
-  freshness_init (&made);
-  EXPECT_EQ (freshness_age_ms (&made, 100), FRESHNESS_AGE_UNKNOWN_MS);
-  EXPECT_FALSE (freshness_is_within_bound (&made, 100, bound_ms));
-  freshness_set_version_in_force (&made, 3);
-  EXPECT_FALSE (freshness_is_within_bound (&made, 100, bound_ms));
+  freshness state;
+  freshness_init (&state);
+  EXPECT_EQ (freshness_age_ms (&state, 100), FRESHNESS_AGE_UNKNOWN_MS);
+  EXPECT_FALSE (freshness_is_within_bound (&state, 100, bound_ms));
+  freshness_set_version_in_force (&state, 3);
+  EXPECT_FALSE (freshness_is_within_bound (&state, 100, bound_ms));
 }
 
-TEST (Freshness, HoldsForLessThanTheBound)
+TEST (Freshness, IsValidForLessThanTheBound)
 {
-  const freshness made = fresh (3, 1000);
-  EXPECT_TRUE (freshness_is_within_bound (&made, 1000, bound_ms));
-  EXPECT_TRUE (freshness_is_within_bound (&made, 5900, bound_ms));
-  EXPECT_FALSE (freshness_is_within_bound (&made, 5950, bound_ms));
-  EXPECT_FALSE (freshness_is_within_bound (&made, 100000, bound_ms));
+  const freshness state = make_freshness (3, 1000);
+  EXPECT_TRUE (freshness_is_within_bound (&state, 1000, bound_ms));
+  EXPECT_TRUE (freshness_is_within_bound (&state, 5900, bound_ms));
+  EXPECT_FALSE (freshness_is_within_bound (&state, 5950, bound_ms));
+  EXPECT_FALSE (freshness_is_within_bound (&state, 100000, bound_ms));
 }
 
-TEST (Freshness, AnOlderProofChangesNothing)
+TEST (Freshness, OlderProofIsIgnored)
 {
-  freshness made = fresh (3, 1000);
+  freshness state = make_freshness (3, 1000);
   const freshness_proof older = { 3, 900 };
-  EXPECT_FALSE (freshness_add_proof (&made, &older));
-  EXPECT_EQ (freshness_age_ms (&made, 1000), 0u);
+  EXPECT_FALSE (freshness_add_proof (&state, &older));
+  EXPECT_EQ (freshness_age_ms (&state, 1000), 0u);
 }
 
-/* A neighbour says that all is known as of now, and that there is a version
-   which this host lacks.  Taken at its word, the host would go on with a key
-   that the version takes away. */
-TEST (Freshness, AProofOfANewerVersionCountsOnceThatIsInForce)
+/* Guards against a revoked key that stays accepted because a host takes a
+   newer time from a neighbour without having the version that the time
+   belongs to. */
+TEST (Freshness, ProofOfNewerVersionCountsOnceVersionIsInForce)
 {
-  freshness made = fresh (3, 1000);
+  freshness state = make_freshness (3, 1000);
   const freshness_proof newer = { 4, 9000 };
-  EXPECT_FALSE (freshness_add_proof (&made, &newer));
-  EXPECT_FALSE (freshness_is_within_bound (&made, 9000, bound_ms));
-  freshness_set_version_in_force (&made, 4);
-  EXPECT_TRUE (freshness_is_within_bound (&made, 9000, bound_ms));
-  EXPECT_EQ (freshness_get_proof (&made).version, 4u);
+  EXPECT_FALSE (freshness_add_proof (&state, &newer));
+  EXPECT_FALSE (freshness_is_within_bound (&state, 9000, bound_ms));
+  freshness_set_version_in_force (&state, 4);
+  EXPECT_TRUE (freshness_is_within_bound (&state, 9000, bound_ms));
+  EXPECT_EQ (freshness_get_proof (&state).version, 4u);
 }
 
-TEST (Freshness, AVersionInBetweenIsNotEnough)
+TEST (Freshness, IntermediateVersionIsNotEnough)
 {
-  freshness made = fresh (3, 1000);
+  freshness state = make_freshness (3, 1000);
   const freshness_proof newer = { 5, 9000 };
-  freshness_add_proof (&made, &newer);
-  freshness_set_version_in_force (&made, 4);
-  EXPECT_FALSE (freshness_is_within_bound (&made, 9000, bound_ms));
-  freshness_set_version_in_force (&made, 5);
-  EXPECT_TRUE (freshness_is_within_bound (&made, 9000, bound_ms));
+  freshness_add_proof (&state, &newer);
+  freshness_set_version_in_force (&state, 4);
+  EXPECT_FALSE (freshness_is_within_bound (&state, 9000, bound_ms));
+  freshness_set_version_in_force (&state, 5);
+  EXPECT_TRUE (freshness_is_within_bound (&state, 9000, bound_ms));
 }
 
-/* A fleet under a random order of events: versions are accepted, hosts ask the
-   platform or one another, answers take long, hosts freeze and start anew.
-   Held against what is really accepted: no host that says yes lacks a version
-   that was accepted longer ago than the bound. */
+/* Simulates a fleet under a random order of events: versions are accepted,
+   hosts query the platform or one another, answers are delayed, hosts are
+   suspended and restarted.  Checks against the versions actually accepted
+   that no host that accepts a key lacks a version accepted longer ago than
+   the bound. */
 class FreshnessModel
 {
 public:
@@ -115,7 +116,7 @@
     check ();
   }
 
-  uint64_t said_yes = 0;
+  uint64_t accepted_count = 0;
 
 private:
   struct answer
@@ -131,9 +132,10 @@
     return accepted_ms.size ();
   }
 
-  /* Mostly soon, sometimes after long: frozen, choked, lost and sent again. */
+  /* Usually short, sometimes long, as after a suspension, on a congested
+     link or after a retransmission. */
   int64_t
-  some_delay ()
+  random_delay_ms ()
   {
     return (int64_t)rng_below (&random,
                                rng_below (&random, 4) == 0 ? 9000 : 100);
@@ -143,20 +145,20 @@
   ask_platform (size_t host)
   {
     answers.push_back (
-        { host, { newest (), now_ms }, now_ms + some_delay () });
+        { host, { newest (), now_ms }, now_ms + random_delay_ms () });
   }
 
-  /* The question takes its time too: the answer is of when it came. */
+  /* The request is delayed too: the answer has the state at its arrival. */
   void
   ask_host (size_t host, size_t other)
   {
     const uint32_t age_ms = freshness_age_ms (&hosts[other], now_ms);
     if (age_ms == FRESHNESS_AGE_UNKNOWN_MS)
       return;
-    const int64_t asked_ms = now_ms - some_delay ();
+    const int64_t asked_ms = now_ms - random_delay_ms ();
     answers.push_back ({ host,
                          { hosts[other].version, asked_ms - age_ms },
-                         now_ms + some_delay () });
+                         now_ms + random_delay_ms () });
   }
 
   void
@@ -172,7 +174,7 @@
         const answer due = answers[i];
         answers.erase (answers.begin () + (long)i);
         freshness_add_proof (&hosts[due.host], &due.proof);
-        /* The version itself comes by another way, sooner or later. */
+        /* The version itself arrives independently, sooner or later. */
         if (rng_below (&random, 3) == 0)
           freshness_set_version_in_force (&hosts[due.host], due.proof.version);
       }
@@ -185,7 +187,7 @@
       {
         if (!freshness_is_within_bound (&host, now_ms, bound_ms))
           continue;
-        said_yes++;
+        accepted_count++;
         if (host.version < newest ())
           {
             ASSERT_GT (accepted_ms[host.version] + bound_ms, now_ms)
@@ -197,22 +199,23 @@
 
   rng random;
   int64_t now_ms = 1000;
-  std::vector<int64_t> accepted_ms; /**< of version 1 and up */
+  std::vector<int64_t> accepted_ms; /**< index 0 is version 1 */
   std::vector<freshness> hosts;
   std::vector<answer> answers;
 };
 
-TEST (Freshness, NoHostSaysYesPastTheBound)
+TEST (Freshness, NoHostAcceptsKeysPastTheBound)
 {
-  uint64_t said_yes = 0;
+  uint64_t accepted_count = 0;
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
       FreshnessModel model (seed);
       for (int i = 0; i < 50000 && !HasFatalFailure (); i++)
         model.step ();
-      said_yes += model.said_yes;
+      accepted_count += model.accepted_count;
     }
-  /* A host that never says yes would keep the rule as well. */
-  EXPECT_GT (said_yes, 1000000u);
+  /* Guards against a trivial pass: a host that never accepts a key also
+     meets the bound. */
+  EXPECT_GT (accepted_count, 1000000u);
 }
 } // namespace
--- a/policy/access/tests/key_table_test.cc
+++ b/policy/access/tests/key_table_test.cc
@@ -13,7 +13,7 @@
 using table_ptr = std::unique_ptr<key_table, void (*) (key_table *)>;
 
 digest
-key_of (const std::string &text)
+digest_of_text (const std::string &text)
 {
   return digest_of (text.data (), text.size ());
 }
@@ -24,33 +24,34 @@
   const table_ptr table = { key_table_create (count), key_table_destroy };
   for (uint32_t i = 0; i < count; i++)
     {
-      const digest key = key_of ("key-" + std::to_string (i));
+      const digest key = digest_of_text ("key-" + std::to_string (i));
       key_table_add (table.get (), &key, i / 2);
     }
   EXPECT_EQ (key_table_count (table.get ()), count);
   for (uint32_t i = 0; i < count; i++)
     {
-      const digest key = key_of ("key-" + std::to_string (i));
+      const digest key = digest_of_text ("key-" + std::to_string (i));
       EXPECT_EQ (key_table_find (table.get (), &key), i / 2);
-      const digest other = key_of ("other-" + std::to_string (i));
+      const digest other = digest_of_text ("other-" + std::to_string (i));
       EXPECT_EQ (key_table_find (table.get (), &other),
                  KEY_TABLE_NO_WORKSPACE);
     }
 }
 
-TEST (KeyTable, AnEmptyOneFindsNothing)
+TEST (KeyTable, EmptyTableFindsNothing)
 {
   const table_ptr table = { key_table_create (0), key_table_destroy };
-  const digest key = key_of ("key");
+  const digest key = digest_of_text ("key");
   EXPECT_EQ (key_table_find (table.get (), &key), KEY_TABLE_NO_WORKSPACE);
 }
 
-/* Two versions of a configuration are merged wrongly and name a key twice.
-   Whichever workspace had it first keeps it, on every host alike. */
-TEST (KeyTable, AKeyStaysWithItsFirstWorkspace)
+/* Guards against hosts that disagree on the workspace of a key that a
+   configuration lists twice, as after a wrong merge of two versions: the
+   first workspace keeps it on every host. */
+TEST (KeyTable, KeyKeepsItsFirstWorkspace)
 {
   const table_ptr table = { key_table_create (2), key_table_destroy };
-  const digest key = key_of ("key");
+  const digest key = digest_of_text ("key");
   key_table_add (table.get (), &key, 1);
   key_table_add (table.get (), &key, 2);
   EXPECT_EQ (key_table_find (table.get (), &key), 1u);
