--- a/policy/limit/limit_row.h
+++ b/policy/limit/limit_row.h
@@ -11,7 +11,7 @@
 {
   uint64_t target;      /**< key of the target */
   uint32_t rate_millis; /**< thousandths of a request a second; 0: no limit */
-  uint32_t sent_ago_ms; /**< time since the request was sent whose answer set
+  uint32_t sent_ago_ms; /**< time since the request was sent whose response set
                              the limit */
 };
 
--- a/policy/limit/limit_share.h
+++ b/policy/limit/limit_share.h
@@ -18,9 +18,10 @@
  * 6 * L + 5.  It is twice as many while two hosts see sets for the service
  * that have no host in common.
  *
- * Equal shares of L / n for all n hosts don't work: if each of 32 hosts saves
- * one request, a target with L = 1 receives 32 at once; if none is saved,
- * hosts that receive fewer requests than their share leave it unused.
+ * Equal shares of L / n for all n hosts don't work: if each of 32 hosts
+ * accumulates one token, a target with L = 1 receives 32 requests at once; if
+ * hosts accumulate none, those that receive fewer requests than their share
+ * leave it unused.
  */
 #ifndef POLICY_LIMIT_LIMIT_SHARE_H
 #define POLICY_LIMIT_LIMIT_SHARE_H
@@ -45,9 +46,9 @@
   return 2 + 0.2 * rate_millis / LIMIT_MILLIS_PER_REQUEST;
 }
 
-/** The share of a limit of LIMIT_MILLIS that the host with key OWN may use at
- * TARGET.  HOSTS are the COUNT hosts of the service's set; if it is empty, OWN
- * is the only sender.
+/** Return the share of a limit of LIMIT_MILLIS that the host with key OWN
+ * may use for TARGET.  HOSTS are the COUNT hosts of the service's set; if
+ * it is empty, OWN is the only sender.
  * @return the rate in thousandths of a request a second; 0 if OWN must not
  * send to TARGET */
 uint32_t limit_share (uint32_t limit_millis, uint64_t target, uint64_t own,
--- a/policy/limit/tests/limit_share_test.cc
+++ b/policy/limit/tests/limit_share_test.cc
@@ -115,7 +115,7 @@
 }
 
 /* Guards against equal shares for all hosts, which exceed the limit if each
-   host saves a request.  How much of it they use if none does is printed. */
+   host accumulates a token.  Prints how much of it they use if none does. */
 TEST (LimitShare, EqualSharesExceedTheLimit)
 {
   for (const size_t hosts : { 32, 300 })
--- a/policy/limit/tests/limit_state_test.cc
+++ b/policy/limit/tests/limit_state_test.cc
@@ -12,7 +12,7 @@
   limit_state state = {};
 };
 
-/* Guards against a late answer that restores an earlier limit. */
+/* Guards against a late response that restores an earlier limit. */
 TEST_F (LimitState, AnswerToLatestRequestTakesPrecedence)
 {
   EXPECT_TRUE (limit_state_note_answer (&state, 2000, 100));
@@ -22,7 +22,7 @@
   EXPECT_EQ (state.rate_millis, 500u);
 }
 
-/* Guards against a limit that is lifted by a single answer without the
+/* Guards against a limit that is lifted by a single response without the
    field. */
 TEST_F (LimitState, IsWithdrawnAfterDelayWithoutField)
 {
