--- a/policy/poison/poison_table.c
+++ b/policy/poison/poison_table.c
@@ -21,7 +21,7 @@
 struct crash
 {
   uint64_t target;
-  int64_t began_ms;
+  int64_t sent_ms;
   int64_t crashed_ms;
 };
 
@@ -233,7 +233,7 @@
   uint32_t count = 0;
   for (uint32_t i = 0; i < entry->crash_count; i++)
     if (count == 0
-        || entry->crashes[i].began_ms >= last_ms - REPORT_DELAY_TOLERANCE_MS)
+        || entry->crashes[i].sent_ms >= last_ms - REPORT_DELAY_TOLERANCE_MS)
       {
         last_ms = entry->crashes[i].crashed_ms;
         count++;
@@ -258,7 +258,7 @@
   memmove (&entry->crashes[at + 1], &entry->crashes[at],
            (entry->crash_count - at) * sizeof entry->crashes[0]);
   entry->crashes[at] = (struct crash){ .target = crash->target,
-                                       .began_ms = crash->sent_ms,
+                                       .sent_ms = crash->sent_ms,
                                        .crashed_ms = crash->crashed_ms };
   entry->crash_count++;
   return &entry->crashes[at];
@@ -310,7 +310,7 @@
     .fingerprint = entry->fingerprint,
     .target = crash->target,
     .epoch = entry->epoch,
-    .sent_ago_ms = clamp_uint32 (now_ms - crash->began_ms),
+    .sent_ago_ms = clamp_uint32 (now_ms - crash->sent_ms),
     .crashed_ago_ms = clamp_uint32 (now_ms - crash->crashed_ms),
   };
 }
--- a/policy/poison/poison_table.h
+++ b/policy/poison/poison_table.h
@@ -5,10 +5,10 @@
  * host.  A request is blocked after `crashes` consecutive target crashes,
  * first for `block_ms`, then for twice the previous duration each time, up to
  * `block_max_ms`.  When a block ends, one host may send the request once as a
- * trial: another crash blocks it again, a complete answer clears it.
+ * trial: another crash blocks it again, a complete response clears it.
  *
  * Three rules keep unrelated requests on the same targets from being blocked:
- *  - a complete answer clears a request and all its counted crashes;
+ *  - a complete response clears a request and all its counted crashes;
  *  - crashes count only in sequence, each request sent after the crash before
  *    it, so simultaneous failures of several targets count once;
  *  - a crash that is attributed to a blocked request counts for no other.
@@ -31,7 +31,7 @@
   /** Crashes stored per request; older ones are dropped. */
   POISON_CRASHES_MAX = 8,
   POISON_CRASH_RETENTION_MS = 10 * 60 * 1000,
-  /** Measured from the end of the block. */
+  /** Counted from the end of the block. */
   POISON_BLOCK_RETENTION_MS = 60 * 60 * 1000,
   /** A trial without a result is repeated after this time. */
   POISON_TRIAL_TIMEOUT_MS = 30 * 1000,
--- a/policy/poison/tests/poison_table_test.cc
+++ b/policy/poison/tests/poison_table_test.cc
@@ -124,7 +124,7 @@
   EXPECT_EQ (check (1), POISON_BLOCKED);
 }
 
-/* Guards against counting crashes from before a complete answer. */
+/* Guards against counting crashes from before a complete response. */
 TEST_F (PoisonTable, CompleteAnswerClearsRequest)
 {
   crash (1, 11);
