--- a/policy/access/tests/freshness_test.cc
+++ b/policy/access/tests/freshness_test.cc
@@ -123,7 +123,7 @@
   {
     size_t host;
     freshness_proof proof;
-    int64_t due_ms;
+    int64_t arrives_ms;
   };
 
   uint64_t
@@ -166,7 +166,7 @@
   {
     for (size_t i = 0; i < answers.size ();)
       {
-        if (answers[i].due_ms > now_ms)
+        if (answers[i].arrives_ms > now_ms)
           {
             i++;
             continue;
--- a/policy/poison/poison_table.c
+++ b/policy/poison/poison_table.c
@@ -32,8 +32,8 @@
   uint32_t crash_count;
   uint32_t epoch;
   uint32_t strikes;
-  int64_t until_ms;       /* end of the block, with strikes */
-  int64_t trial_until_ms; /* 0: no trial in progress */
+  int64_t blocked_until_ms; /* end of the block, with strikes */
+  int64_t trial_until_ms;   /* 0: no trial in progress */
   int64_t changed_ms;
   UT_hash_handle hh;
 };
@@ -61,8 +61,9 @@
 static int64_t
 expires_ms (const struct poison_entry *entry)
 {
-  return entry->strikes > 0 ? entry->until_ms + POISON_BLOCK_RETENTION_MS
-                            : entry->changed_ms + POISON_CRASH_RETENTION_MS;
+  return entry->strikes > 0
+             ? entry->blocked_until_ms + POISON_BLOCK_RETENTION_MS
+             : entry->changed_ms + POISON_CRASH_RETENTION_MS;
 }
 
 /* Rebuilds the table from the entries that have not expired at NOW_MS. */
@@ -213,7 +214,7 @@
   if (left_ms > table->options.block_max_ms)
     left_ms = table->options.block_max_ms;
   entry->strikes++;
-  entry->until_ms = now_ms + left_ms;
+  entry->blocked_until_ms = now_ms + left_ms;
   entry->trial_until_ms = 0;
   entry->changed_ms = now_ms;
   for (struct poison_entry *other = table->entries; other != NULL;
@@ -276,9 +277,10 @@
   if (counted == NULL)
     return NULL;
   entry->changed_ms = now_ms;
-  const bool is_due = entry->strikes > 0 ? crash->crashed_ms >= entry->until_ms
-                                         : sequential_crashes (entry)
-                                               >= table->options.crashes;
+  const bool is_due
+      = entry->strikes > 0
+            ? crash->crashed_ms >= entry->blocked_until_ms
+            : sequential_crashes (entry) >= table->options.crashes;
   if (is_due)
     block_entry (table, entry, now_ms);
   return counted;
@@ -298,8 +300,8 @@
   return (struct poison_row){ .fingerprint = entry->fingerprint,
                               .epoch = entry->epoch,
                               .strikes = entry->strikes,
-                              .left_ms
-                              = clamp_uint32 (entry->until_ms - now_ms) };
+                              .left_ms = clamp_uint32 (entry->blocked_until_ms
+                                                       - now_ms) };
 }
 
 static struct poison_row
@@ -375,10 +377,10 @@
   if (row->strikes <= entry->strikes)
     return is_newer;
   entry->strikes = row->strikes;
-  entry->until_ms = now_ms
-                    + (row->left_ms < table->options.block_max_ms
-                           ? row->left_ms
-                           : table->options.block_max_ms);
+  entry->blocked_until_ms = now_ms
+                            + (row->left_ms < table->options.block_max_ms
+                                   ? row->left_ms
+                                   : table->options.block_max_ms);
   entry->trial_until_ms = 0;
   entry->changed_ms = now_ms;
   return true;
@@ -402,9 +404,9 @@
   struct poison_entry *entry = find_entry (table, fingerprint);
   if (entry == NULL || entry->strikes == 0)
     return POISON_PASS;
-  if (now_ms < entry->until_ms)
+  if (now_ms < entry->blocked_until_ms)
     {
-      *left_ms = clamp_uint32 (entry->until_ms - now_ms);
+      *left_ms = clamp_uint32 (entry->blocked_until_ms - now_ms);
       return POISON_BLOCKED;
     }
   if (!owns_trials || now_ms < entry->trial_until_ms)
@@ -442,7 +444,7 @@
        entry != NULL && count < max; entry = entry->hh.next)
     {
       const uint32_t crashes = entry->crash_count;
-      const int64_t left_ms = entry->until_ms - now_ms;
+      const int64_t left_ms = entry->blocked_until_ms - now_ms;
       if (crashes == 0 && entry->strikes == 0)
         continue;
       summaries[count++] = (struct poison_summary){
