--- a/policy/quota/quota_lease.h
+++ b/policy/quota/quota_lease.h
@@ -1,5 +1,6 @@
 /** @file
- * To whom this host's own share of all quotas is lent.  See quota_limit.h.
+ * The coordinator to which this host has leased its own share of all quotas.
+ * See quota_limit.h.
  */
 #ifndef POLICY_QUOTA_QUOTA_LEASE_H
 #define POLICY_QUOTA_QUOTA_LEASE_H
@@ -11,19 +12,19 @@
 
 struct quota_lease
 {
-  uint64_t coordinator; /**< lent to last; 0: to nobody yet */
-  int64_t expires_ms;   /**< the share isn't this host's own to use or lend to
-                         another before */
+  uint64_t coordinator; /**< lessee of the last lease; 0: none yet */
+  int64_t expires_ms;   /**< until then the share must not be used by this host
+                           or leased to another coordinator */
 };
 
-/** At the start of the process: the share may still be lent by the life
- * before it. */
-void quota_lease_init (struct quota_lease *lending, int64_t now_ms,
-                       const struct quota_tolerance *terms);
+/** Initialize at the start of the process.  The share may still be leased by
+ * the previous process. */
+void quota_lease_init (struct quota_lease *lease, int64_t now_ms,
+                       const struct quota_tolerance *tolerance);
 
-/** Lend the share to KEEPER from NOW_MS on.
- * @return false when it is lent to another yet */
-bool quota_lease_renew (struct quota_lease *lending, int64_t now_ms,
+/** Lease the share to COORDINATOR from NOW_MS, or renew its lease.
+ * @return false if the share is still leased to another coordinator */
+bool quota_lease_renew (struct quota_lease *lease, int64_t now_ms,
                         uint64_t coordinator);
 
 #endif
--- a/policy/quota/quota_pool.c
+++ b/policy/quota/quota_pool.c
@@ -10,42 +10,44 @@
 
 enum
 {
-  /** Granted tokens are forgotten by parts of the longest term. */
-  GRANT_PARTS = 20,
-  PART_MS = QUOTA_TOKEN_LIFETIME_MS / GRANT_PARTS,
-  /** Below this part of what the account may hold there are few tokens. */
-  FEW_PARTS = 4,
-  /** The demand of an account is that of about this time. */
-  DEMAND_MS = 1000,
-  /** Nobody is told to come back later than that. */
-  DUE_MOST_MS = 2000,
-  /** Holders that were granted less than they wanted ask again after about
-   * this time. */
-  BACKLOG_MS = 100,
-  /** For so long what is here should last before other keepers are asked. */
-  AHEAD_MS = 2 * QUOTA_RENEWAL_INTERVAL_MS,
+  /** Granted tokens are tracked in this many time slots of the longest
+   * lifetime. */
+  GRANT_SLOTS_PER_LIFETIME = 20,
+  GRANT_SLOT_MS = QUOTA_TOKEN_LIFETIME_MS / GRANT_SLOTS_PER_LIFETIME,
+  /** Tokens are scarce below this fraction (1/n) of the pool's capacity. */
+  SCARCE_DIVISOR = 4,
+  /** Time constant of the exponential decay of the demand. */
+  DEMAND_DECAY_MS = 1000,
+  /** Upper bound of the time after which a holder is told to ask again. */
+  RETRY_MAX_MS = 2000,
+  /** Time constant of the backlog: holders that were granted less than they
+   * requested ask again after about this time. */
+  BACKLOG_DECAY_MS = 100,
+  /** Tokens in the pool should last this long before other coordinators are
+   * asked. */
+  LOOKAHEAD_MS = 2 * QUOTA_RENEWAL_INTERVAL_MS,
 };
 
 enum
 {
-  /* The parts in which terms end that begin in one of them. */
-  GRANT_ROWS = GRANT_PARTS + 2,
+  /* Time slots in which lifetimes that start in one slot can end. */
+  GRANT_SLOTS = GRANT_SLOTS_PER_LIFETIME + 2,
 };
 
 static const double MS_PER_SECOND = 1000.0;
 
-struct quota_account
+struct quota_bucket
 {
   uint64_t workspace;
-  double level;   /* tokens to grant */
-  double seconds; /* of the shares, up to which the level is counted */
-  /* Granted and perhaps unused, by the part of time in which their term
-     ends. */
-  uint32_t granted[GRANT_ROWS];
-  int64_t part;   /* the first of them that counts */
-  double backlog; /* wanted of late and not granted */
+  double level;      /* tokens available to grant */
+  double integral_s; /* shares integral that `level` includes */
+  /* Tokens granted and possibly unused, by the time slot in which their
+     lifetime ends. */
+  uint32_t granted[GRANT_SLOTS];
+  int64_t first_slot; /* first slot in `granted` that counts */
+  double backlog;     /* tokens requested recently and not granted */
   int64_t backlog_ms;
-  double demand; /* wanted of late, decaying with DEMAND_MS */
+  double demand; /* tokens requested recently, decaying with DEMAND_DECAY_MS */
   int64_t demand_ms;
   UT_hash_handle hh;
 };
@@ -53,254 +55,267 @@
 struct quota_pool
 {
   struct quota_shares *shares;
-  struct quota_tolerance terms;
-  struct quota_account *accounts;
+  struct quota_tolerance tolerance;
+  struct quota_bucket *buckets;
 };
 
 struct quota_pool *
 quota_pool_create (struct quota_shares *shares,
-                   const struct quota_tolerance *terms)
+                   const struct quota_tolerance *tolerance)
 {
-  struct quota_pool *ledger = xcalloc (1, sizeof *ledger);
-  ledger->shares = shares;
-  ledger->terms = *terms;
-  return ledger;
+  struct quota_pool *pool = xcalloc (1, sizeof *pool);
+  pool->shares = shares;
+  pool->tolerance = *tolerance;
+  return pool;
 }
 
 void
-quota_pool_destroy (struct quota_pool *ledger)
+quota_pool_destroy (struct quota_pool *pool)
 {
-  if (ledger == NULL)
+  if (pool == NULL)
     return;
-  struct quota_account *account = ledger->accounts;
-  HASH_CLEAR (hh, ledger->accounts);
-  while (account != NULL)
+  struct quota_bucket *bucket = pool->buckets;
+  HASH_CLEAR (hh, pool->buckets);
+  while (bucket != NULL)
     {
-      struct quota_account *next = account->hh.next;
-      free (account);
-      account = next;
+      struct quota_bucket *next = bucket->hh.next;
+      free (bucket);
+      bucket = next;
     }
-  free (ledger);
+  free (pool);
 }
 
-/* One that is met for the first time has been filling since the ledger
-   began. */
-static struct quota_account *
-account_of (struct quota_pool *ledger, int64_t now_ms, uint64_t workspace)
+/* A bucket that is created on its first use has been filling since the pool
+   was created. */
+static struct quota_bucket *
+find_or_add_bucket (struct quota_pool *pool, int64_t now_ms,
+                    uint64_t workspace)
 {
-  struct quota_account *account;
-  HASH_FIND (hh, ledger->accounts, &workspace, sizeof workspace, account);
-  if (account != NULL)
-    return account;
-  account = xcalloc (1, sizeof *account);
-  account->workspace = workspace;
-  account->part = now_ms / PART_MS;
-  account->demand_ms = now_ms;
-  HASH_ADD (hh, ledger->accounts, workspace, sizeof account->workspace,
-            account);
-  return account;
+  struct quota_bucket *bucket;
+  HASH_FIND (hh, pool->buckets, &workspace, sizeof workspace, bucket);
+  if (bucket != NULL)
+    return bucket;
+  bucket = xcalloc (1, sizeof *bucket);
+  bucket->workspace = workspace;
+  bucket->first_slot = now_ms / GRANT_SLOT_MS;
+  bucket->demand_ms = now_ms;
+  HASH_ADD (hh, pool->buckets, workspace, sizeof bucket->workspace, bucket);
+  return bucket;
 }
 
 static void
-forget_granted (struct quota_account *account, int64_t now_ms)
+expire_granted (struct quota_bucket *bucket, int64_t now_ms)
 {
-  const int64_t part = now_ms / PART_MS;
-  int64_t passed = part - account->part;
-  if (passed <= 0)
+  const int64_t slot = now_ms / GRANT_SLOT_MS;
+  int64_t elapsed_slots = slot - bucket->first_slot;
+  if (elapsed_slots <= 0)
     return;
-  if (passed > GRANT_ROWS)
-    passed = GRANT_ROWS;
-  for (int64_t i = 0; i < passed; i++)
-    account->granted[(account->part + i) % GRANT_ROWS] = 0;
-  account->part = part;
+  if (elapsed_slots > GRANT_SLOTS)
+    elapsed_slots = GRANT_SLOTS;
+  for (int64_t i = 0; i < elapsed_slots; i++)
+    bucket->granted[(bucket->first_slot + i) % GRANT_SLOTS] = 0;
+  bucket->first_slot = slot;
 }
 
 static uint32_t
-granted_and_good (const struct quota_account *account)
+outstanding_tokens (const struct quota_bucket *bucket)
 {
   uint32_t sum = 0;
-  for (size_t i = 0; i < GRANT_ROWS; i++)
-    sum += account->granted[i];
+  for (size_t i = 0; i < GRANT_SLOTS; i++)
+    sum += bucket->granted[i];
   return sum;
 }
 
-/* Until the first granted tokens' term ends. */
+/* Returns the time until the lifetime of the first granted tokens ends. */
 static uint32_t
-first_end_ms (const struct quota_account *account, int64_t now_ms)
+first_expiry_ms (const struct quota_bucket *bucket, int64_t now_ms)
 {
-  for (int64_t part = account->part; part < account->part + GRANT_ROWS; part++)
-    if (account->granted[part % GRANT_ROWS] > 0)
-      return (uint32_t)((part + 1) * PART_MS - now_ms);
+  for (int64_t slot = bucket->first_slot;
+       slot < bucket->first_slot + GRANT_SLOTS; slot++)
+    if (bucket->granted[slot % GRANT_SLOTS] > 0)
+      return (uint32_t)((slot + 1) * GRANT_SLOT_MS - now_ms);
   return 0;
 }
 
-/* What an account may hold when nothing is granted. */
+/* Returns the capacity of a bucket with no outstanding tokens. */
 static double
-most_held (struct quota_pool *ledger, int64_t now_ms,
-           const struct quota_limit *limit)
+total_capacity (struct quota_pool *pool, int64_t now_ms,
+                const struct quota_limit *limit)
 {
-  return quota_limit_capacity (limit, &ledger->terms)
-         * quota_shares_fraction (ledger->shares, now_ms);
+  return quota_limit_capacity (limit, &pool->tolerance)
+         * quota_shares_fraction (pool->shares, now_ms);
 }
 
-/* What an account may hold beside what it has granted. */
+/* Returns the capacity of a bucket, given its outstanding tokens. */
 static double
-room (struct quota_pool *ledger, const struct quota_account *account,
-      int64_t now_ms, const struct quota_limit *limit)
+available_capacity (struct quota_pool *pool, const struct quota_bucket *bucket,
+                    int64_t now_ms, const struct quota_limit *limit)
 {
-  const double paid = quota_limit_refill_per_s (limit, &ledger->terms)
-                      * quota_shares_fraction (ledger->shares, now_ms)
-                      * quota_tolerance_token_overshoot_ms (&ledger->terms)
-                      / MS_PER_SECOND;
-  const double granted = granted_and_good (account);
-  double most = most_held (ledger, now_ms, limit);
-  if (granted > paid)
-    most -= granted - paid;
-  return most;
+  const double covered
+      = quota_limit_refill_per_s (limit, &pool->tolerance)
+        * quota_shares_fraction (pool->shares, now_ms)
+        * quota_tolerance_token_overshoot_ms (&pool->tolerance)
+        / MS_PER_SECOND;
+  const double granted = outstanding_tokens (bucket);
+  double capacity = total_capacity (pool, now_ms, limit);
+  if (granted > covered)
+    capacity -= granted - covered;
+  return capacity;
 }
 
 static void
-bound_level (struct quota_pool *ledger, struct quota_account *account,
+clamp_level (struct quota_pool *pool, struct quota_bucket *bucket,
              int64_t now_ms, const struct quota_limit *limit)
 {
-  const double most = room (ledger, account, now_ms, limit);
-  if (account->level > most)
-    account->level = most > 0 ? most : 0;
+  const double capacity = available_capacity (pool, bucket, now_ms, limit);
+  if (bucket->level > capacity)
+    bucket->level = capacity > 0 ? capacity : 0;
 }
 
-/* The account of WORKSPACE, counted up to NOW_MS. */
-static struct quota_account *
-counted (struct quota_pool *ledger, int64_t now_ms, uint64_t workspace,
-         const struct quota_limit *limit)
+/* Returns the bucket of WORKSPACE, refilled up to NOW_MS. */
+static struct quota_bucket *
+refilled_bucket (struct quota_pool *pool, int64_t now_ms, uint64_t workspace,
+                 const struct quota_limit *limit)
 {
-  struct quota_account *account = account_of (ledger, now_ms, workspace);
-  const double seconds = quota_shares_integral_s (ledger->shares, now_ms);
-  account->level += quota_limit_refill_per_s (limit, &ledger->terms)
-                    * (seconds - account->seconds);
-  account->seconds = seconds;
-  forget_granted (account, now_ms);
-  bound_level (ledger, account, now_ms, limit);
-  return account;
+  struct quota_bucket *bucket = find_or_add_bucket (pool, now_ms, workspace);
+  const double integral_s = quota_shares_integral_s (pool->shares, now_ms);
+  bucket->level += quota_limit_refill_per_s (limit, &pool->tolerance)
+                   * (integral_s - bucket->integral_s);
+  bucket->integral_s = integral_s;
+  expire_granted (bucket, now_ms);
+  clamp_level (pool, bucket, now_ms, limit);
+  return bucket;
 }
 
 static void
-note_demand (struct quota_account *account, int64_t now_ms, uint32_t wanted)
+add_demand (struct quota_bucket *bucket, int64_t now_ms, uint32_t requested)
 {
-  const double passed_ms = (double)(now_ms - account->demand_ms);
-  account->demand *= exp (-passed_ms / DEMAND_MS);
-  account->demand += wanted;
-  account->demand_ms = now_ms;
+  const double elapsed_ms = (double)(now_ms - bucket->demand_ms);
+  bucket->demand *= exp (-elapsed_ms / DEMAND_DECAY_MS);
+  bucket->demand += requested;
+  bucket->demand_ms = now_ms;
 }
 
-/* What holders here will want until other keepers can be asked again. */
+/* Returns the tokens that holders will request until other coordinators can
+   be asked again. */
 static double
-wanted_soon (const struct quota_account *account, int64_t now_ms)
+expected_demand (const struct quota_bucket *bucket, int64_t now_ms)
 {
-  const double passed_ms = (double)(now_ms - account->demand_ms);
-  return account->demand * exp (-passed_ms / DEMAND_MS) * AHEAD_MS / DEMAND_MS;
+  const double elapsed_ms = (double)(now_ms - bucket->demand_ms);
+  return bucket->demand * exp (-elapsed_ms / DEMAND_DECAY_MS) * LOOKAHEAD_MS
+         / DEMAND_DECAY_MS;
 }
 
-/* Note UNMET tokens that were wanted.
-   @return how many others are waited for */
+/* Adds UNMET requested tokens to the backlog.
+   @return the backlog of other holders before */
 static double
-note_backlog (struct quota_account *account, int64_t now_ms, uint32_t unmet)
+add_backlog (struct quota_bucket *bucket, int64_t now_ms, uint32_t unmet)
 {
-  const double passed_ms = (double)(now_ms - account->backlog_ms);
-  const double others = account->backlog * exp (-passed_ms / BACKLOG_MS);
-  account->backlog = others + unmet;
-  account->backlog_ms = now_ms;
+  const double elapsed_ms = (double)(now_ms - bucket->backlog_ms);
+  const double others = bucket->backlog * exp (-elapsed_ms / BACKLOG_DECAY_MS);
+  bucket->backlog = others + unmet;
+  bucket->backlog_ms = now_ms;
   return others;
 }
 
-/* Until there is a token for who asks, behind AHEAD that others want. */
+/* Returns the time until a token is available to the asking holder, after
+   the AHEAD tokens that other holders wait for. */
 static uint32_t
-due_ms (struct quota_pool *ledger, const struct quota_account *account,
-        int64_t now_ms, const struct quota_limit *limit, double ahead)
+time_to_next_token_ms (struct quota_pool *pool,
+                       const struct quota_bucket *bucket, int64_t now_ms,
+                       const struct quota_limit *limit, double ahead)
 {
-  const double part = quota_shares_fraction (ledger->shares, now_ms);
-  const double rate = quota_limit_refill_per_s (limit, &ledger->terms) * part;
-  const double lacking = 1 - account->level + ahead;
-  if (lacking <= 0)
+  const double fraction = quota_shares_fraction (pool->shares, now_ms);
+  const double rate
+      = quota_limit_refill_per_s (limit, &pool->tolerance) * fraction;
+  const double missing = 1 - bucket->level + ahead;
+  if (missing <= 0)
     return 1;
-  /* Guards against callers that are sent away for long, since their workspace
-     seems to have used up its quota, when hosts have just started and haven't
-     lent their shares yet. */
-  if (!quota_shares_are_stable (ledger->shares, now_ms))
+  /* Hosts that have just started haven't leased their shares yet, so the
+     quota seems exhausted and callers would be told to retry late.  The
+     time is reported as unknown until the shares are stable. */
+  if (!quota_shares_are_stable (pool->shares, now_ms))
     return 0;
-  if (rate * DUE_MOST_MS / MS_PER_SECOND < lacking)
-    return DUE_MOST_MS;
-  const uint32_t made_ms = (uint32_t)ceil (lacking / rate * MS_PER_SECOND);
-  if (room (ledger, account, now_ms, limit) >= 1)
-    return made_ms;
-  const uint32_t room_ms = first_end_ms (account, now_ms);
-  return made_ms > room_ms ? made_ms : room_ms;
+  if (rate * RETRY_MAX_MS / MS_PER_SECOND < missing)
+    return RETRY_MAX_MS;
+  const uint32_t refill_ms = (uint32_t)ceil (missing / rate * MS_PER_SECOND);
+  if (available_capacity (pool, bucket, now_ms, limit) >= 1)
+    return refill_ms;
+  const uint32_t expiry_ms = first_expiry_ms (bucket, now_ms);
+  return refill_ms > expiry_ms ? refill_ms : expiry_ms;
 }
 
 static struct quota_grant
-grant (struct quota_pool *ledger, struct quota_account *account,
-       int64_t now_ms, const struct quota_limit *limit, double most,
-       uint32_t wanted)
+grant (struct quota_pool *pool, struct quota_bucket *bucket, int64_t now_ms,
+       const struct quota_limit *limit, double available, uint32_t requested)
 {
-  const double held = most_held (ledger, now_ms, limit);
-  struct quota_grant granted = { .tokens = most > 0 ? (uint32_t)most : 0 };
-  account->level -= granted.tokens;
-  const bool has_few = account->level < held / FEW_PARTS;
+  const double capacity = total_capacity (pool, now_ms, limit);
+  struct quota_grant granted
+      = { .tokens = available > 0 ? (uint32_t)available : 0 };
+  bucket->level -= granted.tokens;
+  const bool is_scarce = bucket->level < capacity / SCARCE_DIVISOR;
   granted.term_ms
-      = has_few ? QUOTA_TOKEN_LIFETIME_SCARCE_MS : QUOTA_TOKEN_LIFETIME_MS;
-  const int64_t end_part = (now_ms + granted.term_ms) / PART_MS;
-  account->granted[end_part % GRANT_ROWS] += granted.tokens;
-  if (granted.tokens < wanted)
+      = is_scarce ? QUOTA_TOKEN_LIFETIME_SCARCE_MS : QUOTA_TOKEN_LIFETIME_MS;
+  const int64_t end_slot = (now_ms + granted.term_ms) / GRANT_SLOT_MS;
+  bucket->granted[end_slot % GRANT_SLOTS] += granted.tokens;
+  if (granted.tokens < requested)
     {
       const double ahead
-          = note_backlog (account, now_ms, wanted - granted.tokens);
-      granted.next_token_ms = due_ms (ledger, account, now_ms, limit, ahead);
+          = add_backlog (bucket, now_ms, requested - granted.tokens);
+      granted.next_token_ms
+          = time_to_next_token_ms (pool, bucket, now_ms, limit, ahead);
     }
   return granted;
 }
 
 struct quota_grant
-quota_pool_grant (struct quota_pool *ledger, int64_t now_ms,
-                  uint64_t workspace, const struct quota_limit *limit,
-                  uint32_t wanted)
+quota_pool_grant (struct quota_pool *pool, int64_t now_ms, uint64_t workspace,
+                  const struct quota_limit *limit, uint32_t requested)
 {
-  struct quota_account *account = counted (ledger, now_ms, workspace, limit);
-  note_demand (account, now_ms, wanted);
-  const double most = wanted < account->level ? wanted : account->level;
-  return grant (ledger, account, now_ms, limit, most, wanted);
+  struct quota_bucket *bucket
+      = refilled_bucket (pool, now_ms, workspace, limit);
+  add_demand (bucket, now_ms, requested);
+  const double available
+      = requested < bucket->level ? requested : bucket->level;
+  return grant (pool, bucket, now_ms, limit, available, requested);
 }
 
-/* They take no room here: the other keeper has room for them, or they are
-   lost. */
+/* Transferred tokens don't count as outstanding here: the other coordinator
+   has capacity for them, or they are discarded. */
 uint32_t
-quota_pool_take_surplus (struct quota_pool *ledger, int64_t now_ms,
+quota_pool_take_surplus (struct quota_pool *pool, int64_t now_ms,
                          uint64_t workspace, const struct quota_limit *limit,
-                         uint32_t wanted)
+                         uint32_t requested)
 {
-  struct quota_account *account = counted (ledger, now_ms, workspace, limit);
-  const double spare = account->level - wanted_soon (account, now_ms);
-  if (spare < 1)
+  struct quota_bucket *bucket
+      = refilled_bucket (pool, now_ms, workspace, limit);
+  const double surplus = bucket->level - expected_demand (bucket, now_ms);
+  if (surplus < 1)
     return 0;
-  const uint32_t tokens = spare < wanted ? (uint32_t)spare : wanted;
-  account->level -= tokens;
+  const uint32_t tokens = surplus < requested ? (uint32_t)surplus : requested;
+  bucket->level -= tokens;
   return tokens;
 }
 
 void
-quota_pool_add (struct quota_pool *ledger, int64_t now_ms, uint64_t workspace,
+quota_pool_add (struct quota_pool *pool, int64_t now_ms, uint64_t workspace,
                 const struct quota_limit *limit, uint32_t tokens)
 {
-  struct quota_account *account = counted (ledger, now_ms, workspace, limit);
-  account->level += tokens;
-  bound_level (ledger, account, now_ms, limit);
+  struct quota_bucket *bucket
+      = refilled_bucket (pool, now_ms, workspace, limit);
+  bucket->level += tokens;
+  clamp_level (pool, bucket, now_ms, limit);
 }
 
 uint32_t
-quota_pool_deficit (struct quota_pool *ledger, int64_t now_ms,
+quota_pool_deficit (struct quota_pool *pool, int64_t now_ms,
                     uint64_t workspace, const struct quota_limit *limit)
 {
-  struct quota_account *account = counted (ledger, now_ms, workspace, limit);
-  const double fits = room (ledger, account, now_ms, limit);
-  const double soon = wanted_soon (account, now_ms);
-  const double lacking = (soon < fits ? soon : fits) - account->level;
-  return lacking > 0 ? (uint32_t)ceil (lacking) : 0;
+  struct quota_bucket *bucket
+      = refilled_bucket (pool, now_ms, workspace, limit);
+  const double capacity = available_capacity (pool, bucket, now_ms, limit);
+  const double expected = expected_demand (bucket, now_ms);
+  const double missing
+      = (expected < capacity ? expected : capacity) - bucket->level;
+  return missing > 0 ? (uint32_t)ceil (missing) : 0;
 }
--- a/policy/quota/quota_pool.h
+++ b/policy/quota/quota_pool.h
@@ -1,6 +1,7 @@
 /** @file
- * A keeper's accounts: what the shares it may use have made for each
- * workspace, and what of it was granted.  See quota_limit.h.
+ * Token buckets of a coordinator: the tokens that the shares it may use have
+ * produced for each workspace, and how many of them were granted.  See
+ * quota_limit.h.
  */
 #ifndef POLICY_QUOTA_QUOTA_POOL_H
 #define POLICY_QUOTA_QUOTA_POOL_H
@@ -12,40 +13,43 @@
 
 struct quota_pool;
 
-/** Accounts fed by SHARES, which outlives them. */
+/** Create a pool that is refilled by SHARES, which must outlive it. */
 struct quota_pool *quota_pool_create (struct quota_shares *shares,
-                                      const struct quota_tolerance *terms);
-void quota_pool_destroy (struct quota_pool *ledger);
+                                      const struct quota_tolerance *tolerance);
+void quota_pool_destroy (struct quota_pool *pool);
 
 struct quota_grant
 {
   uint32_t tokens;
-  uint32_t term_ms;       /**< they may be used for, from the question on */
-  uint32_t next_token_ms; /**< until the next token is made; 0 if there is one,
-                      or if none is made here now and nobody can tell */
+  uint32_t term_ms; /**< lifetime of the tokens, counted from the request */
+  uint32_t next_token_ms; /**< time until the next token; 0 if there is one, or
+                             if it is unknown because the shares here aren't
+                             stable yet */
 };
 
-/** Take up to WANTED tokens of WORKSPACE, for a holder. */
-struct quota_grant quota_pool_grant (struct quota_pool *ledger, int64_t now_ms,
+/** Grant a holder up to REQUESTED tokens of WORKSPACE. */
+struct quota_grant quota_pool_grant (struct quota_pool *pool, int64_t now_ms,
                                      uint64_t workspace,
                                      const struct quota_limit *limit,
-                                     uint32_t wanted);
+                                     uint32_t requested);
 
-/** Take up to WANTED tokens for another keeper, of what holders here don't
- * need soon. */
-uint32_t quota_pool_take_surplus (struct quota_pool *ledger, int64_t now_ms,
+/** Remove up to REQUESTED tokens that holders here don't need soon, for
+ * another coordinator. */
+uint32_t quota_pool_take_surplus (struct quota_pool *pool, int64_t now_ms,
                                   uint64_t workspace,
                                   const struct quota_limit *limit,
-                                  uint32_t wanted);
+                                  uint32_t requested);
 
-/** Another keeper has given TOKENS; what doesn't fit is lost. */
-void quota_pool_add (struct quota_pool *ledger, int64_t now_ms,
+/** Add TOKENS received from another coordinator; those above the capacity
+ * are discarded. */
+void quota_pool_add (struct quota_pool *pool, int64_t now_ms,
                      uint64_t workspace, const struct quota_limit *limit,
                      uint32_t tokens);
 
-/** How many tokens of WORKSPACE to ask other keepers for, since what is here
- * doesn't last until they are asked again. */
-uint32_t quota_pool_deficit (struct quota_pool *ledger, int64_t now_ms,
+/** Return the number of tokens of WORKSPACE to request from other
+ * coordinators because the tokens here will not last until the next
+ * request. */
+uint32_t quota_pool_deficit (struct quota_pool *pool, int64_t now_ms,
                              uint64_t workspace,
                              const struct quota_limit *limit);
 
--- a/policy/quota/quota_shares.c
+++ b/policy/quota/quota_shares.c
@@ -8,43 +8,43 @@
 
 enum
 {
-  FLEET_KEPT_MS = 60 * 1000,
-  FIRST_ROOM = 16,
-  /** Hosts that start together, or whose keeper is lost, have lent their
-   * shares within a third of that; the rest is for what callers sent
-   * meanwhile. */
-  SETTLE_MS = 2000,
+  HOST_COUNT_RETENTION_MS = 60 * 1000,
+  INITIAL_LEASE_CAPACITY = 16,
+  /** Hosts that start together, or whose coordinator has failed, lease their
+   * shares within a third of this time; the rest is for the requests that
+   * callers sent in the meantime. */
+  STABILIZATION_MS = 2000,
 };
 
 static const double MS_PER_SECOND = 1000.0;
-static const double much_grown = 1.25;
+static const double large_growth_factor = 1.25;
 
-struct lent_share
+struct share_lease
 {
   uint64_t lender;
-  int64_t until_ms;
+  int64_t expires_ms;
 };
 
 struct quota_shares
 {
-  struct lent_share *lent;
-  size_t lent_count;
-  size_t lent_room;
+  struct share_lease *leases;
+  size_t lease_count;
+  size_t lease_capacity;
   int64_t own_from_ms;
   uint32_t hosts;
-  int64_t hosts_ms;     /* when `hosts` was last told */
-  uint32_t fewer_hosts; /* the highest of the numbers below it since */
-  double part;          /* the least since it grew much */
-  int64_t grown_ms;     /* when that was */
-  int64_t counted_ms;   /* up to which `seconds` is counted */
-  double seconds;
+  int64_t hosts_ms;         /* when `hosts` was last reported */
+  uint32_t lower_hosts;     /* highest lower number reported since */
+  double fraction;          /* minimum since the last large growth */
+  int64_t growth_ms;        /* time of the last large growth */
+  int64_t counted_until_ms; /* time up to which `integral_s` is computed */
+  double integral_s;
 };
 
 struct quota_shares *
 quota_shares_create (int64_t now_ms, int64_t own_from_ms)
 {
   struct quota_shares *shares = xcalloc (1, sizeof *shares);
-  shares->counted_ms = now_ms;
+  shares->counted_until_ms = now_ms;
   shares->own_from_ms = own_from_ms;
   return shares;
 }
@@ -54,62 +54,64 @@
 {
   if (shares == NULL)
     return;
-  free (shares->lent);
+  free (shares->leases);
   free (shares);
 }
 
-/* The time within [FROM_MS, UNTIL_MS) that isn't counted yet. */
+/* Returns the length of the part of [FROM_MS, TO_MS) that isn't counted
+   yet. */
 static int64_t
 uncounted_ms (const struct quota_shares *shares, int64_t now_ms,
-              int64_t from_ms, int64_t until_ms)
+              int64_t from_ms, int64_t to_ms)
 {
-  const int64_t begin_ms
-      = from_ms > shares->counted_ms ? from_ms : shares->counted_ms;
-  const int64_t end_ms = until_ms < now_ms ? until_ms : now_ms;
+  const int64_t begin_ms = from_ms > shares->counted_until_ms
+                               ? from_ms
+                               : shares->counted_until_ms;
+  const int64_t end_ms = to_ms < now_ms ? to_ms : now_ms;
   return end_ms > begin_ms ? end_ms - begin_ms : 0;
 }
 
-/* Count up to NOW_MS and drop what is over. */
+/* Advances the integral to NOW_MS and removes the leases that have ended. */
 static void
-count (struct quota_shares *shares, int64_t now_ms)
+advance (struct quota_shares *shares, int64_t now_ms)
 {
   size_t kept = 0;
-  if (now_ms <= shares->counted_ms)
+  if (now_ms <= shares->counted_until_ms)
     return;
   int64_t usable_ms
       = uncounted_ms (shares, now_ms, shares->own_from_ms, INT64_MAX);
-  for (size_t i = 0; i < shares->lent_count; i++)
+  for (size_t i = 0; i < shares->lease_count; i++)
     {
-      const struct lent_share share = shares->lent[i];
-      usable_ms += uncounted_ms (shares, now_ms, INT64_MIN, share.until_ms);
-      if (share.until_ms > now_ms)
-        shares->lent[kept++] = share;
+      const struct share_lease lease = shares->leases[i];
+      usable_ms += uncounted_ms (shares, now_ms, INT64_MIN, lease.expires_ms);
+      if (lease.expires_ms > now_ms)
+        shares->leases[kept++] = lease;
     }
-  shares->lent_count = kept;
+  shares->lease_count = kept;
   if (shares->hosts > 0)
-    shares->seconds += (double)usable_ms / MS_PER_SECOND / shares->hosts;
-  shares->counted_ms = now_ms;
+    shares->integral_s += (double)usable_ms / MS_PER_SECOND / shares->hosts;
+  shares->counted_until_ms = now_ms;
 }
 
 void
 quota_shares_note_host_count (struct quota_shares *shares, int64_t now_ms,
                               uint32_t hosts)
 {
-  count (shares, now_ms);
+  advance (shares, now_ms);
   if (hosts >= shares->hosts)
     {
       shares->hosts = hosts;
       shares->hosts_ms = now_ms;
-      shares->fewer_hosts = 0;
+      shares->lower_hosts = 0;
       return;
     }
-  if (hosts > shares->fewer_hosts)
-    shares->fewer_hosts = hosts;
-  if (now_ms - shares->hosts_ms < FLEET_KEPT_MS)
+  if (hosts > shares->lower_hosts)
+    shares->lower_hosts = hosts;
+  if (now_ms - shares->hosts_ms < HOST_COUNT_RETENTION_MS)
     return;
-  shares->hosts = shares->fewer_hosts;
+  shares->hosts = shares->lower_hosts;
   shares->hosts_ms = now_ms;
-  shares->fewer_hosts = 0;
+  shares->lower_hosts = 0;
 }
 
 uint32_t
@@ -122,75 +124,77 @@
 quota_shares_set_own_from (struct quota_shares *shares, int64_t now_ms,
                            int64_t from_ms)
 {
-  count (shares, now_ms);
+  advance (shares, now_ms);
   shares->own_from_ms = from_ms;
 }
 
-static struct lent_share *
-share_of (struct quota_shares *shares, uint64_t lender)
+static struct share_lease *
+find_or_add_lease (struct quota_shares *shares, uint64_t lender)
 {
-  for (size_t i = 0; i < shares->lent_count; i++)
-    if (shares->lent[i].lender == lender)
-      return &shares->lent[i];
-  if (shares->lent_count == shares->lent_room)
+  for (size_t i = 0; i < shares->lease_count; i++)
+    if (shares->leases[i].lender == lender)
+      return &shares->leases[i];
+  if (shares->lease_count == shares->lease_capacity)
     {
-      shares->lent_room
-          = shares->lent_room > 0 ? shares->lent_room * 2 : FIRST_ROOM;
-      shares->lent = xreallocarray (shares->lent, shares->lent_room,
-                                    sizeof *shares->lent);
+      shares->lease_capacity = shares->lease_capacity > 0
+                                   ? shares->lease_capacity * 2
+                                   : INITIAL_LEASE_CAPACITY;
+      shares->leases = xreallocarray (shares->leases, shares->lease_capacity,
+                                      sizeof *shares->leases);
     }
-  struct lent_share *share = &shares->lent[shares->lent_count++];
-  *share = (struct lent_share){ .lender = lender };
-  return share;
+  struct share_lease *lease = &shares->leases[shares->lease_count++];
+  *lease = (struct share_lease){ .lender = lender };
+  return lease;
 }
 
 void
 quota_shares_add_lease (struct quota_shares *shares, int64_t now_ms,
                         uint64_t lender, int64_t after_ms)
 {
-  const int64_t until_ms
+  const int64_t expires_ms
       = after_ms + quota_term_less_drift_ms (QUOTA_LEASE_MS);
-  count (shares, now_ms);
-  if (until_ms <= now_ms)
+  advance (shares, now_ms);
+  if (expires_ms <= now_ms)
     return;
-  struct lent_share *share = share_of (shares, lender);
-  if (until_ms > share->until_ms)
-    share->until_ms = until_ms;
+  struct share_lease *lease = find_or_add_lease (shares, lender);
+  if (expires_ms > lease->expires_ms)
+    lease->expires_ms = expires_ms;
 }
 
 static void
-note_growth (struct quota_shares *shares, int64_t now_ms, double part)
+update_growth (struct quota_shares *shares, int64_t now_ms, double fraction)
 {
-  if (part > shares->part * much_grown)
-    shares->grown_ms = now_ms;
-  if (part > shares->part * much_grown || part < shares->part)
-    shares->part = part;
+  if (fraction > shares->fraction * large_growth_factor)
+    shares->growth_ms = now_ms;
+  if (fraction > shares->fraction * large_growth_factor
+      || fraction < shares->fraction)
+    shares->fraction = fraction;
 }
 
 double
 quota_shares_fraction (struct quota_shares *shares, int64_t now_ms)
 {
-  count (shares, now_ms);
+  advance (shares, now_ms);
   if (shares->hosts == 0)
     return 0;
   const bool has_own = now_ms >= shares->own_from_ms;
-  const size_t usable = shares->lent_count + (has_own ? 1 : 0);
-  const double part
+  const size_t usable = shares->lease_count + (has_own ? 1 : 0);
+  const double fraction
       = usable < shares->hosts ? (double)usable / shares->hosts : 1;
-  note_growth (shares, now_ms, part);
-  return part;
+  update_growth (shares, now_ms, fraction);
+  return fraction;
 }
 
 bool
 quota_shares_are_stable (struct quota_shares *shares, int64_t now_ms)
 {
-  const double part = quota_shares_fraction (shares, now_ms);
-  return part > 0 && now_ms - shares->grown_ms >= SETTLE_MS;
+  const double fraction = quota_shares_fraction (shares, now_ms);
+  return fraction > 0 && now_ms - shares->growth_ms >= STABILIZATION_MS;
 }
 
 double
 quota_shares_integral_s (struct quota_shares *shares, int64_t now_ms)
 {
-  count (shares, now_ms);
-  return shares->seconds;
+  advance (shares, now_ms);
+  return shares->integral_s;
 }
