--- a/policy/service_policy.c
+++ b/policy/service_policy.c
@@ -12,9 +12,9 @@
 
 enum
 {
-  POLL_US = 20000, /* standings change and standstills show with time */
-  LOOK_PAST = 4,   /* entries held back for another target */
-  COVERING_HOSTS = 2,
+  POLL_US = 20000, /* outlier status and stalls change with time */
+  SKIPPED_MAX = 4, /* entries that are held back for another target */
+  BACKUP_HOSTS = 2,
 };
 
 const char *
@@ -120,21 +120,21 @@
     target_set_limit_rate (&policy->set, now_us, target, rate_millis);
 }
 
-/* Have as many targets been asked as may be? */
+/* Has R used all of its attempts? */
 static bool
-has_used_attempts (const struct service_policy *policy,
-                   const struct policy_request *r)
+is_out_of_attempts (const struct service_policy *policy,
+                    const struct policy_request *r)
 {
-  const uint32_t asked = r->attempt - 1 - r->unsent;
+  const uint32_t sent = r->attempt - 1 - r->unsent;
   return r->attempt > 1
-         && (asked >= service_state_attempts_max (policy, r)
+         && (sent >= service_state_attempts_max (policy, r)
              || r->unsent > POLICY_UNSENT_MAX);
 }
 
-/* What reached no target adds to nobody's load: the next try is still the
-   first one, or has the retry that the unsent one was paid with.  Guards
-   against callers that are refused since ways to some targets are cut, while
-   others would take the request. */
+/* An attempt that reached no target adds no load.  So the next attempt
+   either still counts as the first, or uses the token that the unsent one
+   consumed.  Otherwise callers would be refused because of a network
+   partition from some targets, although others could serve the request. */
 static bool
 costs_retry (const struct policy_request *r)
 {
@@ -161,7 +161,7 @@
     return placement_refuse (policy, r, POLICY_REASON_NO_TARGET);
   if (r->deadline_us <= now_us)
     return placement_refuse (policy, r, POLICY_REASON_TOO_LATE);
-  if (has_used_attempts (policy, r))
+  if (is_out_of_attempts (policy, r))
     return placement_refuse (policy, r, POLICY_REASON_ATTEMPTS);
   if (costs_retry (r)
       && !retry_budget_take (&policy->budget, &policy->options.retries,
@@ -177,8 +177,8 @@
                                    uint32_t target)
 {
   const struct target_set *set = &policy->set;
-  const uint32_t most = service_state_attempts_max (policy, r);
-  const uint32_t asked = r->attempt - r->unsent;
+  const uint32_t max_attempts = service_state_attempts_max (policy, r);
+  const uint32_t sent = r->attempt - r->unsent;
   const int64_t goal_us = r->goal_us > 0 ? r->goal_us : r->deadline_us;
   if (target >= set->count)
     return ATTEMPT_NO_TIMEOUT;
@@ -189,7 +189,7 @@
     = target_set_hang_probability (set, set->targets[target].p_unhealthy),
     .p_next_hang
     = target_set_hang_probability (set, set->baseline.unhealthy_share / 2),
-    .remaining_attempts = asked < most ? most - asked : 0,
+    .remaining_attempts = sent < max_attempts ? max_attempts - sent : 0,
   };
   return attempt_timeout_us (&set->latencies, &outlook);
 }
@@ -201,18 +201,18 @@
 {
   policy->now_us = now_us;
   target_set_refresh (&policy->set, now_us);
-  const int64_t left_us = r->deadline_us - now_us;
-  if (!r->repeatable || left_us <= 0 || has_used_attempts (policy, r)
+  const int64_t remaining_us = r->deadline_us - now_us;
+  if (!r->repeatable || remaining_us <= 0 || is_out_of_attempts (policy, r)
       || attempt_timeout_is_deadline_unlikely (&policy->set.latencies,
-                                               left_us))
+                                               remaining_us))
     return false;
-  const struct retry_limits *bound = &policy->options.retries;
+  const struct retry_limits *limits = &policy->options.retries;
   if (!costs_retry (r))
     return placement_failover (policy, r, decision);
-  if (!retry_budget_is_available (&policy->budget, bound, now_us)
+  if (!retry_budget_is_available (&policy->budget, limits, now_us)
       || !placement_failover (policy, r, decision))
     return false;
-  const bool taken = retry_budget_take (&policy->budget, bound, now_us);
+  const bool taken = retry_budget_take (&policy->budget, limits, now_us);
   assert (taken);
   (void)taken;
   return true;
@@ -231,14 +231,14 @@
   service_rate_note_release (&policy->rate, now_us, policy->queue.count > 0);
 }
 
-/* Some of the others visit a target that one can't reach.  They are drawn, as
-   one visit is enough. */
+/* Another host can't reach TARGET, so some of the remaining hosts, drawn at
+   random, probe it; one probe is enough. */
 static void
-hear_unsent (struct service_policy *policy, uint32_t target)
+note_unreachable (struct service_policy *policy, uint32_t target)
 {
   const uint32_t others
       = policy->options.set_hosts > 1 ? policy->options.set_hosts - 1 : 1;
-  if (rng_below (&policy->rng, others) < COVERING_HOSTS)
+  if (rng_below (&policy->rng, others) < BACKUP_HOSTS)
     target_set_note_unreachable (&policy->set, policy->now_us, target);
 }
 
@@ -251,28 +251,30 @@
   if (target >= policy->set.count)
     return;
   if (end == ATTEMPT_NOT_SENT)
-    hear_unsent (policy, target);
+    note_unreachable (policy, target);
   else
     target_set_observe_remote (&policy->set, now_us, target, end);
 }
 
 /* Entry E of the queue can't be served: answer it now. */
 static struct policy_decision
-give_up (struct service_policy *policy, uint32_t e, enum policy_reason reason)
+refuse_queued (struct service_policy *policy, uint32_t e,
+               enum policy_reason reason)
 {
   const struct policy_request r = policy->queue.entries[e].request;
   wait_queue_remove (&policy->queue, e);
   return placement_refuse (policy, &r, reason);
 }
 
-/* The oldest of LANE goes first; past those that are held back for another
- * target, so that they don't keep free slots from the rest. */
+/* Try the oldest entry of LANE first.  Entries that are held back for
+   another target are skipped, so that they don't block free slots for the
+   others. */
 static bool
 try_lane (struct service_policy *policy, enum wait_lane lane,
           struct policy_decision *d)
 {
   uint32_t at = wait_queue_oldest (&policy->queue, lane);
-  for (int i = 0; i < LOOK_PAST && at != WAIT_QUEUE_NONE; i++)
+  for (int i = 0; i < SKIPPED_MAX && at != WAIT_QUEUE_NONE; i++)
     {
       const struct wait_entry *e = &policy->queue.entries[at];
       if (placement_send_queued (policy, e, d))
@@ -287,15 +289,15 @@
   return false;
 }
 
-/* Who joined last may have no chance any more: targets went out of service
- * or became slow.  Refused now, the caller can come back in time; half of the
- * expected wait is allowed for error. */
+/* The request that was queued last may no longer be servable in time,
+   because targets were removed or became slow.  Refusing it now lets the
+   caller retry in time.  The expected wait may be wrong by a factor of two. */
 static bool
-is_hopeless (const struct service_policy *policy, const struct wait_entry *e)
+is_too_late (const struct service_policy *policy, const struct wait_entry *e)
 {
-  const double left_us = (double)(e->expires_us - policy->now_us);
+  const double remaining_us = (double)(e->expires_us - policy->now_us);
   return policy->queue.count * service_state_mean_interval_us (policy)
-         > 2 * left_us;
+         > 2 * remaining_us;
 }
 
 bool
@@ -309,18 +311,18 @@
     return false;
   if (policy->set.eligible == 0)
     {
-      *decision = give_up (policy, first, POLICY_REASON_NO_TARGET);
+      *decision = refuse_queued (policy, first, POLICY_REASON_NO_TARGET);
       return true;
     }
   if (policy->queue.entries[first].expires_us <= now_us)
     {
-      *decision = give_up (policy, first, POLICY_REASON_TOO_LATE);
+      *decision = refuse_queued (policy, first, POLICY_REASON_TOO_LATE);
       return true;
     }
   const uint32_t newest = wait_queue_newest (&policy->queue);
-  if (is_hopeless (policy, &policy->queue.entries[newest]))
+  if (is_too_late (policy, &policy->queue.entries[newest]))
     {
-      *decision = give_up (policy, newest, POLICY_REASON_TOO_LATE);
+      *decision = refuse_queued (policy, newest, POLICY_REASON_TOO_LATE);
       return true;
     }
   const enum wait_lane older = wait_queue_older_lane (&policy->queue);
@@ -340,9 +342,9 @@
     return INT64_MAX;
   if (policy->polled_us == INT64_MIN)
     return policy->now_us;
-  const int64_t give_up_us = policy->queue.entries[first].expires_us;
+  const int64_t expires_us = policy->queue.entries[first].expires_us;
   const int64_t poll_us = policy->polled_us + POLL_US;
-  return poll_us < give_up_us ? poll_us : give_up_us;
+  return poll_us < expires_us ? poll_us : expires_us;
 }
 
 void
--- a/policy/service_policy.h
+++ b/policy/service_policy.h
@@ -1,15 +1,16 @@
 /** @file
- * All routing decisions of one service at one host, as one pure machine.
+ * All routing decisions of one service at one host, as a deterministic state
+ * machine.
  *
- * Events in (a request arrives, an attempt ended, an ejection came into
- * force), decisions out.  No socket, no clock, no hidden randomness: time is
- * passed in as microseconds since boot, randomness comes from the seed.
- * Requests and targets are named by small whole numbers, so the hot path
- * allocates nothing.
+ * It takes events (a request arrives, an attempt ends, an ejection takes
+ * effect) and returns decisions.  It uses no sockets, clocks or hidden
+ * randomness: the time is passed in as microseconds since boot, and
+ * randomness comes from the seed.  Requests and targets are identified by
+ * small integers, so the hot path allocates no memory.
  *
  * A target is eligible unless it is drained, leaving or ejected.  Avoidance
- * (suspects, slow or failing targets) only steers among the eligible, so it
- * can't breach a floor.
+ * of suspects (slow or failing targets) only affects the choice among
+ * eligible targets, so it can't violate a floor.
  */
 #ifndef POLICY_SERVICE_POLICY_H
 #define POLICY_SERVICE_POLICY_H
@@ -20,60 +21,62 @@
 
 #include "policy/choice/retry_budget.h"
 
-/** Most targets one request can have tried. */
+/** Maximum number of targets that a request can have tried. */
 #define POLICY_TRIED_MAX 8
-/** Most tries of a request of which no byte is sent.  They are no load, but
- * each takes its time. */
+/** Maximum number of attempts of a request of which no byte is sent.  They
+ * add no load, but each takes time. */
 #define POLICY_UNSENT_MAX 3
 #define POLICY_NO_TARGET UINT32_MAX
 /** A time that never passes. */
 #define ATTEMPT_NO_TIMEOUT INT64_MAX
 
-/** A target as the policy sees it; its index in the set is its number. */
+/** A target as seen by the policy; its index in the set is its number. */
 struct policy_target
 {
-  uint64_t key;   /**< hash of service and target name; stays over changes */
-  uint32_t slots; /**< this host's share of its slots, at least 1 */
-  uint32_t distance_us; /**< extra one-way time when in another dc */
-  bool is_backup;     /**< outside this host's subset: another host of the set
-                           uses it, and this one when its own are worse */
-  bool accepts_work;  /**< false: drained or leaving */
-  int64_t warm_up_us; /**< it says that it is slow for so long yet; -1: it
-                           doesn't say, and starts slowly when it is new */
+  uint64_t key;         /**< hash of service and target name; stable across
+                             changes */
+  uint32_t slots;       /**< this host's share of its slots, at least 1 */
+  uint32_t distance_us; /**< additional one-way delay if it is in another dc */
+  bool is_backup;       /**< outside this host's subset: another host of the
+                             set uses it, and this one if its own targets are
+                             worse */
+  bool accepts_work;    /**< false: drained or leaving */
+  int64_t warm_up_us;   /**< remaining warm-up time that it reports; -1: it
+                             doesn't, and starts slowly if it is new */
 };
 
-/** Bounds and preferences of the service. */
+/** Limits and preferences of the service. */
 struct service_policy_options
 {
   uint64_t seed;
   uint32_t queue_requests;
   uint32_t queue_bytes;
-  struct retry_limits retries; /**< what this host may make */
-  uint32_t attempts; /**< most tries of one request, the first included */
+  struct retry_limits retries; /**< limits of this host */
+  uint32_t attempts; /**< maximum attempts per request, including the first */
   bool prefer_faster_detection;
-  /** How much more a backup target costs, beyond the way there. */
+  /** Additional cost of a backup target, beyond the network distance. */
   uint32_t backup_cost_percent;
-  /** This share of the eligible targets gets work within any two seconds, and
-   * more while many attempts fail or by requests that may be tried again; 0:
-   * however few. */
+  /** Share of the eligible targets that gets work within any two seconds.
+   * It grows while many attempts fail, and for repeatable requests.  0: no
+   * minimum. */
   uint32_t used_percent;
-  /** Hosts that divide the targets into subsets, this one among them; 0: it
-   * has no subset, or isn't known. */
+  /** Hosts that divide the targets into subsets, including this one; 0:
+   * this host has no subset, or the number isn't known. */
   uint32_t set_hosts;
 };
 
-/** A request waiting for a decision. */
+/** A request that needs a decision. */
 struct policy_request
 {
   uint64_t id; /**< unique at this host */
   int64_t deadline_us;
-  int64_t goal_us;       /**< an answer is late after it; 0: at the deadline */
-  uint32_t queued_bytes; /**< what it holds while it waits */
+  int64_t goal_us;       /**< a response after this is late; 0: the deadline */
+  uint32_t queued_bytes; /**< memory that it uses while queued */
   bool repeatable;
-  uint32_t attempt;      /**< 1 for the first try */
-  uint32_t unsent;       /**< tries before it of which no byte was sent */
-  bool after_unsent;     /**< the last one before it is among these */
-  uint32_t attempts_max; /**< 0: as the service's options say */
+  uint32_t attempt;      /**< 1 for the first attempt */
+  uint32_t unsent;       /**< earlier attempts of which no byte was sent */
+  bool after_unsent;     /**< the last attempt was one of these */
+  uint32_t attempts_max; /**< 0: as in the service's options */
   uint32_t tried[POLICY_TRIED_MAX];
   uint32_t tried_count;
 };
@@ -81,16 +84,16 @@
 enum policy_verdict
 {
   POLICY_SEND,   /**< to `target`; its slot is taken until the outcome */
-  POLICY_QUEUE,  /**< wait; service_policy_next() will name it */
-  POLICY_REFUSE, /**< answer at once: not run */
+  POLICY_QUEUE,  /**< wait; service_policy_next() will return it */
+  POLICY_REFUSE, /**< refuse immediately: not run */
 };
 
-/** Why; also the word in the decision's log line. */
+/** Reason of a decision, also logged by name. */
 enum policy_reason
 {
   POLICY_REASON_BEST_OF_TWO,
   POLICY_REASON_ONLY_CHOICE,
-  POLICY_REASON_TRICKLE, /**< chance for one that would get nothing */
+  POLICY_REASON_TRICKLE, /**< probe of a target that would get no requests */
   POLICY_REASON_NO_FREE_SLOT,
   POLICY_REASON_WAIT_FOR_GOOD, /**< unrepeatable: waits to avoid a suspect */
   POLICY_REASON_QUEUE_FULL,
@@ -109,20 +112,22 @@
   uint32_t target; /**< with POLICY_SEND */
   uint64_t request_id;
   int64_t expected_wait_us; /**< in the queue; 0 with POLICY_SEND */
-  uint32_t retry_after_ms;  /**< with POLICY_REFUSE: when to come back, from
-                                 the queue and the service rate; 0: unknown */
+  uint32_t retry_after_ms;  /**< with POLICY_REFUSE: retry delay computed
+                                 from the queue length and the service rate;
+                                 0: unknown */
 };
 
-/** How far an attempt got. */
+/** How an attempt ended. */
 enum attempt_end
 {
-  ATTEMPT_ANSWERED,  /**< a whole answer, good */
-  ATTEMPT_FAILED,    /**< a whole answer that says failure (5xx) */
+  ATTEMPT_ANSWERED,  /**< a complete, successful response */
+  ATTEMPT_FAILED,    /**< a complete response with an error status (5xx) */
   ATTEMPT_SHED,      /**< the target's explicit "not run" refusal */
   ATTEMPT_NOT_SENT,  /**< no byte of the request left this host */
-  ATTEMPT_CUT,       /**< perhaps sent; the answer never came whole */
-  ATTEMPT_TIMED_OUT, /**< perhaps sent; no answer in the time it had */
-  ATTEMPT_CANCELLED, /**< the caller went away: says nothing of the target */
+  ATTEMPT_CUT,       /**< may have been sent; no complete response arrived */
+  ATTEMPT_TIMED_OUT, /**< may have been sent; no response before the timeout */
+  ATTEMPT_CANCELLED, /**< the caller went away: says nothing about the
+                          target */
 };
 
 struct policy_outcome
@@ -139,15 +144,16 @@
 service_policy_create (const struct service_policy_options *options);
 void service_policy_destroy (struct service_policy *policy);
 
-/** Replace the bounds; what is queued stays. */
+/** Replace the options; queued requests stay. */
 void service_policy_configure (struct service_policy *policy,
                                const struct service_policy_options *options);
 
-/** Replace the target set at NOW_US.  State follows a target by its key; new
- * keys start cold, but for those of the first set, which were there before
- * this host.  Numbers of targets that stay may change, so callers pass
- * outcomes by key after a change (see service_policy_find()); the end of an
- * attempt at a target that left needs no outcome. */
+/** Replace the set of targets at NOW_US.  State is carried over by key.
+ * New targets start cold, except those of the first set, which existed
+ * before this host.  The numbers of targets that stay may change, so after
+ * a change callers look up the target of an outcome by its key (see
+ * service_policy_find()).  An attempt at a target that left needs no
+ * outcome. */
 void service_policy_set_targets (struct service_policy *policy, int64_t now_us,
                                  const struct policy_target *targets,
                                  size_t count);
@@ -156,78 +162,80 @@
 uint32_t service_policy_find (const struct service_policy *policy,
                               uint64_t key);
 
-/** Put the ejection of TARGET in or out of force; back in starts slowly. */
+/** Apply or end the ejection of TARGET; a target that returns starts
+ * slowly. */
 void service_policy_set_ejected (struct service_policy *policy, int64_t now_us,
                                  uint32_t target, bool ejected);
 
-/** The path from here to TARGET is said to be at fault, or good again: it is
- * avoided like a suspect, and never made ineligible. */
+/** Record whether the path from here to TARGET is reported as faulty.  If
+ * so, the target is avoided like a suspect, but stays eligible. */
 void service_policy_set_avoided (struct service_policy *policy, int64_t now_us,
                                  uint32_t target, bool avoided);
 
-/** Limit the rate of requests from here to TARGET to RATE_MILLIS thousandths
- * of a request a second; 0: no limit. */
+/** Limit the rate of requests from here to TARGET to RATE_MILLIS
+ * thousandths of a request a second; 0: no limit. */
 void service_policy_set_rate (struct service_policy *policy, int64_t now_us,
                               uint32_t target, uint32_t rate_millis);
 
-/** Decide on a new request or on a further attempt of one. */
+/** Decide on a new request or on another attempt of one. */
 struct policy_decision service_policy_admit (struct service_policy *policy,
                                              int64_t now_us,
                                              const struct policy_request *r);
 
-/** A request of the service was refused here for a reason that the policy
- * doesn't know, as a workspace's quota. */
+/** Record that a request of the service was refused here for a reason
+ * outside the policy, such as a workspace's quota. */
 void service_policy_note_refusal (struct service_policy *policy,
                                   int64_t now_us);
 
-/** How long an attempt at TARGET that begins at NOW_US for R, which is
- * repeatable, may go without an answer's head before
- * service_policy_admit_failover() is asked; ATTEMPT_NO_TIMEOUT: until its
- * deadline. */
+/** How long an attempt of R, which is repeatable, at TARGET from NOW_US on
+ * may go without response headers before service_policy_admit_failover() is
+ * called; ATTEMPT_NO_TIMEOUT: until its deadline. */
 int64_t service_policy_attempt_timeout_us (const struct service_policy *policy,
                                            int64_t now_us,
                                            const struct policy_request *r,
                                            uint32_t target);
 
-/** Decide on a further attempt of R while its former one is still under way:
- * only at a target that R hasn't tried, in good standing and with a free
- * slot.  Nothing is taken from the retry budget if there is none.
- * @return false: R goes on waiting; else DECISION is POLICY_SEND */
+/** Decide on another attempt of R while the previous one is still in
+ * flight.  Only a healthy target that R hasn't tried and that has a free
+ * slot is used; if there is none, the retry budget isn't charged.
+ * @return false: keep waiting for the current attempt; else DECISION is
+ * POLICY_SEND */
 bool service_policy_admit_failover (struct service_policy *policy,
                                     int64_t now_us,
                                     const struct policy_request *r,
                                     struct policy_decision *decision);
 
-/** An attempt ended: frees its slot and learns.  Call service_policy_next()
- * afterwards until it says false. */
+/** An attempt ended: release its slot and learn from the outcome.  Call
+ * service_policy_next() afterwards until it returns false. */
 void service_policy_outcome (struct service_policy *policy, int64_t now_us,
                              const struct policy_outcome *outcome);
 
-/** An attempt of another host at TARGET ended so.  Call service_policy_next()
- * afterwards. */
+/** An attempt of another host at TARGET ended with END.  Call
+ * service_policy_next() afterwards. */
 void service_policy_remote_outcome (struct service_policy *policy,
                                     int64_t now_us, uint32_t target,
                                     enum attempt_end end);
 
-/** The next queued request that can be decided now: to be sent, or refused
+/** The next queued request that can be decided now: it is sent, or refused
  * because it can no longer finish in time.
- * @return false when there is none. */
+ * @return false if there is none. */
 bool service_policy_next (struct service_policy *policy, int64_t now_us,
                           struct policy_decision *decision);
 
-/** When service_policy_next() should be asked again even if no attempt ends:
- * the time of the last event when that may have changed something (targets
- * replaced or ejected), INT64_MAX when nothing waits. */
+/** When to call service_policy_next() again even if no attempt ends: the
+ * time of the last event if that may have changed something (targets
+ * replaced or ejected), INT64_MAX if nothing is queued. */
 int64_t service_policy_wake_us (const struct service_policy *policy);
 
-/** Take a queued request out: its caller went away. */
+/** Remove a queued request whose caller went away. */
 void service_policy_cancel_queued (struct service_policy *policy,
                                    uint64_t request_id);
 
-/** May an attempt that ended so be tried again? */
+/** May the request be retried after an attempt that ended with END? */
 bool service_policy_may_retry (enum attempt_end end, bool repeatable);
 
-/** What the policy believes of a target, for people and for the owner. */
+/** The policy's view of a target, for operators and for the owner of its
+ * service. */
 struct policy_target_status
 {
   uint32_t in_flight;
@@ -236,7 +244,7 @@
   bool suspect;
   bool ejected;
   bool warming;
-  uint64_t requests; /**< outcomes seen since start */
+  uint64_t requests; /**< outcomes since start */
   uint64_t failures;
 };
 
@@ -244,7 +252,7 @@
 service_policy_target_status (const struct service_policy *policy,
                               uint32_t target);
 uint32_t service_policy_queued (const struct service_policy *policy);
-/** Attempts under way at all targets. */
+/** Attempts in flight at all targets. */
 uint32_t service_policy_in_flight (const struct service_policy *policy);
 
 #endif
