--- a/bench/floor_bench.c
+++ b/bench/floor_bench.c
@@ -154,15 +154,15 @@
 static void
 measure_decision_bytes (struct counting *transport)
 {
-  const struct ejection_news news = { .kind = EJECTION_DECISION,
-                                      .service = "deposit-holds",
-                                      .epoch = 12,
-                                      .sequence = 40,
-                                      .enforce_ms = 3000,
-                                      .incarnation = UINT64_MAX / 3,
-                                      .poll_ms = 123456789,
-                                      .slots = { 833, 417 } };
-  ejection_send_news (&transport->base, "host", &news);
+  const struct ejection_notice news = { .kind = EJECTION_DECISION,
+                                        .service = "deposit-holds",
+                                        .epoch = 12,
+                                        .sequence = 40,
+                                        .enforce_ms = 3000,
+                                        .incarnation = UINT64_MAX / 3,
+                                        .poll_ms = 123456789,
+                                        .share = { 833, 417 } };
+  ejection_send_notice (&transport->base, "host", &news);
   printf ("figure decision_bytes_nothing_ejected %zu B\n", transport->bytes);
 }
 
--- a/node/control/control_cleanup.c
+++ b/node/control/control_cleanup.c
@@ -13,13 +13,13 @@
 };
 
 void
-control_cleanup_note (struct control_host *host, enum member_state state,
-                      int64_t now_ms)
+control_cleanup_note_state (struct control_host *host, enum member_state state,
+                            int64_t now_ms)
 {
   if (state != MEMBER_DEAD && state != MEMBER_LEAVING)
-    host->gone_ms = 0;
-  else if (host->gone_ms == 0)
-    host->gone_ms = now_ms;
+    host->gone_since_ms = 0;
+  else if (host->gone_since_ms == 0)
+    host->gone_since_ms = now_ms;
 }
 
 /* Guards against a host that was frozen and thaws: whom it believed dead
@@ -29,14 +29,14 @@
 excuse_pause (struct control_task *task, int64_t now_ms)
 {
   struct control_cleanup *cleanup = &task->cleanup;
-  const int64_t gap_ms = now_ms - cleanup->ticked_ms;
-  cleanup->ticked_ms = now_ms;
+  const int64_t gap_ms = now_ms - cleanup->last_tick_ms;
+  cleanup->last_tick_ms = now_ms;
   if (gap_ms < task->options.settings->times.suspect_after_ms)
     return;
   struct control_host *host;
   for (host = task->hosts; host != NULL; host = host->hh.next)
-    if (host->gone_ms != 0)
-      host->gone_ms = now_ms;
+    if (host->gone_since_ms != 0)
+      host->gone_since_ms = now_ms;
 }
 
 /* Those that said they leave are no sign of a cut, so they don't count. */
@@ -65,7 +65,7 @@
 {
   const uint32_t after_ms = task->options.settings->times.forget_after_ms;
   return host != task->self && host->is_listed
-         && host_cleanup_is_due (now_ms, host->gone_ms, after_ms)
+         && host_cleanup_is_due (now_ms, host->gone_since_ms, after_ms)
          && host_cleanup_is_responsible (host->key, task->self->key,
                                          task->fleet, &task->leading);
 }
@@ -87,13 +87,13 @@
       LOG_WARN ("forget-failed", LOG_STR ("host", cleanup->name),
                 LOG_STR ("status", status_name (reply->status)),
                 LOG_STR ("why", reply->message));
-      cleanup->pause_until_ms = clock_now_ms () + PAUSE_MS;
+      cleanup->retry_at_ms = clock_now_ms () + PAUSE_MS;
       return;
     }
   LOG_INFO ("host-forgotten", LOG_STR ("host", cleanup->name),
             LOG_INT ("version", cleanup->version));
-  if (cleanup->forgotten != NULL)
-    counter_add (cleanup->forgotten, 1);
+  if (cleanup->forgotten_total != NULL)
+    counter_add (cleanup->forgotten_total, 1);
   if (reply->count == 1)
     control_settings_apply (task, PLATFORM_KIND_HOST, cleanup->name,
                             reply->objects[0].version, NULL);
@@ -108,7 +108,7 @@
   struct control_cleanup *cleanup = &task->cleanup;
   const uint64_t key = settings_key (PLATFORM_KIND_HOST, host->record.name);
   const uint64_t version = settings_index_version (task->index, key);
-  host->gone_ms = now_ms;
+  host->gone_since_ms = now_ms;
   memcpy (cleanup->name, host->record.name, sizeof cleanup->name);
   cleanup->version = version;
   cleanup->is_waiting = true;
@@ -119,13 +119,13 @@
 /* Leading relays do it: the others hear of the platform's hosts by answers
    that may be old, so they can't tell whether it still answers. */
 void
-control_cleanup_beat (struct control_task *task, int64_t now_ms)
+control_cleanup_tick (struct control_task *task, int64_t now_ms)
 {
   struct control_cleanup *cleanup = &task->cleanup;
   excuse_pause (task, now_ms);
   if (!task->is_leading || task->is_stale || task->is_leaving
-      || cleanup->is_waiting || now_ms < cleanup->pause_until_ms
-      || !control_platform_is_heard (task, now_ms))
+      || cleanup->is_waiting || now_ms < cleanup->retry_at_ms
+      || !control_platform_hosts_are_current (task, now_ms))
     return;
   struct control_host *host = task->hosts;
   while (host != NULL && !is_due (task, host, now_ms))
@@ -137,7 +137,7 @@
 void
 control_cleanup_start (struct control_task *task)
 {
-  task->cleanup.ticked_ms = clock_now_ms ();
+  task->cleanup.last_tick_ms = clock_now_ms ();
   if (task->options.counters == NULL)
     return;
   const struct counter_family_options options
@@ -146,7 +146,7 @@
           .kind = COUNTER_SUM };
   struct counter_family *family
       = counters_family (task->options.counters, &options);
-  task->cleanup.forgotten = counter_series (family, NULL);
+  task->cleanup.forgotten_total = counter_series (family, NULL);
 }
 
 void
--- a/node/control/control_spread.c
+++ b/node/control/control_fanout.c
@@ -1,7 +1,7 @@
 #include "node/control/control_internal.h"
 
 void
-control_spread_to_set (struct control_task *task, const char *name,
+control_fanout_to_set (struct control_task *task, const char *name,
                        const struct peer_message *message)
 {
   const struct control_service *service;
@@ -27,7 +27,7 @@
 /* Sends to all hosts of a small fleet; of a larger one a host may be selected
    more than once. */
 void
-control_spread_to_random (struct control_task *task, uint32_t wanted,
+control_fanout_to_random (struct control_task *task, uint32_t wanted,
                           const struct peer_message *message)
 {
   const uint32_t count = (uint32_t)task->fleet_count;
--- a/node/control/control_freshness.c
+++ b/node/control/control_freshness.c
@@ -32,7 +32,7 @@
 }
 
 bool
-control_freshness_is_wanted (const struct control_task *task)
+control_freshness_is_required (const struct control_task *task)
 {
   const struct fleet_config *config
       = task->registry != NULL ? registry_config (task->registry) : NULL;
@@ -44,8 +44,8 @@
 {
   const uint32_t watch_ms = task->options.settings->times.relay_watch_ms;
   const uint32_t most_ms = bound_ms (task) / ASKS_PER_BOUND;
-  return control_freshness_is_wanted (task) && most_ms < watch_ms ? most_ms
-                                                                  : watch_ms;
+  return control_freshness_is_required (task) && most_ms < watch_ms ? most_ms
+                                                                    : watch_ms;
 }
 
 /* The caller task keeps a proof of its own, since a configuration that is in
@@ -70,7 +70,7 @@
 static void ask_platform (struct control_task *task, int64_t now_ms);
 
 void
-control_freshness_heard (struct control_task *task, int64_t asked_ms)
+control_freshness_note_current (struct control_task *task, int64_t asked_ms)
 {
   const struct fleet_config *config
       = task->registry != NULL ? registry_config (task->registry) : NULL;
@@ -82,15 +82,15 @@
 }
 
 void
-control_freshness_changed (struct control_task *task)
+control_freshness_note_change (struct control_task *task)
 {
-  if (control_freshness_is_wanted (task))
+  if (control_freshness_is_required (task))
     ask_platform (task, clock_now_ms ());
 }
 
 void
-control_freshness_answered (struct control_task *task,
-                            const struct peer_heartbeat *answer)
+control_freshness_receive_ack (struct control_task *task,
+                               const struct peer_heartbeat *answer)
 {
   if (answer->config_age_ms == FRESHNESS_AGE_UNKNOWN_MS)
     return;
@@ -101,15 +101,16 @@
 }
 
 void
-control_freshness_in_force (struct control_task *task, uint64_t version)
+control_freshness_set_version_in_force (struct control_task *task,
+                                        uint64_t version)
 {
   freshness_set_version_in_force (&task->freshness, version);
 }
 
 bool
-control_freshness_is_lost (const struct control_task *task, int64_t now_ms)
+control_freshness_is_expired (const struct control_task *task, int64_t now_ms)
 {
-  return control_freshness_is_wanted (task) && task->settled_ms > 0
+  return control_freshness_is_required (task) && task->settled_ms > 0
          && !freshness_is_within_bound (&task->freshness, now_ms,
                                         bound_ms (task));
 }
@@ -117,7 +118,7 @@
 static void
 ask_done (void *owner, const struct platform_reply *reply)
 {
-  struct control_freshness_ask *ask = owner;
+  struct control_freshness_query *ask = owner;
   struct control_task *task = ask->task;
   ask->is_waiting = false;
   if (reply->status != STATUS_OK)
@@ -137,7 +138,7 @@
   if (reply->count > 0)
     ask_platform (task, clock_now_ms ());
   else
-    control_freshness_heard (task, ask->asked_ms);
+    control_freshness_note_current (task, ask->asked_ms);
 }
 
 /* A watch that ends at once.  One that shows changes may hold some of them
@@ -146,7 +147,7 @@
 ask_platform (struct control_task *task, int64_t now_ms)
 {
   const struct control_feed *feed = &task->feeds[0];
-  struct control_freshness_ask *ask = &task->freshness_ask;
+  struct control_freshness_query *ask = &task->freshness_query;
   if (ask->is_waiting || !feed->is_listed)
     return;
   if (ask->revision < feed->revision)
@@ -165,14 +166,14 @@
       const uint64_t key = task->fleet[task->leading.hosts[i]].key;
       struct control_host *host = control_hosts_find (task, key);
       if (host != NULL && host != task->self)
-        control_members_greet (task, host, now_ms);
+        control_members_send_heartbeat (task, host, now_ms);
     }
 }
 
 void
-control_freshness_beat (struct control_task *task, int64_t now_ms)
+control_freshness_tick (struct control_task *task, int64_t now_ms)
 {
-  if (!control_freshness_is_wanted (task))
+  if (!control_freshness_is_required (task))
     return;
   const uint32_t bound = bound_ms (task);
   const uint32_t age_ms = freshness_age_ms (&task->freshness, now_ms);
@@ -190,7 +191,7 @@
 {
   struct control_task *task = owner;
   const int64_t now_ms = clock_now_ms ();
-  if (now_ms - task->freshness_ask.asked_ms < ASK_AGAIN_MS)
+  if (now_ms - task->freshness_query.asked_ms < ASK_AGAIN_MS)
     return;
   ask_relays (task, now_ms);
   ask_platform (task, now_ms);
@@ -200,13 +201,13 @@
 control_freshness_start (struct control_task *task)
 {
   freshness_init (&task->freshness);
-  task->freshness_ask.task = task;
-  task->freshness_ask.asked_ms = INT64_MIN / 2;
+  task->freshness_query.task = task;
+  task->freshness_query.asked_ms = INT64_MIN / 2;
   bus_subscribe (task->options.bus, BUS_FRESHNESS_REQUESTED, on_wanted, task);
 }
 
 void
 control_freshness_stop (struct control_task *task)
 {
-  platform_cancel (task->options.platform, &task->freshness_ask);
+  platform_cancel (task->options.platform, &task->freshness_query);
 }
--- a/node/control/control_hosts.c
+++ b/node/control/control_hosts.c
@@ -31,8 +31,8 @@
 }
 
 struct control_host *
-control_hosts_learn (struct control_task *task,
-                     const struct host_record *record)
+control_hosts_update (struct control_task *task,
+                      const struct host_record *record)
 {
   struct control_host *host = control_hosts_by_name (task, record->name);
   if (host == NULL)
@@ -40,7 +40,7 @@
       host = xcalloc (1, sizeof *host);
       host->key = hash_string (record->name);
       host->task = task;
-      host->used_ms = clock_now_ms ();
+      host->link_used_ms = clock_now_ms ();
       HASH_ADD (hh, task->hosts, key, sizeof host->key, host);
       host->record = *record;
       LOG_INFO ("host-learned", LOG_STR ("host", record->name),
@@ -62,7 +62,7 @@
 control_hosts_send (struct control_task *task, struct control_host *host,
                     const struct peer_message *message)
 {
-  host->used_ms = clock_now_ms ();
+  host->link_used_ms = clock_now_ms ();
   if (host->link != NULL)
     return peer_link_send (host->link, message);
   if (host->record.peer_address[0] == '\0')
@@ -112,7 +112,7 @@
   struct control_host *host;
   for (host = task->hosts; host != NULL; host = host->hh.next)
     {
-      const bool is_idle = now_ms - host->used_ms > CONTROL_LINK_IDLE_MS;
+      const bool is_idle = now_ms - host->link_used_ms > CONTROL_LINK_IDLE_MS;
       if (host->link != NULL && (is_idle || has_moved (host)))
         close_link (host);
       if ((is_idle || host->is_removed) && is_gone (task, host))
--- a/node/control/control_limits.c
+++ b/node/control/control_limits.c
@@ -43,13 +43,13 @@
   switch (announced->to)
     {
     case LIMIT_TO_SET:
-      control_spread_to_set (task, announced->service, &message);
+      control_fanout_to_set (task, announced->service, &message);
       break;
     case LIMIT_TO_RANDOM_FEW:
-      control_spread_to_random (task, GOSSIP_FANOUT, &message);
+      control_fanout_to_random (task, GOSSIP_FANOUT, &message);
       break;
     case LIMIT_TO_RANDOM_ONE:
-      control_spread_to_random (task, 1, &message);
+      control_fanout_to_random (task, 1, &message);
       break;
     }
   free (values);
--- a/node/control/control_members.c
+++ b/node/control/control_members.c
@@ -9,7 +9,7 @@
 static uint32_t
 relay_age (const struct control_task *task, int64_t now_ms)
 {
-  const int64_t age = now_ms - task->contact_ms;
+  const int64_t age = now_ms - task->last_contact_ms;
   return age > UINT32_MAX ? UINT32_MAX : (uint32_t)age;
 }
 
@@ -51,10 +51,10 @@
 static void
 send_gossip (struct control_task *task, struct control_host *host)
 {
-  struct member_update news[CONTROL_GOSSIP_MAX];
-  struct peer_verdict verdicts[CONTROL_GOSSIP_MAX] = { 0 };
+  struct member_update news[CONTROL_GOSSIP_UPDATES_MAX];
+  struct peer_verdict verdicts[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
   const size_t count
-      = membership_gossip (task->membership, news, CONTROL_GOSSIP_MAX);
+      = membership_gossip (task->membership, news, CONTROL_GOSSIP_UPDATES_MAX);
   if (count == 0)
     return;
   for (size_t i = 0; i < count; i++)
@@ -72,8 +72,8 @@
 }
 
 void
-control_members_greet (struct control_task *task, struct control_host *host,
-                       int64_t now_ms)
+control_members_send_heartbeat (struct control_task *task,
+                                struct control_host *host, int64_t now_ms)
 {
   struct peer_message message
       = heartbeat (task, PEER_HEARTBEAT, (uint64_t)now_ms);
@@ -85,9 +85,9 @@
 void
 control_members_gossip (struct control_task *task)
 {
-  uint64_t keys[CONTROL_WATCHED_MAX];
+  uint64_t keys[CONTROL_MONITORED_MAX];
   const size_t count
-      = membership_monitored (task->membership, keys, CONTROL_WATCHED_MAX);
+      = membership_monitored (task->membership, keys, CONTROL_MONITORED_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct control_host *host = control_hosts_find (task, keys[i]);
@@ -102,7 +102,7 @@
 static void
 probe_dead (struct control_task *task, int64_t now_ms)
 {
-  struct control_host *host = control_hosts_find (task, task->probe);
+  struct control_host *host = control_hosts_find (task, task->last_probed_key);
   const size_t count = HASH_COUNT (task->hosts);
   for (size_t i = 0; i < count; i++)
     {
@@ -111,8 +111,8 @@
         host = task->hosts;
       if (membership_state (task->membership, host->key) != MEMBER_DEAD)
         continue;
-      task->probe = host->key;
-      control_members_greet (task, host, now_ms);
+      task->last_probed_key = host->key;
+      control_members_send_heartbeat (task, host, now_ms);
       return;
     }
 }
@@ -122,9 +122,9 @@
 ask_helpers (struct control_task *task, const uint64_t *watched, size_t count,
              int64_t now_ms)
 {
-  uint64_t doubted[CONTROL_DOUBTED_MAX];
-  const size_t doubts
-      = membership_undecided (task->membership, doubted, CONTROL_DOUBTED_MAX);
+  uint64_t doubted[CONTROL_UNDECIDED_MAX];
+  const size_t doubts = membership_undecided (task->membership, doubted,
+                                              CONTROL_UNDECIDED_MAX);
   for (size_t d = 0; d < doubts; d++)
     {
       const struct peer_message message
@@ -132,7 +132,7 @@
               .indirect = { .host_key = doubted[d] } };
       const size_t start = rng_below (&task->random, count);
       size_t asked = 0;
-      for (size_t i = 0; i < count && asked < CONTROL_HELPERS; i++)
+      for (size_t i = 0; i < count && asked < CONTROL_INDIRECT_CHECKERS; i++)
         {
           const uint64_t key = watched[(start + i) % count];
           struct control_host *host = control_hosts_find (task, key);
@@ -149,14 +149,14 @@
 judge_staleness (struct control_task *task, int64_t now_ms)
 {
   const uint32_t limit_ms = task->options.settings->times.stale_after_ms;
-  const bool is_stale = now_ms - task->contact_ms >= limit_ms
-                        || control_freshness_is_lost (task, now_ms);
+  const bool is_stale = now_ms - task->last_contact_ms >= limit_ms
+                        || control_freshness_is_expired (task, now_ms);
   if (is_stale == task->is_stale)
     return;
   task->is_stale = is_stale;
   if (is_stale)
     LOG_WARN (
-        "stale", LOG_INT ("silent_ms", now_ms - task->contact_ms),
+        "stale", LOG_INT ("silent_ms", now_ms - task->last_contact_ms),
         LOG_INT ("config_age_ms", freshness_age_ms (&task->freshness, now_ms)),
         LOG_STR ("effect", "this host isn't handed out"));
   else
@@ -165,37 +165,37 @@
 }
 
 void
-control_members_contact (struct control_task *task, int64_t at_ms)
+control_members_note_contact (struct control_task *task, int64_t at_ms)
 {
-  if (at_ms > task->contact_ms)
-    task->contact_ms = at_ms;
+  if (at_ms > task->last_contact_ms)
+    task->last_contact_ms = at_ms;
 }
 
 void
-control_members_beat (struct control_task *task, int64_t now_ms)
+control_members_tick (struct control_task *task, int64_t now_ms)
 {
-  uint64_t keys[CONTROL_WATCHED_MAX];
+  uint64_t keys[CONTROL_MONITORED_MAX];
   membership_tick (task->membership, now_ms);
-  control_members_take_changes (task);
+  control_members_apply_changes (task);
   const size_t count
-      = membership_monitored (task->membership, keys, CONTROL_WATCHED_MAX);
+      = membership_monitored (task->membership, keys, CONTROL_MONITORED_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct control_host *host = control_hosts_find (task, keys[i]);
       if (host == NULL)
         continue;
-      control_members_greet (task, host, now_ms);
+      control_members_send_heartbeat (task, host, now_ms);
       send_gossip (task, host);
     }
   ask_helpers (task, keys, count, now_ms);
   probe_dead (task, now_ms);
   judge_staleness (task, now_ms);
-  control_platform_check_news (task, now_ms);
-  control_freshness_beat (task, now_ms);
+  control_platform_check_age (task, now_ms);
+  control_freshness_tick (task, now_ms);
 }
 
 void
-control_members_take_changes (struct control_task *task)
+control_members_apply_changes (struct control_task *task)
 {
   struct member_update change;
   bool is_changed = false;
@@ -205,7 +205,7 @@
       is_changed = true;
       if (host == NULL || host == task->self)
         continue;
-      control_cleanup_note (host, change.state, clock_now_ms ());
+      control_cleanup_note_state (host, change.state, clock_now_ms ());
       LOG_INFO ("member", LOG_STR ("host", host->record.name),
                 LOG_STR ("state", member_state_name (change.state)),
                 LOG_INT ("incarnation", change.incarnation),
@@ -225,7 +225,7 @@
             int64_t now_ms)
 {
   if (!task->is_leading)
-    control_members_contact (task, now_ms - beat->relay_age_ms);
+    control_members_note_contact (task, now_ms - beat->relay_age_ms);
 }
 
 static void
@@ -247,22 +247,22 @@
 answer_checks (struct control_task *task, uint64_t subject)
 {
   size_t kept = 0;
-  for (size_t i = 0; i < task->check_count; i++)
+  for (size_t i = 0; i < task->indirect_check_count; i++)
     {
-      const struct control_check check = task->checks[i];
+      const struct control_indirect_check check = task->indirect_checks[i];
       if (check.subject != subject)
         {
-          task->checks[kept++] = check;
+          task->indirect_checks[kept++] = check;
           continue;
         }
-      struct control_host *asker = control_hosts_find (task, check.asker);
+      struct control_host *asker = control_hosts_find (task, check.requester);
       const struct peer_message message
           = { .type = PEER_INDIRECT_RESULT,
               .indirect = { .host_key = subject, .reachable = true } };
       if (asker != NULL)
         control_hosts_send (task, asker, &message);
     }
-  task->check_count = kept;
+  task->indirect_check_count = kept;
 }
 
 static void
@@ -275,7 +275,7 @@
   membership_note_answer (task->membership, (int64_t)beat->sequence,
                           source->host->key, source->host->record.incarnation);
   note_relay (task, beat, now_ms);
-  control_freshness_answered (task, beat);
+  control_freshness_receive_ack (task, beat);
   answer_checks (task, source->host->key);
 }
 
@@ -287,15 +287,15 @@
   struct control_host *host = control_hosts_find (task, subject);
   if (host == NULL || host == task->self)
     return;
-  size_t at = task->check_count;
-  if (at < CONTROL_CHECKS_MAX)
-    task->check_count++;
+  size_t at = task->indirect_check_count;
+  if (at < CONTROL_INDIRECT_CHECKS_MAX)
+    task->indirect_check_count++;
   else
-    at = rng_below (&task->random, CONTROL_CHECKS_MAX);
-  task->checks[at] = (struct control_check){ .asker = source->host->key,
-                                             .subject = subject,
-                                             .asked_ms = now_ms };
-  control_members_greet (task, host, now_ms);
+    at = rng_below (&task->random, CONTROL_INDIRECT_CHECKS_MAX);
+  task->indirect_checks[at] = (struct control_indirect_check){
+    .requester = source->host->key, .subject = subject, .asked_ms = now_ms
+  };
+  control_members_send_heartbeat (task, host, now_ms);
 }
 
 /* Guards against hosts that are gone for good but are spoken of for ever:
@@ -329,7 +329,7 @@
   if (record.name[0] != '\0' && record.peer_address[0] != '\0'
       && hash_string (record.name) == verdict->host_key
       && verdict->host_key != task->self->key)
-    control_hosts_learn (task, &record);
+    control_hosts_update (task, &record);
   if (control_hosts_find (task, verdict->host_key) == NULL)
     return;
   const struct member_update said
@@ -372,22 +372,22 @@
     default:
       break;
     }
-  control_members_take_changes (task);
+  control_members_apply_changes (task);
 }
 
 void
 control_members_leave (struct control_task *task)
 {
   const int64_t now_ms = clock_now_ms ();
-  uint64_t keys[CONTROL_WATCHED_MAX];
+  uint64_t keys[CONTROL_MONITORED_MAX];
   membership_leave (task->membership);
   const size_t count
-      = membership_monitored (task->membership, keys, CONTROL_WATCHED_MAX);
+      = membership_monitored (task->membership, keys, CONTROL_MONITORED_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct control_host *host = control_hosts_find (task, keys[i]);
       if (host != NULL)
-        control_members_greet (task, host, now_ms);
+        control_members_send_heartbeat (task, host, now_ms);
     }
-  control_members_take_changes (task);
+  control_members_apply_changes (task);
 }
--- a/node/control/control_outcomes.c
+++ b/node/control/control_outcomes.c
@@ -49,7 +49,7 @@
                 const struct control_service *service, uint64_t host,
                 uint64_t target, enum attempt_end end)
 {
-  const bool is_kept = service != NULL && service->has_self;
+  const bool is_kept = service != NULL && service->includes_self;
   if (!is_kept)
     {
       free (outcomes->digest);
@@ -58,7 +58,7 @@
     }
   if (outcomes->digest == NULL)
     outcomes->digest = xcalloc (1, sizeof *outcomes->digest);
-  outcome_digest_note (outcomes->digest, clock_now_ms (), host, target, end);
+  outcome_digest_add (outcomes->digest, clock_now_ms (), host, target, end);
 }
 
 static void
@@ -133,10 +133,10 @@
       = outcomes->value_count == REPORT_ROWS_MAX * OUTCOME_COLUMNS;
   if (is_full || clock_now_ms () - outcomes->reported_ms >= REPORT_PAUSE_MS)
     report (task, outcomes);
-  else if (!ev_is_active (&task->report))
+  else if (!ev_is_active (&task->outcome_timer))
     {
-      ev_timer_set (&task->report, REPORT_PAUSE_MS / 1000.0, 0);
-      ev_timer_start (task->options.loop, &task->report);
+      ev_timer_set (&task->outcome_timer, REPORT_PAUSE_MS / 1000.0, 0);
+      ev_timer_start (task->options.loop, &task->outcome_timer);
     }
 }
 
@@ -172,12 +172,12 @@
 tell_outsider (struct control_task *task, const struct control_source *source,
                struct control_outcomes *outcomes)
 {
-  struct outcome_digest_target targets[OUTCOME_DIGEST_TARGETS];
-  const size_t count = outcome_digest_tell (outcomes->digest, clock_now_ms (),
-                                            source->host->key, targets);
+  struct outcome_digest_target targets[OUTCOME_DIGEST_TARGETS_MAX];
+  const size_t count = outcome_digest_collect (
+      outcomes->digest, clock_now_ms (), source->host->key, targets);
   if (count == 0)
     return;
-  int64_t values[OUTCOME_DIGEST_TARGETS * OUTCOME_COLUMNS];
+  int64_t values[OUTCOME_DIGEST_TARGETS_MAX * OUTCOME_COLUMNS];
   for (size_t i = 0; i < count; i++)
     {
       values[i * OUTCOME_COLUMNS] = (int64_t)targets[i].key;
@@ -242,8 +242,8 @@
 void
 control_outcomes_prepare (struct control_task *task)
 {
-  ev_timer_init (&task->report, report_cb, 0, 0);
-  task->report.data = task;
+  ev_timer_init (&task->outcome_timer, report_cb, 0, 0);
+  task->outcome_timer.data = task;
 }
 
 void
@@ -251,7 +251,7 @@
 {
   struct control_outcomes *outcomes;
   struct control_outcomes *next;
-  ev_timer_stop (task->options.loop, &task->report);
+  ev_timer_stop (task->options.loop, &task->outcome_timer);
   DL_FOREACH_SAFE (task->outcomes, outcomes, next)
   {
     free (outcomes->values);
--- a/node/control/control_platform.c
+++ b/node/control/control_platform.c
@@ -30,10 +30,10 @@
   int64_t heard_ms = INT64_MAX;
   for (size_t i = 0; i < task->feed_count; i++)
     if (strcmp (task->feeds[i].kind, PLATFORM_KIND_HOST) != 0
-        && task->feeds[i].answered_ms < heard_ms)
-      heard_ms = task->feeds[i].answered_ms;
+        && task->feeds[i].last_current_reply_ms < heard_ms)
+      heard_ms = task->feeds[i].last_current_reply_ms;
   if (heard_ms != INT64_MAX)
-    control_members_contact (task, heard_ms);
+    control_members_note_contact (task, heard_ms);
 }
 
 static void
@@ -41,10 +41,10 @@
 {
   const int64_t now_ms = clock_now_ms ();
   if (feed->age == PLATFORM_AGE_NONE)
-    feed->answered_ms = now_ms;
+    feed->last_current_reply_ms = now_ms;
   if (feed->backoff_ms > 0)
     {
-      feed->regained_ms = now_ms;
+      feed->recovered_ms = now_ms;
       LOG_INFO ("platform-regained", LOG_STR ("kind", feed->kind),
                 LOG_INT ("revision", feed->revision));
     }
@@ -58,7 +58,7 @@
 {
   struct control_task *task = feed->task;
   if (value == NULL && strcmp (feed->kind, PLATFORM_KIND_TARGET) == 0
-      && control_removals_hold (task, name, version, feed->regained_ms))
+      && control_removals_hold (task, name, version, feed->recovered_ms))
     return;
   control_settings_apply (task, feed->kind, name, version, value);
 }
@@ -113,9 +113,9 @@
       || strcmp (feed->kind, PLATFORM_KIND_CONFIG) != 0)
     return;
   if (!feed->is_listed || reply->count == 0)
-    control_freshness_heard (feed->task, feed->asked_ms);
+    control_freshness_note_current (feed->task, feed->asked_ms);
   else
-    control_freshness_changed (feed->task);
+    control_freshness_note_change (feed->task);
 }
 
 static void feed_next (struct control_feed *feed);
@@ -157,7 +157,7 @@
   feed->is_listed = true;
   feed->was_refused = false;
   note_listed (feed->task);
-  control_tombstones_listed (feed->task, feed->kind, reply->revision);
+  control_tombstones_note_list (feed->task, feed->kind, reply->revision);
   feed_next (feed);
 }
 
@@ -172,8 +172,8 @@
   const struct control_times *times = &task->options.settings->times;
   const int64_t most_ms = (int64_t)times->relay_watch_ms
                           + (int64_t)NEWS_BEATS * times->heartbeat_ms;
-  const int64_t since_ms = task->contact_ms > task->settled_ms
-                               ? task->contact_ms
+  const int64_t since_ms = task->last_contact_ms > task->settled_ms
+                               ? task->last_contact_ms
                                : task->settled_ms;
   return task->settled_ms > 0 && clock_now_ms () - since_ms > most_ms;
 }
@@ -267,7 +267,7 @@
   if (asks_often (task) && feed->backoff_ms == 0)
     ev_timer_stop (task->options.loop, &feed->retry);
   if (!feed->is_waiting || !feed->is_listed
-      || feed->wait_ms <= watch_ms (feed))
+      || feed->watch_timeout_ms <= watch_ms (feed))
     return;
   platform_cancel (task->options.platform, feed);
   feed->is_waiting = false;
@@ -291,14 +291,14 @@
       return;
     }
   /* A stale host watches for itself, to find back. */
-  if (!feed->is_for_all && !task->is_relay && !task->is_stale)
+  if (!feed->is_watched_by_all && !task->is_relay && !task->is_stale)
     return;
   feed->is_waiting = true;
-  feed->wait_ms = watch_ms (feed);
+  feed->watch_timeout_ms = watch_ms (feed);
   feed->age = watch_age (feed);
   feed->asked_ms = clock_now_ms ();
   platform_watch (task->options.platform, feed->kind, feed->revision,
-                  feed->wait_ms, feed->age, watch_done, feed);
+                  feed->watch_timeout_ms, feed->age, watch_done, feed);
 }
 
 static void
@@ -308,14 +308,15 @@
 }
 
 bool
-control_platform_is_heard (const struct control_task *task, int64_t now_ms)
+control_platform_hosts_are_current (const struct control_task *task,
+                                    int64_t now_ms)
 {
   const struct control_times *times = &task->options.settings->times;
   const struct control_feed *feed = &task->feeds[task->feed_count - 1];
   const int64_t limit_ms
       = (int64_t)times->watch_ms + times->platform_timeout_ms;
   return feed->is_listed && feed->backoff_ms == 0
-         && now_ms - feed->answered_ms <= limit_ms;
+         && now_ms - feed->last_current_reply_ms <= limit_ms;
 }
 
 static void
@@ -324,12 +325,12 @@
   struct control_feed *feed = &task->feeds[task->feed_count++];
   feed->task = task;
   feed->kind = kind;
-  feed->is_for_all = is_for_all;
+  feed->is_watched_by_all = is_for_all;
   ev_timer_init (&feed->retry, feed_retry_cb, 0, 0);
   feed->retry.data = feed;
 }
 
-/* The feed of hosts is the last; see control_platform_is_heard(). */
+/* The feed of hosts is the last; see control_platform_hosts_are_current(). */
 void
 control_platform_start (struct control_task *task)
 {
@@ -358,7 +359,7 @@
 }
 
 void
-control_platform_check_news (struct control_task *task, int64_t now_ms)
+control_platform_check_age (struct control_task *task, int64_t now_ms)
 {
   const bool watches = task->registry != NULL
                        && task->options.settings->modes.all_watch_registry;
--- a/node/control/control_poison_store.c
+++ b/node/control/control_poison_store.c
@@ -181,7 +181,7 @@
 {
   const struct poison_row *row = &announced->rows[0];
   struct poison_record record
-      = { .row = *row, .until_ms = clock_unix_ms () + row->left_ms };
+      = { .row = *row, .expires_unix_ms = clock_unix_ms () + row->left_ms };
   char name[FINGERPRINT_TEXT_SIZE];
   fingerprint_format (&row->fingerprint, name);
   snprintf (record.service, sizeof record.service, "%s", announced->service);
@@ -202,7 +202,7 @@
                 LOG_STR ("why", status_message ()));
       return;
     }
-  const int64_t left_ms = record.until_ms - clock_unix_ms ();
+  const int64_t left_ms = record.expires_unix_ms - clock_unix_ms ();
   if (left_ms < -POISON_BLOCK_RETENTION_MS)
     {
       add_write (task, object->name, NULL);
--- a/node/control/control_pulls.c
+++ b/node/control/control_pulls.c
@@ -69,11 +69,11 @@
 static void
 arm (struct control_task *task, int64_t due_ms, int64_t now_ms)
 {
-  if (ev_is_active (&task->pull_due))
+  if (ev_is_active (&task->pull_timer))
     return;
   const int64_t left_ms = due_ms > now_ms ? due_ms - now_ms : 0;
-  ev_timer_set (&task->pull_due, (double)left_ms / 1000.0, 0);
-  ev_timer_start (task->options.loop, &task->pull_due);
+  ev_timer_set (&task->pull_timer, (double)left_ms / 1000.0, 0);
+  ev_timer_start (task->options.loop, &task->pull_timer);
 }
 
 static void
@@ -121,7 +121,8 @@
 }
 
 bool
-control_pulls_wants (struct control_task *task, const struct control_offer *o)
+control_pulls_should_request (struct control_task *task,
+                              const struct control_offer *o)
 {
   const int64_t now_ms = clock_now_ms ();
   struct control_pull *pull = find (task, o->key);
@@ -131,7 +132,7 @@
     return false;
   pull = begin (task, o->key);
   pull->version = o->version;
-  pull->held = o->held;
+  pull->held = o->held_version;
   pull->host = o->host;
   pull->is_asked = !waits;
   pull->due_ms = now_ms;
@@ -150,7 +151,8 @@
 }
 
 void
-control_pulls_end (struct control_task *task, uint64_t key, uint64_t version)
+control_pulls_complete (struct control_task *task, uint64_t key,
+                        uint64_t version)
 {
   struct control_pull *pull = find (task, key);
   if (pull != NULL && pull->version <= version)
@@ -180,14 +182,14 @@
 void
 control_pulls_prepare (struct control_task *task)
 {
-  ev_timer_init (&task->pull_due, due_cb, 0, 0);
-  task->pull_due.data = task;
+  ev_timer_init (&task->pull_timer, due_cb, 0, 0);
+  task->pull_timer.data = task;
 }
 
 void
 control_pulls_release (struct control_task *task)
 {
-  ev_timer_stop (task->options.loop, &task->pull_due);
+  ev_timer_stop (task->options.loop, &task->pull_timer);
   struct control_pull *pull = task->pulls;
   HASH_CLEAR (hh, task->pulls);
   while (pull != NULL)
--- a/node/control/control_ask.c
+++ b/node/control/control_query.c
@@ -26,7 +26,7 @@
   enum ask_state state;
 };
 
-struct control_ask
+struct control_query
 {
   struct control_task *task;
   uint64_t id;
@@ -38,8 +38,8 @@
   struct ev_timer limit;
   control_in_force_done *done;
   void *owner;
-  struct control_ask *prev;
-  struct control_ask *next;
+  struct control_query *prev;
+  struct control_query *next;
 };
 
 /* What is in force here, or the version of its removal. */
@@ -55,10 +55,10 @@
 }
 
 static void
-ask_free (struct control_ask *ask)
+ask_free (struct control_query *ask)
 {
   ev_timer_stop (ask->task->options.loop, &ask->limit);
-  DL_DELETE (ask->task->asks, ask);
+  DL_DELETE (ask->task->queries, ask);
   free (ask->hosts);
   free (ask);
 }
@@ -71,11 +71,11 @@
 }
 
 static void
-report (struct control_ask *ask)
+report (struct control_query *ask)
 {
-  struct control_in_force result = { .asked = ask->count };
-  result.behind = xcalloc (ask->count, sizeof *result.behind);
-  result.silent = xcalloc (ask->count, sizeof *result.silent);
+  struct control_in_force result = { .queried = ask->count };
+  result.outdated = xcalloc (ask->count, sizeof *result.outdated);
+  result.unanswered = xcalloc (ask->count, sizeof *result.unanswered);
   for (size_t i = 0; i < ask->count; i++)
     {
       const char *name = host_name (ask->task, ask->hosts[i].key);
@@ -85,10 +85,10 @@
           result.in_force++;
           break;
         case ASK_BEHIND:
-          result.behind[result.behind_count++] = name;
+          result.outdated[result.outdated_count++] = name;
           break;
         case ASK_SILENT:
-          result.silent[result.silent_count++] = name;
+          result.unanswered[result.unanswered_count++] = name;
           break;
         }
     }
@@ -96,8 +96,8 @@
   void *owner = ask->owner;
   ask_free (ask);
   done (owner, &result);
-  free (result.behind);
-  free (result.silent);
+  free (result.outdated);
+  free (result.unanswered);
 }
 
 static void
@@ -107,7 +107,7 @@
 }
 
 static void
-note_answer (struct control_ask *ask, uint64_t key, uint64_t version)
+note_answer (struct control_query *ask, uint64_t key, uint64_t version)
 {
   for (size_t i = 0; i < ask->count; i++)
     {
@@ -126,7 +126,7 @@
 }
 
 static void
-add_host (struct control_ask *ask, uint64_t key)
+add_host (struct control_query *ask, uint64_t key)
 {
   for (size_t i = 0; i < ask->count; i++)
     if (ask->hosts[i].key == key)
@@ -135,7 +135,7 @@
 }
 
 static void
-choose_hosts (struct control_ask *ask)
+choose_hosts (struct control_query *ask)
 {
   const struct control_task *task = ask->task;
   const size_t known = HASH_COUNT (task->hosts);
@@ -161,13 +161,13 @@
 }
 
 void
-control_ask_in_force (struct control_task *task, const char *service,
-                      uint64_t version, uint32_t timeout_ms,
-                      control_in_force_done *done, void *owner)
+control_query_in_force (struct control_task *task, const char *service,
+                        uint64_t version, uint32_t timeout_ms,
+                        control_in_force_done *done, void *owner)
 {
-  struct control_ask *ask = xcalloc (1, sizeof *ask);
+  struct control_query *ask = xcalloc (1, sizeof *ask);
   ask->task = task;
-  ask->id = ++task->ask_id;
+  ask->id = ++task->last_query_id;
   ask->version = version;
   ask->done = done;
   ask->owner = owner;
@@ -175,7 +175,7 @@
   ev_timer_init (&ask->limit, limit_cb, timeout_ms / 1000.0, 0);
   ask->limit.data = ask;
   ev_timer_start (task->options.loop, &ask->limit);
-  DL_APPEND (task->asks, ask);
+  DL_APPEND (task->queries, ask);
   choose_hosts (ask);
   struct peer_message message
       = { .type = PEER_IN_FORCE_ASK,
@@ -191,9 +191,9 @@
 }
 
 void
-control_ask_receive (struct control_task *task,
-                     const struct control_source *source,
-                     const struct peer_message *message)
+control_query_receive (struct control_task *task,
+                       const struct control_source *source,
+                       const struct peer_message *message)
 {
   if (message->type == PEER_IN_FORCE_ASK)
     {
@@ -203,8 +203,8 @@
       control_reply (task, source, &answer);
       return;
     }
-  struct control_ask *ask;
-  DL_FOREACH (task->asks, ask)
+  struct control_query *ask;
+  DL_FOREACH (task->queries, ask)
   {
     if (ask->id != message->in_force.ask_id)
       continue;
@@ -214,11 +214,11 @@
 }
 
 void
-control_cancel (struct control_task *task, void *owner)
+control_cancel_queries (struct control_task *task, void *owner)
 {
-  struct control_ask *ask;
-  struct control_ask *next;
-  DL_FOREACH_SAFE (task->asks, ask, next)
+  struct control_query *ask;
+  struct control_query *next;
+  DL_FOREACH_SAFE (task->queries, ask, next)
   {
     if (ask->owner == owner)
       ask_free (ask);
@@ -226,11 +226,11 @@
 }
 
 void
-control_ask_release (struct control_task *task)
+control_query_release (struct control_task *task)
 {
-  struct control_ask *ask;
-  struct control_ask *next;
-  DL_FOREACH_SAFE (task->asks, ask, next)
+  struct control_query *ask;
+  struct control_query *next;
+  DL_FOREACH_SAFE (task->queries, ask, next)
   {
     ask_free (ask);
   }
--- a/node/control/control_records.h
+++ b/node/control/control_records.h
@@ -57,8 +57,8 @@
   uint64_t version;    /**< in force; a newer bad one may be held */
   uint64_t rate;       /**< that its targets may get, also those that leave */
   uint64_t generation; /**< of hosts that its set was chosen from */
-  bool is_posted;
-  bool has_self;
+  bool is_published;
+  bool includes_self;
   uint64_t set_hash; /**< of hosts and their incarnations */
   uint64_t *set;     /**< keys of its hosts, best placed first */
   size_t set_count;
@@ -79,15 +79,15 @@
   struct control_task *task;
   const char *kind;
   uint64_t revision;
-  bool is_listed;        /**< revision is one to watch from */
-  bool is_waiting;       /**< a call is under way */
-  uint32_t wait_ms;      /**< of the watch under way */
-  bool is_for_all;       /**< every host watches, not only relays */
-  int64_t asked_ms;      /**< when the call under way was made */
+  bool is_listed;            /**< revision is one to watch from */
+  bool is_waiting;           /**< a call is under way */
+  uint32_t watch_timeout_ms; /**< of the watch under way */
+  bool is_watched_by_all;    /**< every host watches, not only relays */
+  int64_t asked_ms;          /**< when the call under way was made */
   bool was_refused;      /**< the platform didn't know the revision any more */
   enum platform_age age; /**< that the call under way asked for */
-  int64_t answered_ms;   /**< when an answer of no age came */
-  int64_t regained_ms;   /**< when a call was answered after one had failed */
+  int64_t last_current_reply_ms; /**< when an answer of no age came */
+  int64_t recovered_ms; /**< when a call was answered after one had failed */
   uint32_t backoff_ms;
   struct ev_timer retry;
 };
@@ -97,12 +97,12 @@
 {
   struct control_task *task;
   bool is_waiting;
-  bool is_done;     /**< the platform holds our record as it is */
-  bool must_read;   /**< the platform may hold another version */
-  uint64_t version; /**< that the platform holds, as far as is known */
+  bool is_registered; /**< the platform holds our record as it is */
+  bool must_read;     /**< the platform may hold another version */
+  uint64_t version;   /**< that the platform holds, as far as is known */
   uint32_t backoff_ms;
-  uint32_t again_backoff_ms; /**< for a record removed again and again */
-  int64_t again_ms;          /**< when it was last removed */
+  uint32_t restore_backoff_ms; /**< for a record removed again and again */
+  int64_t last_removed_ms;     /**< when it was last removed */
   struct ev_timer retry;
 };
 
@@ -112,13 +112,13 @@
   bool is_waiting;
   char name[HOST_NAME_SIZE]; /**< being removed */
   uint64_t version;
-  int64_t pause_until_ms;
-  int64_t ticked_ms;
-  struct counter *forgotten;
+  int64_t retry_at_ms;
+  int64_t last_tick_ms;
+  struct counter *forgotten_total;
 };
 
 /** A question to the platform whether the configuration is the newest. */
-struct control_freshness_ask
+struct control_freshness_query
 {
   struct control_task *task;
   bool is_waiting;
@@ -127,9 +127,9 @@
 };
 
 /** A heartbeat sent for another host that can't get an answer. */
-struct control_check
+struct control_indirect_check
 {
-  uint64_t asker;
+  uint64_t requester;
   uint64_t subject;
   int64_t asked_ms;
 };
@@ -140,8 +140,8 @@
   void *owner;
 };
 
-struct control_ask;
-struct control_local;
+struct control_query;
+struct control_local_message;
 struct control_outcomes;
 struct control_poison_stored_name;
 struct control_poison_write;
--- a/node/control/control_registration.c
+++ b/node/control/control_registration.c
@@ -53,10 +53,10 @@
             const char *value)
 {
   struct control_task *task = registration->task;
-  registration->is_done = true;
+  registration->is_registered = true;
   registration->version = version;
   registration->backoff_ms = 0;
-  control_members_contact (task, clock_now_ms ());
+  control_members_note_contact (task, clock_now_ms ());
   LOG_INFO ("registered", LOG_INT ("version", version),
             LOG_STR ("state", task->is_leaving ? "leaving" : "live"));
   control_settings_apply (task, PLATFORM_KIND_HOST, task->self->record.name,
@@ -147,7 +147,7 @@
 registration_next (struct control_registration *registration)
 {
   struct control_task *task = registration->task;
-  if (registration->is_waiting || registration->is_done)
+  if (registration->is_waiting || registration->is_registered)
     return;
   if (!registration->must_read)
     {
@@ -174,31 +174,31 @@
   if (registration->is_waiting)
     platform_cancel (task->options.platform, registration);
   registration->is_waiting = false;
-  registration->is_done = false;
+  registration->is_registered = false;
   registration_next (registration);
 }
 
 /* Guards against two that write and remove the record in turn as fast as
    they can: only the first removal in a while is answered at once. */
 void
-control_registration_renew (struct control_task *task)
+control_registration_restore (struct control_task *task)
 {
   struct control_registration *registration = &task->registration;
   const int64_t now_ms = clock_now_ms ();
-  const bool is_first
-      = registration->again_ms == 0
-        || now_ms - registration->again_ms > 2 * (int64_t)BACKOFF_MAX_MS;
-  registration->again_ms = now_ms;
+  const bool is_first = registration->last_removed_ms == 0
+                        || now_ms - registration->last_removed_ms
+                               > 2 * (int64_t)BACKOFF_MAX_MS;
+  registration->last_removed_ms = now_ms;
   registration->version = PLATFORM_VERSION_NONE;
   if (is_first)
     {
-      registration->again_backoff_ms = 0;
+      registration->restore_backoff_ms = 0;
       control_registration_write (task);
       return;
     }
-  registration->is_done = false;
+  registration->is_registered = false;
   control_retry_later (task, &registration->retry,
-                       &registration->again_backoff_ms);
+                       &registration->restore_backoff_ms);
 }
 
 void
--- a/node/control/control_registry.c
+++ b/node/control/control_registry.c
@@ -24,7 +24,7 @@
       = { .topic = BUS_CONFIG_IN_FORCE,
           .config_in_force = { .config = fleet_config_copy (config) } };
   bus_post (task->options.bus, &message);
-  control_freshness_in_force (task, config->version);
+  control_freshness_set_version_in_force (task, config->version);
   LOG_INFO ("config-in-force", LOG_INT ("version", config->version));
 }
 
@@ -54,8 +54,8 @@
 }
 
 void
-control_registry_take_config (struct control_task *task, const char *name,
-                              uint64_t version, const char *value)
+control_registry_apply_config (struct control_task *task, const char *name,
+                               uint64_t version, const char *value)
 {
   if (strcmp (name, PLATFORM_CONFIG_NAME) != 0)
     return;
@@ -65,12 +65,12 @@
                 LOG_STR ("in-force", "the configuration as before"));
       return;
     }
-  registry_take_config (task->registry, name, value);
+  registry_apply_config (task->registry, name, value);
 }
 
 void
-control_registry_take_target (struct control_task *task, const char *name,
-                              uint64_t version, const char *value)
+control_registry_apply_target (struct control_task *task, const char *name,
+                               uint64_t version, const char *value)
 {
-  registry_take_target (task->registry, name, value);
+  registry_apply_target (task->registry, name, value);
 }
--- a/node/control/control_removals.c
+++ b/node/control/control_removals.c
@@ -21,12 +21,12 @@
 arm (struct control_task *task)
 {
   const struct control_removal *first = task->removals;
-  ev_timer_stop (task->options.loop, &task->removal_due);
+  ev_timer_stop (task->options.loop, &task->removal_timer);
   if (first == NULL)
     return;
   const int64_t left_ms = first->due_ms - clock_now_ms ();
-  ev_timer_set (&task->removal_due, left_ms > 0 ? left_ms / 1000.0 : 0., 0.);
-  ev_timer_start (task->options.loop, &task->removal_due);
+  ev_timer_set (&task->removal_timer, left_ms > 0 ? left_ms / 1000.0 : 0., 0.);
+  ev_timer_start (task->options.loop, &task->removal_timer);
 }
 
 static void
@@ -51,14 +51,14 @@
 void
 control_removals_start (struct control_task *task)
 {
-  ev_timer_init (&task->removal_due, on_due, 0., 0.);
-  task->removal_due.data = task;
+  ev_timer_init (&task->removal_timer, on_due, 0., 0.);
+  task->removal_timer.data = task;
 }
 
 void
 control_removals_stop (struct control_task *task)
 {
-  ev_timer_stop (task->options.loop, &task->removal_due);
+  ev_timer_stop (task->options.loop, &task->removal_timer);
   struct control_removal *removal;
   struct control_removal *next;
   DL_FOREACH_SAFE (task->removals, removal, next)
--- a/node/control/control_report.c
+++ b/node/control/control_report.c
@@ -37,13 +37,13 @@
 }
 
 int64_t
-control_news_age_ms (const struct control_task *task)
+control_contact_age_ms (const struct control_task *task)
 {
-  return clock_now_ms () - task->contact_ms;
+  return clock_now_ms () - task->last_contact_ms;
 }
 
 struct json_object *
-control_silent_hosts (const struct control_task *task)
+control_unresponsive_hosts (const struct control_task *task)
 {
   struct json_object *names = json_object_new_array ();
   const struct control_host *host;
--- a/node/control/control_send.c
+++ b/node/control/control_send.c
@@ -7,12 +7,12 @@
 #include "base/xmalloc.h"
 
 /** A message to this host itself, encoded. */
-struct control_local
+struct control_local_message
 {
   char *bytes;
   size_t size;
-  struct control_local *prev;
-  struct control_local *next;
+  struct control_local_message *prev;
+  struct control_local_message *next;
 };
 
 void
@@ -28,10 +28,10 @@
 deliver_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
   struct control_task *task = watcher->data;
-  struct control_local *queue = task->local;
-  struct control_local *local;
-  struct control_local *next;
-  task->local = NULL;
+  struct control_local_message *queue = task->local_messages;
+  struct control_local_message *local;
+  struct control_local_message *next;
+  task->local_messages = NULL;
   DL_FOREACH_SAFE (queue, local, next)
   {
     struct peer_message message;
@@ -48,11 +48,11 @@
 static void
 send_to_self (struct control_task *task, const struct peer_message *message)
 {
-  struct control_local *local = xcalloc (1, sizeof *local);
+  struct control_local_message *local = xcalloc (1, sizeof *local);
   local->bytes = peer_message_encode (message, &local->size);
-  DL_APPEND (task->local, local);
-  if (!ev_is_active (&task->deliver))
-    ev_timer_start (task->options.loop, &task->deliver);
+  DL_APPEND (task->local_messages, local);
+  if (!ev_is_active (&task->local_timer))
+    ev_timer_start (task->options.loop, &task->local_timer);
 }
 
 enum status
@@ -79,17 +79,17 @@
 void
 control_send_prepare (struct control_task *task)
 {
-  ev_timer_init (&task->deliver, deliver_cb, 0, 0);
-  task->deliver.data = task;
+  ev_timer_init (&task->local_timer, deliver_cb, 0, 0);
+  task->local_timer.data = task;
 }
 
 void
 control_send_release (struct control_task *task)
 {
-  struct control_local *local;
-  struct control_local *next;
-  ev_timer_stop (task->options.loop, &task->deliver);
-  DL_FOREACH_SAFE (task->local, local, next)
+  struct control_local_message *local;
+  struct control_local_message *next;
+  ev_timer_stop (task->options.loop, &task->local_timer);
+  DL_FOREACH_SAFE (task->local_messages, local, next)
   {
     free (local->bytes);
     free (local);
--- a/node/control/control_services.c
+++ b/node/control/control_services.c
@@ -29,7 +29,7 @@
   LOG_INFO ("service-removed", LOG_STR ("service", name),
             LOG_INT ("version", version));
   HASH_DEL (task->services, service);
-  control_sets_drop (service);
+  control_sets_free_service (service);
 }
 
 static uint64_t
--- a/node/control/control_sets.c
+++ b/node/control/control_sets.c
@@ -28,7 +28,7 @@
 static struct fleet_host
 placed (const struct control_host *host)
 {
-  const uint32_t strength = host->record.strength;
+  const uint32_t strength = host->record.capacity;
   return (struct fleet_host){ .key = host->key,
                               .dc = hash_string (host->record.dc),
                               .weight = strength > 0 ? strength
@@ -139,7 +139,7 @@
 {
   struct bus_message message
       = { .topic = BUS_HOST_SET,
-          .host_set = { .self = service->has_self,
+          .host_set = { .self = service->includes_self,
                         .count = service->set_count,
                         .fleet_count = task->fleet_count } };
   struct bus_host_set *posted = &message.host_set;
@@ -157,7 +157,7 @@
   bus_post (task->options.bus, &message);
   LOG_INFO ("host-set", LOG_STR ("service", service->name),
             LOG_INT ("hosts", service->set_count),
-            LOG_INT ("self", service->has_self));
+            LOG_INT ("self", service->includes_self));
 }
 
 /* Tells a set from another one with the same hosts started anew, whose
@@ -200,21 +200,21 @@
   struct fleet_choice choice;
   host_set_choose (service->key, task->fleet, task->fleet_count, &need,
                    &choice);
-  service->generation = task->generation;
+  service->generation = task->fleet_generation;
   const uint64_t hash = signature (task, &choice);
-  if (service->is_posted && service->set_hash == hash)
+  if (service->is_published && service->set_hash == hash)
     return;
-  service->is_posted = true;
+  service->is_published = true;
   service->set_hash = hash;
   service->set_count = choice.count;
-  service->has_self = false;
+  service->includes_self = false;
   service->set
       = xreallocarray (service->set, choice.count, sizeof *service->set);
   for (uint32_t i = 0; i < choice.count; i++)
     {
       service->set[i] = task->fleet[choice.hosts[i]].key;
       if (service->set[i] == task->self->key)
-        service->has_self = true;
+        service->includes_self = true;
     }
   post_set (task, service);
 }
@@ -223,7 +223,7 @@
 gather_anew (struct control_task *task)
 {
   task->hosts_changed = false;
-  task->generation++;
+  task->fleet_generation++;
   gather (task);
   choose_relays (task);
   quota_coordinators_choose (task->fleet, task->fleet_count,
@@ -237,13 +237,13 @@
 bool
 control_sets_refresh (struct control_task *task)
 {
-  if (task->hosts_changed || task->generation == 0)
+  if (task->hosts_changed || task->fleet_generation == 0)
     gather_anew (task);
   size_t scores = 0;
   struct control_service *service;
   for (service = task->services; service != NULL; service = service->hh.next)
     {
-      if (service->generation == task->generation)
+      if (service->generation == task->fleet_generation)
         continue;
       if (scores > SCORES_PER_TURN)
         return true;
@@ -254,7 +254,7 @@
 }
 
 void
-control_sets_drop (struct control_service *service)
+control_sets_free_service (struct control_service *service)
 {
   free (service->set);
   free (service);
@@ -283,7 +283,7 @@
 }
 
 uint32_t
-control_listed_hosts (const struct control_task *task)
+control_listed_host_count (const struct control_task *task)
 {
   const struct control_feed *feed = &task->feeds[task->feed_count - 1];
   const struct control_host *host;
--- a/node/control/control_settings.c
+++ b/node/control/control_settings.c
@@ -64,7 +64,7 @@
   if (value == NULL)
     {
       LOG_WARN ("own-record-removed", LOG_INT ("version", version));
-      control_registration_renew (task);
+      control_registration_restore (task);
     }
   else if (host_record_parse (name, value, &record) == STATUS_OK
            && record.incarnation > task->self->record.incarnation)
@@ -99,12 +99,12 @@
                 LOG_STR ("why", status_message ()));
       return;
     }
-  host = control_hosts_learn (task, &record);
+  host = control_hosts_update (task, &record);
   host->is_listed = true;
   host->is_removed = false;
   membership_add (task->membership, clock_now_ms (), host->key,
                   record.incarnation, record.leaving);
-  control_members_take_changes (task);
+  control_members_apply_changes (task);
 }
 
 /* Tell the hosts we have links to; they pull what they lack. */
@@ -115,9 +115,9 @@
   const struct peer_message message
       = { .type = PEER_SETTINGS_OFFER,
           .settings = { .entries = &entry, .count = 1 } };
-  uint64_t keys[CONTROL_WATCHED_MAX];
+  uint64_t keys[CONTROL_MONITORED_MAX];
   const size_t count
-      = membership_monitored (task->membership, keys, CONTROL_WATCHED_MAX);
+      = membership_monitored (task->membership, keys, CONTROL_MONITORED_MAX);
   for (size_t i = 0; i < count; i++)
     {
       struct control_host *host = control_hosts_find (task, keys[i]);
@@ -139,9 +139,9 @@
   if (strcmp (kind, PLATFORM_KIND_SERVICE) == 0)
     return has_registry ? NULL : take_service;
   if (strcmp (kind, PLATFORM_KIND_TARGET) == 0)
-    return has_registry ? control_registry_take_target : NULL;
+    return has_registry ? control_registry_apply_target : NULL;
   if (strcmp (kind, PLATFORM_KIND_CONFIG) == 0)
-    return has_registry ? control_registry_take_config : NULL;
+    return has_registry ? control_registry_apply_config : NULL;
   return NULL;
 }
 
@@ -155,9 +155,9 @@
   const uint64_t key = settings_key (kind, name);
   if (!settings_index_update (task->index, key, version))
     return false;
-  control_pulls_end (task, key, version);
+  control_pulls_complete (task, key, version);
   struct control_object *object = hold (task, key, kind, name, version, value);
-  if (value == NULL && control_tombstones_bury (kind))
+  if (value == NULL && control_tombstones_apply_to (kind))
     control_tombstones_add (task, object);
   take (task, name, version, value);
   offer (task, key, version);
@@ -192,9 +192,9 @@
         task->has_settings = true;
       return;
     }
-  if (task->has_settings && now_ms - task->synced_ms < pause_ms)
+  if (task->has_settings && now_ms - task->last_compared_ms < pause_ms)
     return;
-  task->synced_ms = now_ms;
+  task->last_compared_ms = now_ms;
   uint64_t buckets[SETTINGS_BUCKETS];
   const struct peer_message message = digest_message (task, true, buckets);
   control_reply (task, source, &message);
@@ -284,10 +284,10 @@
       const struct control_offer offer
           = { .key = entry->key,
               .version = entry->version,
-              .held = held,
+              .held_version = held,
               .held_bytes = held_bytes (task, entry->key),
               .host = source->host->key };
-      if (entry->version > held && control_pulls_wants (task, &offer))
+      if (entry->version > held && control_pulls_should_request (task, &offer))
         batch_add (&batch, entry->key, held);
     }
   batch_send (&batch);
@@ -329,7 +329,7 @@
       handle_pull (task, source, &message->settings);
       break;
     case PEER_SETTINGS_PUSH:
-      if (!control_tombstones_is_old (
+      if (!control_tombstones_is_outdated (
               task, message->push.kind, message->push.name,
               message->push.version, message->push.value)
           && control_settings_apply (task, message->push.kind,
@@ -359,7 +359,7 @@
   while (service != NULL)
     {
       struct control_service *next = service->hh.next;
-      control_sets_drop (service);
+      control_sets_free_service (service);
       service = next;
     }
 }
--- a/node/control/control_task.c
+++ b/node/control/control_task.c
@@ -53,7 +53,7 @@
       break;
     case PEER_IN_FORCE_ASK:
     case PEER_IN_FORCE_ANSWER:
-      control_ask_receive (task, source, message);
+      control_query_receive (task, source, message);
       break;
     case PEER_EVIDENCE:
     case PEER_DECISION:
@@ -84,7 +84,7 @@
 host_of (struct control_task *task, const struct peer_hello *hello)
 {
   struct host_record record
-      = { .incarnation = hello->incarnation, .strength = hello->strength };
+      = { .incarnation = hello->incarnation, .capacity = hello->strength };
   memcpy (record.name, hello->name, sizeof record.name);
   memcpy (record.dc, hello->dc, sizeof record.dc);
   memcpy (record.peer_address, hello->peer_address,
@@ -95,7 +95,7 @@
           sizeof record.operator_address);
   if (strcmp (record.name, task->self->record.name) == 0)
     return NULL;
-  struct control_host *host = control_hosts_learn (task, &record);
+  struct control_host *host = control_hosts_update (task, &record);
   return host->record.incarnation == record.incarnation ? host : NULL;
 }
 
@@ -138,10 +138,10 @@
 void
 control_refresh_soon (struct control_task *task)
 {
-  if (ev_is_active (&task->refresh))
+  if (ev_is_active (&task->refresh_timer))
     return;
-  ev_timer_set (&task->refresh, REFRESH_MS / 1000.0, 0);
-  ev_timer_start (task->options.loop, &task->refresh);
+  ev_timer_set (&task->refresh_timer, REFRESH_MS / 1000.0, 0);
+  ev_timer_start (task->options.loop, &task->refresh_timer);
 }
 
 void
@@ -166,7 +166,7 @@
 static void
 settle (struct control_task *task, int64_t now_ms)
 {
-  const int64_t settle_ms = (int64_t)CONTROL_SETTLE_BEATS
+  const int64_t settle_ms = (int64_t)CONTROL_SETTLE_HEARTBEATS
                             * task->options.settings->times.heartbeat_ms;
   if (task->settled_ms > 0 || now_ms - task->started_ms < settle_ms)
     return;
@@ -180,8 +180,8 @@
   struct control_task *task = watcher->data;
   const int64_t now_ms = clock_now_ms ();
   settle (task, now_ms);
-  control_members_beat (task, now_ms);
-  control_cleanup_beat (task, now_ms);
+  control_members_tick (task, now_ms);
+  control_cleanup_tick (task, now_ms);
   control_tombstones_expire (task, now_ms);
   control_pulls_expire (task, now_ms);
   control_hosts_close_idle (task, now_ms);
@@ -204,7 +204,7 @@
   const struct host_settings *settings = task->options.settings;
   struct host_record record
       = { .incarnation = task->options.incarnation,
-          .strength = host_capacity (&settings->resources) };
+          .capacity = host_capacity (&settings->resources) };
   memcpy (record.name, settings->name, sizeof record.name);
   memcpy (record.dc, settings->dc, sizeof record.dc);
   advertise (record.caller_address, settings->caller_advertised,
@@ -215,10 +215,10 @@
              settings->operator_address);
   if (record.incarnation == 0)
     record.incarnation = incarnation_make ();
-  task->self = control_hosts_learn (task, &record);
+  task->self = control_hosts_update (task, &record);
   struct peer_hello *hello = &task->identity.hello;
   hello->incarnation = record.incarnation;
-  hello->strength = record.strength;
+  hello->strength = record.capacity;
   memcpy (hello->name, record.name, sizeof hello->name);
   memcpy (hello->dc, record.dc, sizeof hello->dc);
   memcpy (hello->caller_address, record.caller_address,
@@ -261,10 +261,10 @@
 {
   struct ev_loop *loop = task->options.loop;
   const double beat_s = task->options.settings->times.heartbeat_ms / 1000.0;
-  ev_timer_init (&task->beat, beat_cb, beat_s * rng_unit (&task->random),
-                 beat_s);
-  task->beat.data = task;
-  ev_timer_start (loop, &task->beat);
+  ev_timer_init (&task->heartbeat_timer, beat_cb,
+                 beat_s * rng_unit (&task->random), beat_s);
+  task->heartbeat_timer.data = task;
+  ev_timer_start (loop, &task->heartbeat_timer);
 }
 
 static void
@@ -289,11 +289,11 @@
   rng_seed (&task->random, seed);
   task->options = *options;
   task->started_ms = clock_now_ms ();
-  task->contact_ms = task->started_ms;
+  task->last_contact_ms = task->started_ms;
   task->index = settings_index_create ();
   control_tombstones_create (task);
-  ev_timer_init (&task->refresh, refresh_cb, 0, 0);
-  task->refresh.data = task;
+  ev_timer_init (&task->refresh_timer, refresh_cb, 0, 0);
+  task->refresh_timer.data = task;
   control_send_prepare (task);
   control_outcomes_prepare (task);
   control_poison_store_prepare (task);
@@ -336,7 +336,7 @@
       bus_unsubscribe (task->options.bus, task);
       if (task->options.tables != NULL)
         tables_unregister (task->options.tables, task);
-      ev_timer_stop (loop, &task->beat);
+      ev_timer_stop (loop, &task->heartbeat_timer);
       control_cleanup_stop (task);
       control_freshness_stop (task);
       control_platform_stop (task);
@@ -344,14 +344,14 @@
       control_removals_stop (task);
       control_poison_store_stop (task);
     }
-  ev_timer_stop (loop, &task->refresh);
+  ev_timer_stop (loop, &task->refresh_timer);
   control_seeds_close (task);
   peer_server_destroy (task->server);
   control_send_release (task);
   control_outcomes_release (task);
   control_poison_store_release (task);
   control_pulls_release (task);
-  control_ask_release (task);
+  control_query_release (task);
   registry_destroy (task->registry);
   control_settings_release (task);
   control_hosts_release (task);
--- a/node/control/control_task.h
+++ b/node/control/control_task.h
@@ -80,7 +80,7 @@
 
 /** How many hosts the platform's list shows, live or not; 0: it hasn't come
  * yet. */
-uint32_t control_listed_hosts (const struct control_task *task);
+uint32_t control_listed_host_count (const struct control_task *task);
 
 /** May HOST be handed out: believed live, not leaving, not dead? */
 bool control_host_is_live (const struct control_task *task, const char *host);
@@ -94,11 +94,12 @@
 bool control_is_stale (const struct control_task *task);
 
 /** How long ago this host last heard the platform or a relay, in ms. */
-int64_t control_news_age_ms (const struct control_task *task);
+int64_t control_contact_age_ms (const struct control_task *task);
 
 /** The hosts that should be live but aren't heard from now (suspect, heard
  * one way only, or dead), by name: a new JSON array. */
-struct json_object *control_silent_hosts (const struct control_task *task);
+struct json_object *
+control_unresponsive_hosts (const struct control_task *task);
 
 /** Settings have come from the platform or a peer: work may be taken. */
 bool control_has_settings (const struct control_task *task);
@@ -113,12 +114,12 @@
  * callback only. */
 struct control_in_force
 {
-  size_t asked;
+  size_t queried;
   size_t in_force;
-  const char **behind; /**< answered with a lower version */
-  size_t behind_count;
-  const char **silent; /**< not heard from */
-  size_t silent_count;
+  const char **outdated; /**< answered with a lower version */
+  size_t outdated_count;
+  const char **unanswered; /**< not heard from */
+  size_t unanswered_count;
 };
 
 typedef void control_in_force_done (void *owner,
@@ -126,11 +127,11 @@
 
 /** Ask the hosts that should hold VERSION of SERVICE whether it is in force
  * there; DONE is called once, when all have answered or after TIMEOUT_MS. */
-void control_ask_in_force (struct control_task *task, const char *service,
-                           uint64_t version, uint32_t timeout_ms,
-                           control_in_force_done *done, void *owner);
+void control_query_in_force (struct control_task *task, const char *service,
+                             uint64_t version, uint32_t timeout_ms,
+                             control_in_force_done *done, void *owner);
 
 /** Forget the asks of OWNER without calling back. */
-void control_cancel (struct control_task *task, void *owner);
+void control_cancel_queries (struct control_task *task, void *owner);
 
 #endif
--- a/node/control/control_tombstones.c
+++ b/node/control/control_tombstones.c
@@ -18,22 +18,22 @@
 floor_of (struct control_task *task, const char *kind)
 {
   if (strcmp (kind, PLATFORM_KIND_HOST) == 0)
-    return &task->host_floor;
+    return &task->host_version_floor;
   if (strcmp (kind, PLATFORM_KIND_TARGET) == 0)
-    return &task->target_floor;
+    return &task->target_version_floor;
   return NULL;
 }
 
 bool
-control_tombstones_bury (const char *kind)
+control_tombstones_apply_to (const char *kind)
 {
   return strcmp (kind, PLATFORM_KIND_HOST) == 0
          || strcmp (kind, PLATFORM_KIND_TARGET) == 0;
 }
 
 void
-control_tombstones_listed (struct control_task *task, const char *kind,
-                           uint64_t revision)
+control_tombstones_note_list (struct control_task *task, const char *kind,
+                              uint64_t revision)
 {
   uint64_t *lowest = floor_of (task, kind);
   if (lowest != NULL && revision > *lowest)
@@ -63,7 +63,7 @@
   if (object != NULL && object->value == NULL
       && object->version == oldest->version)
     {
-      control_tombstones_listed (task, object->kind, oldest->version);
+      control_tombstones_note_list (task, object->kind, oldest->version);
       settings_index_drop (task->index, object->key);
       HASH_DEL (task->objects, object);
       free (object);
@@ -108,9 +108,9 @@
    tombstone taken for a name that isn't known: it guards nothing, and would
    be passed on between new hosts for ever. */
 bool
-control_tombstones_is_old (struct control_task *task, const char *kind,
-                           const char *name, uint64_t version,
-                           const char *value)
+control_tombstones_is_outdated (struct control_task *task, const char *kind,
+                                const char *name, uint64_t version,
+                                const char *value)
 {
   const uint64_t *lowest = floor_of (task, kind);
   if (lowest == NULL)
--- a/node/control/host_record.c
+++ b/node/control/host_record.c
@@ -33,7 +33,7 @@
   options_int (options, "strength", 0, UINT32_MAX, &strength);
   options_enum (options, "state", state_names, STATE_COUNT, &state);
   record->incarnation = (uint64_t)incarnation;
-  record->strength = (uint32_t)strength;
+  record->capacity = (uint32_t)strength;
   record->leaving = state == STATE_LEAVING;
 }
 
@@ -75,8 +75,8 @@
   add_text (tree, "peer_address", record->peer_address);
   add_text (tree, "operator_address", record->operator_address);
   json_row_number (tree, "incarnation", (int64_t)record->incarnation);
-  if (record->strength > 0)
-    json_row_number (tree, "strength", record->strength);
+  if (record->capacity > 0)
+    json_row_number (tree, "strength", record->capacity);
   add_text (tree, "state",
             state_names[record->leaving ? STATE_LEAVING : STATE_LIVE]);
   char *text = xstrdup (
--- a/node/control/host_record.h
+++ b/node/control/host_record.h
@@ -18,7 +18,7 @@
   char peer_address[PEER_ADDRESS_SIZE];
   char operator_address[PEER_ADDRESS_SIZE];
   uint64_t incarnation;
-  uint32_t strength; /**< requests a second it can carry; 0: not known */
+  uint32_t capacity; /**< requests a second it can carry; 0: not known */
   bool leaving;
 };
 
--- a/node/control/outcome_digest.c
+++ b/node/control/outcome_digest.c
@@ -15,7 +15,7 @@
 static uint32_t
 make_room (struct outcome_digest *digest)
 {
-  if (digest->target_count < OUTCOME_DIGEST_TARGETS)
+  if (digest->target_count < OUTCOME_DIGEST_TARGETS_MAX)
     return digest->target_count++;
   uint32_t oldest = 0;
   for (uint32_t i = 1; i < digest->target_count; i++)
@@ -32,8 +32,8 @@
 }
 
 void
-outcome_digest_note (struct outcome_digest *digest, int64_t now_ms,
-                     uint64_t host, uint64_t target, enum attempt_end end)
+outcome_digest_add (struct outcome_digest *digest, int64_t now_ms,
+                    uint64_t host, uint64_t target, enum attempt_end end)
 {
   uint32_t at = find_target (digest, target);
   const bool is_known = at < digest->target_count;
@@ -59,28 +59,28 @@
     {
       if (digest->hosts[i].key == key)
         return &digest->hosts[i];
-      if (digest->hosts[i].told_ms < digest->hosts[oldest].told_ms)
+      if (digest->hosts[i].sent_ms < digest->hosts[oldest].sent_ms)
         oldest = i;
     }
-  if (digest->host_count < OUTCOME_DIGEST_HOSTS)
+  if (digest->host_count < OUTCOME_DIGEST_HOSTS_MAX)
     oldest = digest->host_count++;
   digest->hosts[oldest] = (struct outcome_digest_host){
-    .key = key, .told_ms = now_ms - OUTCOME_DIGEST_AGE_MS
+    .key = key, .sent_ms = now_ms - OUTCOME_DIGEST_AGE_MAX_MS
   };
   return &digest->hosts[oldest];
 }
 
 size_t
-outcome_digest_tell (struct outcome_digest *digest, int64_t now_ms,
-                     uint64_t host, struct outcome_digest_target *targets)
+outcome_digest_collect (struct outcome_digest *digest, int64_t now_ms,
+                        uint64_t host, struct outcome_digest_target *targets)
 {
   struct outcome_digest_host *row = host_of (digest, now_ms, host);
-  if (now_ms - row->told_ms < OUTCOME_DIGEST_PAUSE_MS)
+  if (now_ms - row->sent_ms < OUTCOME_DIGEST_INTERVAL_MS)
     return 0;
-  int64_t since_ms = now_ms - OUTCOME_DIGEST_AGE_MS;
-  if (since_ms < row->told_ms)
-    since_ms = row->told_ms;
-  row->told_ms = now_ms;
+  int64_t since_ms = now_ms - OUTCOME_DIGEST_AGE_MAX_MS;
+  if (since_ms < row->sent_ms)
+    since_ms = row->sent_ms;
+  row->sent_ms = now_ms;
   size_t count = 0;
   for (uint32_t i = 0; i < digest->target_count; i++)
     if (digest->targets[i].failed_ms >= since_ms
--- a/node/control/outcome_digest.h
+++ b/node/control/outcome_digest.h
@@ -16,10 +16,10 @@
 
 enum
 {
-  OUTCOME_DIGEST_TARGETS = 128, /**< the latest ones are kept */
-  OUTCOME_DIGEST_HOSTS = 64,    /**< the latest ones that were told */
-  OUTCOME_DIGEST_AGE_MS = 4000, /**< older failures say little */
-  OUTCOME_DIGEST_PAUSE_MS = 500 /**< between two digests for one host */
+  OUTCOME_DIGEST_TARGETS_MAX = 128, /**< the latest ones are kept */
+  OUTCOME_DIGEST_HOSTS_MAX = 64,    /**< the latest ones that were told */
+  OUTCOME_DIGEST_AGE_MAX_MS = 4000, /**< older failures say little */
+  OUTCOME_DIGEST_INTERVAL_MS = 500  /**< between two digests for one host */
 };
 
 /** A target whose last known attempt failed. */
@@ -35,31 +35,30 @@
 struct outcome_digest_host
 {
   uint64_t key;
-  int64_t told_ms;
+  int64_t sent_ms;
 };
 
 /** Empty when it is all zeros. */
 struct outcome_digest
 {
-  struct outcome_digest_target targets[OUTCOME_DIGEST_TARGETS];
+  struct outcome_digest_target targets[OUTCOME_DIGEST_TARGETS_MAX];
   uint32_t target_count;
-  struct outcome_digest_host hosts[OUTCOME_DIGEST_HOSTS];
+  struct outcome_digest_host hosts[OUTCOME_DIGEST_HOSTS_MAX];
   uint32_t host_count;
 };
 
 /** An attempt of the host with key HOST at the target with key TARGET ended.
  */
-void outcome_digest_note (struct outcome_digest *digest, int64_t now_ms,
-                          uint64_t host, uint64_t target,
-                          enum attempt_end end);
+void outcome_digest_add (struct outcome_digest *digest, int64_t now_ms,
+                         uint64_t host, uint64_t target, enum attempt_end end);
 
 /** What the host with key HOST is to be told: targets that have failed since
  * it was told last, none if that was a moment ago.  What it has seen itself is
  * left out: it would count twice.
- * @param targets receives up to OUTCOME_DIGEST_TARGETS
+ * @param targets receives up to OUTCOME_DIGEST_TARGETS_MAX
  * @return how many */
-size_t outcome_digest_tell (struct outcome_digest *digest, int64_t now_ms,
-                            uint64_t host,
-                            struct outcome_digest_target *targets);
+size_t outcome_digest_collect (struct outcome_digest *digest, int64_t now_ms,
+                               uint64_t host,
+                               struct outcome_digest_target *targets);
 
 #endif
--- a/node/control/poison_record.c
+++ b/node/control/poison_record.c
@@ -35,7 +35,7 @@
   options_string (&options, "head", true, head, sizeof head);
   options_uint32 (&options, "epoch", 0, UINT32_MAX, &record->row.epoch);
   options_uint32 (&options, "strikes", 1, UINT32_MAX, &record->row.strikes);
-  options_int (&options, "until_ms", 0, INT64_MAX, &record->until_ms);
+  options_int (&options, "until_ms", 0, INT64_MAX, &record->expires_unix_ms);
   status = options_end (&options);
   record->row.fingerprint.head_hash = strtoull (head, NULL, HEXADECIMAL);
   json_object_put (tree);
@@ -53,7 +53,7 @@
   json_row_text (tree, "head", head);
   json_row_number (tree, "epoch", record->row.epoch);
   json_row_number (tree, "strikes", record->row.strikes);
-  json_row_number (tree, "until_ms", record->until_ms);
+  json_row_number (tree, "until_ms", record->expires_unix_ms);
   char *text = xstrdup (
       json_object_to_json_string_ext (tree, JSON_C_TO_STRING_PLAIN));
   json_object_put (tree);
--- a/node/control/poison_record.h
+++ b/node/control/poison_record.h
@@ -18,7 +18,7 @@
 {
   char service[PEER_NAME_SIZE];
   struct poison_row row;
-  int64_t until_ms; /**< Unix time */
+  int64_t expires_unix_ms; /**< Unix time */
 };
 
 /** Parse the object NAME with value TEXT; `row.left_ms` is not set.
--- a/node/control/tests/control_cleanup_test.cc
+++ b/node/control/tests/control_cleanup_test.cc
@@ -97,7 +97,7 @@
     int64_t sum = 0;
     for (const auto &n : nodes)
       if (n->task != nullptr)
-        sum += n->task->cleanup.forgotten->value;
+        sum += n->task->cleanup.forgotten_total->value;
     return sum;
   }
 
@@ -221,7 +221,7 @@
     nodes[i]->settings.times.stale_after_ms = 60000;
   const auto due = [&] {
     const auto *host = control_hosts_by_name (nodes[0]->task, "h1");
-    return clock_now_ms () - host->gone_ms > 2 * FORGET_MS;
+    return clock_now_ms () - host->gone_since_ms > 2 * FORGET_MS;
   };
   EXPECT_TRUE (until (due));
   EXPECT_EQ (nodes[0]->platform.removals + nodes[2]->platform.removals, 0);
@@ -241,9 +241,9 @@
     {
       control_task *task = nodes[i]->task;
       const int64_t now_ms = clock_now_ms ();
-      task->cleanup.ticked_ms = now_ms - 70000;
-      control_hosts_by_name (task, "h1")->gone_ms = now_ms - 70000;
-      control_cleanup_beat (task, now_ms);
+      task->cleanup.last_tick_ms = now_ms - 70000;
+      control_hosts_by_name (task, "h1")->gone_since_ms = now_ms - 70000;
+      control_cleanup_tick (task, now_ms);
       EXPECT_FALSE (nodes[i]->platform.has_call ("put"));
     }
 }
@@ -256,7 +256,7 @@
   store.remove ("host", "h1");
   const int64_t start_ms = clock_now_ms ();
   EXPECT_TRUE (until ([&] { return has_record ("h1"); }));
-  EXPECT_LT (nodes[1]->task->registration.again_backoff_ms, 1u);
+  EXPECT_LT (nodes[1]->task->registration.restore_backoff_ms, 1u);
   EXPECT_TRUE (until ([&] {
     const auto *host = control_hosts_by_name (nodes[0]->task, "h1");
     return host != nullptr && host->is_listed
@@ -410,11 +410,11 @@
   verdict.counter = 1;
   control_receive (task, &source, &message);
   EXPECT_TRUE (until ([&] { return !knows (*nodes[0], "r0"); }));
-  member_update spoken[CONTROL_GOSSIP_MAX];
+  member_update spoken[CONTROL_GOSSIP_UPDATES_MAX];
   for (int i = 0; i < 200; i++)
     {
-      const size_t count
-          = membership_gossip (task->membership, spoken, CONTROL_GOSSIP_MAX);
+      const size_t count = membership_gossip (task->membership, spoken,
+                                              CONTROL_GOSSIP_UPDATES_MAX);
       for (size_t v = 0; v < count; v++)
         ASSERT_NE (spoken[v].key, key);
     }
--- a/node/control/tests/control_poison_test.cc
+++ b/node/control/tests/control_poison_test.cc
@@ -69,7 +69,7 @@
     poison_record record = {};
     char name[FINGERPRINT_TEXT_SIZE];
     record.row = make_block (number);
-    record.until_ms = clock_unix_ms () + left_ms;
+    record.expires_unix_ms = clock_unix_ms () + left_ms;
     strcpy (record.service, "holds");
     fingerprint_format (&record.row.fingerprint, name);
     char *text = poison_record_format (&record);
--- a/node/control/tests/control_pulls_test.cc
+++ b/node/control/tests/control_pulls_test.cc
@@ -35,7 +35,7 @@
   {
     const control_offer offer
         = { 77, version, 1, held_bytes, hash_string (from.c_str ()) };
-    return control_pulls_wants (nodes[0]->task, &offer);
+    return control_pulls_should_request (nodes[0]->task, &offer);
   }
 };
 
@@ -49,7 +49,7 @@
   EXPECT_FALSE (wants ("near-2", 5, SMALL));
   EXPECT_FALSE (wants ("far", 4, SMALL));
   EXPECT_TRUE (wants ("near-2", 6, SMALL));
-  control_pulls_end (nodes[0]->task, 77, 6);
+  control_pulls_complete (nodes[0]->task, 77, 6);
   EXPECT_TRUE (wants ("far", 7, SMALL));
 }
 
--- a/node/control/tests/control_task_test.cc
+++ b/node/control/tests/control_task_test.cc
@@ -122,21 +122,21 @@
   };
   const auto done = [] (void *owner, const control_in_force *r) {
     auto *to = (result *)owner;
-    *to = { true, r->asked, r->in_force, {}, {} };
-    to->silent.assign (r->silent, r->silent + r->silent_count);
-    to->behind.assign (r->behind, r->behind + r->behind_count);
+    *to = { true, r->queried, r->in_force, {}, {} };
+    to->silent.assign (r->unanswered, r->unanswered + r->unanswered_count);
+    to->behind.assign (r->outdated, r->outdated + r->outdated_count);
   };
   result all, lacking, ahead;
-  control_ask_in_force (nodes[0]->task, "holds", version, 60000, done, &all);
+  control_query_in_force (nodes[0]->task, "holds", version, 60000, done, &all);
   EXPECT_TRUE (until ([&] { return all.is_done; }));
   EXPECT_EQ (all.in_force, 3u);
-  control_ask_in_force (nodes[0]->task, "holds", version + 1, 60000, done,
-                        &ahead);
+  control_query_in_force (nodes[0]->task, "holds", version + 1, 60000, done,
+                          &ahead);
   EXPECT_TRUE (until ([&] { return ahead.is_done; }));
   EXPECT_EQ (ahead.behind.size (), 3u);
   nodes[2]->stop ();
-  control_ask_in_force (nodes[0]->task, "holds", version, 3000, done,
-                        &lacking);
+  control_query_in_force (nodes[0]->task, "holds", version, 3000, done,
+                          &lacking);
   EXPECT_TRUE (until ([&] { return lacking.is_done; }));
   EXPECT_EQ (lacking.asked, 3u);
   EXPECT_EQ (lacking.in_force, 2u);
--- a/node/control/tests/outcome_digest_test.cc
+++ b/node/control/tests/outcome_digest_test.cc
@@ -24,15 +24,16 @@
   void
   note (uint64_t target, attempt_end end, uint64_t by = IN_SET)
   {
-    outcome_digest_note (&digest, now_ms, by, target, end);
+    outcome_digest_add (&digest, now_ms, by, target, end);
   }
 
   std::set<uint64_t>
   tell (uint64_t host)
   {
-    outcome_digest_target targets[OUTCOME_DIGEST_TARGETS];
+    outcome_digest_target targets[OUTCOME_DIGEST_TARGETS_MAX];
     std::set<uint64_t> told;
-    const size_t count = outcome_digest_tell (&digest, now_ms, host, targets);
+    const size_t count
+        = outcome_digest_collect (&digest, now_ms, host, targets);
     for (size_t i = 0; i < count; i++)
       told.insert (targets[i].key);
     return told;
@@ -62,7 +63,7 @@
   EXPECT_TRUE (tell (HOST).empty ());
   EXPECT_EQ (tell (HOST + 1).size (), 1u);
   note (1, ATTEMPT_FAILED);
-  now_ms += OUTCOME_DIGEST_PAUSE_MS;
+  now_ms += OUTCOME_DIGEST_INTERVAL_MS;
   EXPECT_EQ (tell (HOST).size (), 1u);
 }
 
@@ -80,7 +81,7 @@
 {
   EXPECT_TRUE (tell (HOST).empty ());
   note (1, ATTEMPT_FAILED);
-  now_ms += OUTCOME_DIGEST_PAUSE_MS - 1;
+  now_ms += OUTCOME_DIGEST_INTERVAL_MS - 1;
   EXPECT_TRUE (tell (HOST).empty ());
   now_ms += 1;
   EXPECT_EQ (tell (HOST).size (), 1u);
@@ -89,7 +90,7 @@
 TEST_F (OutcomeDigest, LeavesOutOldFailures)
 {
   note (1, ATTEMPT_FAILED);
-  now_ms += OUTCOME_DIGEST_AGE_MS + 1;
+  now_ms += OUTCOME_DIGEST_AGE_MAX_MS + 1;
   note (2, ATTEMPT_FAILED);
   EXPECT_EQ (tell (HOST), (std::set<uint64_t>{ 2 }));
 }
@@ -98,17 +99,17 @@
  * make room. */
 TEST_F (OutcomeDigest, KeepsTheLatestOfTooMany)
 {
-  for (uint64_t t = 0; t < 2 * OUTCOME_DIGEST_TARGETS; t++)
+  for (uint64_t t = 0; t < 2 * OUTCOME_DIGEST_TARGETS_MAX; t++)
     {
       now_ms++;
       note (t, ATTEMPT_FAILED);
     }
   const auto told = tell (HOST);
-  EXPECT_EQ (told.size (), (size_t)OUTCOME_DIGEST_TARGETS);
-  EXPECT_EQ (*told.begin (), (uint64_t)OUTCOME_DIGEST_TARGETS);
-  for (uint64_t h = 0; h < 2 * OUTCOME_DIGEST_HOSTS; h++)
+  EXPECT_EQ (told.size (), (size_t)OUTCOME_DIGEST_TARGETS_MAX);
+  EXPECT_EQ (*told.begin (), (uint64_t)OUTCOME_DIGEST_TARGETS_MAX);
+  for (uint64_t h = 0; h < 2 * OUTCOME_DIGEST_HOSTS_MAX; h++)
     tell (100 + h);
-  EXPECT_EQ (digest.host_count, (uint32_t)OUTCOME_DIGEST_HOSTS);
+  EXPECT_EQ (digest.host_count, (uint32_t)OUTCOME_DIGEST_HOSTS_MAX);
 }
 
 }
--- a/node/control/tests/poison_message_test.cc
+++ b/node/control/tests/poison_message_test.cc
@@ -67,14 +67,14 @@
   written.row.fingerprint = a_row.fingerprint;
   written.row.epoch = 3;
   written.row.strikes = 2;
-  written.until_ms = 1790000000000;
+  written.expires_unix_ms = 1790000000000;
   strcpy (written.service, "holds");
   fingerprint_format (&written.row.fingerprint, name);
   char *text = poison_record_format (&written);
   ASSERT_EQ (poison_record_parse (name, text, &read), STATUS_OK)
       << status_message ();
   expect_same (read.row, written.row);
-  EXPECT_EQ (read.until_ms, written.until_ms);
+  EXPECT_EQ (read.expires_unix_ms, written.expires_unix_ms);
   EXPECT_STREQ (read.service, "holds");
   free (text);
 }
--- a/node/daemon/backend.c
+++ b/node/daemon/backend.c
@@ -107,9 +107,9 @@
   struct ask *ask = owner;
   const struct operator_in_force report = {
     .in_force = (uint32_t)result->in_force,
-    .hosts = (uint32_t)result->asked,
-    .not_heard_from = result->silent,
-    .not_heard_from_count = result->silent_count,
+    .hosts = (uint32_t)result->queried,
+    .not_heard_from = result->unanswered,
+    .not_heard_from_count = result->unanswered_count,
   };
   DL_DELETE (ask->backend->asks, ask);
   ask->done (ask->owner, &report);
@@ -127,22 +127,22 @@
   ask->done = done;
   ask->owner = owner;
   DL_PREPEND (backend->asks, ask);
-  control_ask_in_force (backend->options.control, command->service, version,
-                        within_ms, asked, ask);
+  control_query_in_force (backend->options.control, command->service, version,
+                          within_ms, asked, ask);
 }
 
 static int64_t
 news_age_ms (struct operator_backend *base)
 {
   const struct backend *backend = (struct backend *)base;
-  return control_news_age_ms (backend->options.control);
+  return control_contact_age_ms (backend->options.control);
 }
 
 static struct json_object *
 not_heard_from (struct operator_backend *base)
 {
   const struct backend *backend = (struct backend *)base;
-  return control_silent_hosts (backend->options.control);
+  return control_unresponsive_hosts (backend->options.control);
 }
 
 static void
@@ -157,7 +157,7 @@
 drop_ask (struct backend *backend, struct ask *ask)
 {
   DL_DELETE (backend->asks, ask);
-  control_cancel (backend->options.control, ask);
+  control_cancel_queries (backend->options.control, ask);
   free (ask);
 }
 
--- a/node/daemon/host.c
+++ b/node/daemon/host.c
@@ -14,7 +14,7 @@
 #include "node/control/control_task.h"
 #include "node/control/incarnation.h"
 #include "node/daemon/backend.h"
-#include "node/ejection/control_transport.h"
+#include "node/ejection/control_ejection.h"
 #include "node/ejection/ejection_task.h"
 #include "node/operator/operator_task.h"
 #include "node/plain_server.h"
@@ -49,7 +49,7 @@
   struct platform *platform;
   struct caller_task *caller;
   struct control_task *control;
-  struct control_transport transport;
+  struct control_ejection transport;
   struct ejection_task *ejection;
   struct control_quota quota_transport;
   struct quota_task *quota;
@@ -161,7 +161,7 @@
 static void
 create_ejection (struct host *host, uint64_t incarnation)
 {
-  control_transport_init (&host->transport, host->control);
+  control_ejection_init (&host->transport, host->control);
   const struct ejection_task_options options = {
     .loop = host->loop,
     .bus = host->bus,
@@ -176,7 +176,7 @@
     .incarnation = incarnation,
   };
   host->ejection = ejection_task_create (&options);
-  control_transport_deliver (&host->transport, host->ejection);
+  control_ejection_deliver (&host->transport, host->ejection);
 }
 
 static void
--- a/node/ejection/control_transport.c
+++ b/node/ejection/control_ejection.c
@@ -1,19 +1,19 @@
-#include "node/ejection/control_transport.h"
+#include "node/ejection/control_ejection.h"
 
 static enum status
 send_control (struct ejection_transport *base, const char *to,
               const struct peer_message *message)
 {
-  const struct control_transport *transport
-      = (const struct control_transport *)base;
+  const struct control_ejection *transport
+      = (const struct control_ejection *)base;
   return control_send (transport->control, to, message);
 }
 
 static const struct ejection_transport_ops ops = { .send = send_control };
 
 void
-control_transport_init (struct control_transport *transport,
-                        struct control_task *control)
+control_ejection_init (struct control_ejection *transport,
+                       struct control_task *control)
 {
   transport->base.ops = &ops;
   transport->control = control;
@@ -26,8 +26,8 @@
 }
 
 void
-control_transport_deliver (struct control_transport *transport,
-                           struct ejection_task *task)
+control_ejection_deliver (struct control_ejection *transport,
+                          struct ejection_task *task)
 {
   control_subscribe (transport->control, PEER_EVIDENCE, receive, task);
   control_subscribe (transport->control, PEER_DECISION, receive, task);
--- a/node/ejection/ejection_calls.c
+++ b/node/ejection/ejection_calls.c
@@ -30,7 +30,7 @@
   service->why = "record";
   floor_owner_handle_reply (service->owner, ejection_now_ms (service->task),
                             reply);
-  ejection_owner_drive (service);
+  ejection_owner_update (service);
 }
 
 static void
@@ -102,7 +102,7 @@
 }
 
 void
-ejection_calls_drive (struct ejection_service *service)
+ejection_calls_start_next (struct ejection_service *service)
 {
   const struct floor_request request = floor_owner_next_request (
       service->owner, ejection_now_ms (service->task));
--- a/node/ejection/ejection_command.c
+++ b/node/ejection/ejection_command.c
@@ -22,24 +22,24 @@
 
 static const char *const reason_messages[EJECTION_REASON_COUNT] = {
   [EJECTION_REASON_NONE] = "done",
-  [EJECTION_REASON_FLOOR]
+  [EJECTION_REASON_BELOW_FLOOR]
   = "it would breach the floor, or an earlier owner may still hold targets "
     "out; reinstate another target, lower the floor, or wait",
-  [EJECTION_REASON_TARGET]
+  [EJECTION_REASON_NO_SUCH_TARGET]
   = "the service has no such target that takes work; look at its targets",
   [EJECTION_REASON_NOT_EJECTED]
   = "the target isn't ejected; look at the ejections",
-  [EJECTION_REASON_VERSION]
+  [EJECTION_REASON_VERSION_CHANGED]
   = "the record of ejections has changed; look at it and send again",
-  [EJECTION_REASON_OWNER]
+  [EJECTION_REASON_NOT_OWNER]
   = "no owner of the service's ejections can be reached from this host; "
     "wait for one or ask another host",
-  [EJECTION_REASON_SETTINGS]
+  [EJECTION_REASON_SETTINGS_BEHIND]
   = "the owner hasn't got the newest settings yet; send again soon",
-  [EJECTION_REASON_UNRECORDED]
+  [EJECTION_REASON_UNCONFIRMED]
   = "the owner took it up but the platform didn't confirm it; look at the "
     "ejections before sending again",
-  [EJECTION_REASON_SERVICE]
+  [EJECTION_REASON_NO_SUCH_SERVICE]
   = "no such service is in force here; look at the services",
   [EJECTION_REASON_BUSY] = "too many commands are under way; send again soon",
 };
@@ -49,8 +49,8 @@
         enum status status, enum ejection_reason reason)
 {
   const struct ejection_service *service
-      = ejection_find (task, command->command.service);
-  if (service != NULL && command->sent_to[0] == '\0')
+      = ejection_find_service (task, command->command.service);
+  if (service != NULL && command->forwarded_to[0] == '\0')
     command->version = floor_owner_version (service->owner);
   command->is_ended = true;
   command->status = status;
@@ -60,9 +60,9 @@
             LOG_STR ("command", operator_verb_name (command->command.verb)),
             LOG_STR ("status", status_name (status)),
             LOG_STR ("why", reason_messages[reason]));
-  ev_timer_stop (task->options.loop, &task->soon);
-  ev_timer_set (&task->soon, 0, 0);
-  ev_timer_start (task->options.loop, &task->soon);
+  ev_timer_stop (task->options.loop, &task->completion_timer);
+  ev_timer_set (&task->completion_timer, 0, 0);
+  ev_timer_start (task->options.loop, &task->completion_timer);
 }
 
 static enum ejection_reason
@@ -71,13 +71,13 @@
   switch (verdict)
     {
     case FLOOR_EJECT_BELOW_FLOOR:
-      return EJECTION_REASON_FLOOR;
+      return EJECTION_REASON_BELOW_FLOOR;
     case FLOOR_EJECT_NO_SUCH_TARGET:
-      return EJECTION_REASON_TARGET;
+      return EJECTION_REASON_NO_SUCH_TARGET;
     case FLOOR_EJECT_SETTINGS_BEHIND:
-      return EJECTION_REASON_SETTINGS;
+      return EJECTION_REASON_SETTINGS_BEHIND;
     case FLOOR_EJECT_NOT_OWNER:
-      return EJECTION_REASON_OWNER;
+      return EJECTION_REASON_NOT_OWNER;
     default:
       return EJECTION_REASON_NONE;
     }
@@ -106,7 +106,7 @@
   if (command->command.version != OPERATOR_ANY_VERSION
       && command->command.version != version)
     {
-      finish (task, command, STATUS_REFUSED, EJECTION_REASON_VERSION);
+      finish (task, command, STATUS_REFUSED, EJECTION_REASON_VERSION_CHANGED);
       return;
     }
   const enum ejection_reason reason = apply (service, &command->command);
@@ -116,44 +116,45 @@
       return;
     }
   command->is_started = true;
-  ejection_owner_drive (service);
+  ejection_owner_update (service);
 }
 
 static void
 pass_on (struct ejection_service *service, struct ejection_command *command)
 {
   struct ejection_task *task = service->task;
-  const struct ejection_order order = { .kind = EJECTION_COMMAND,
-                                        .service = service->name,
-                                        .target = command->command.target,
-                                        .id = command->id,
-                                        .version = command->command.version,
-                                        .verb = command->command.verb };
-  snprintf (command->sent_to, sizeof command->sent_to, "%s",
+  const struct ejection_command_message order
+      = { .kind = EJECTION_COMMAND,
+          .service = service->name,
+          .target = command->command.target,
+          .id = command->id,
+          .version = command->command.version,
+          .verb = command->command.verb };
+  snprintf (command->forwarded_to, sizeof command->forwarded_to, "%s",
             service->owner_name);
-  if (command->sent_to[0] == '\0'
-      || strcmp (command->sent_to, task->options.settings->name) == 0
-      || ejection_send_order (task->options.transport, command->sent_to,
-                              &order)
+  if (command->forwarded_to[0] == '\0'
+      || strcmp (command->forwarded_to, task->options.settings->name) == 0
+      || ejection_send_command_message (task->options.transport,
+                                        command->forwarded_to, &order)
              != STATUS_OK)
-    finish (task, command, STATUS_UNREACHABLE, EJECTION_REASON_OWNER);
+    finish (task, command, STATUS_UNREACHABLE, EJECTION_REASON_NOT_OWNER);
 }
 
 static void
 start (struct ejection_task *task, struct ejection_command *command)
 {
   struct ejection_service *service
-      = ejection_find (task, command->command.service);
+      = ejection_find_service (task, command->command.service);
   if (task->command_count > EJECTION_COMMANDS_MAX)
     finish (task, command, STATUS_LIMIT, EJECTION_REASON_BUSY);
   else if (service == NULL || service->spec == NULL)
-    finish (task, command, STATUS_NOT_FOUND, EJECTION_REASON_SERVICE);
+    finish (task, command, STATUS_NOT_FOUND, EJECTION_REASON_NO_SUCH_SERVICE);
   else if (service->role == FLOOR_ROLE_OWNER)
     start_here (service, command);
   else if (command->done != NULL)
     pass_on (service, command);
   else
-    finish (task, command, STATUS_REFUSED, EJECTION_REASON_OWNER);
+    finish (task, command, STATUS_REFUSED, EJECTION_REASON_NOT_OWNER);
 }
 
 static struct ejection_command *
@@ -162,9 +163,10 @@
   struct ejection_command *added = xcalloc (1, sizeof *added);
   added->command = *command;
   added->id = ++task->command_id;
-  added->until_ms = ejection_now_ms (task)
-                    + (int64_t)WRITES_WAITED
-                          * task->options.settings->times.platform_timeout_ms;
+  added->expires_ms
+      = ejection_now_ms (task)
+        + (int64_t)WRITES_WAITED
+              * task->options.settings->times.platform_timeout_ms;
   DL_APPEND (task->commands, added);
   task->command_count++;
   return added;
@@ -214,7 +216,7 @@
 
 static void
 take_order (struct ejection_task *task, const char *from,
-            const struct ejection_order *order)
+            const struct ejection_command_message *order)
 {
   struct operator_command command
       = { .verb = (enum operator_verb)order->verb, .version = order->version };
@@ -231,13 +233,13 @@
 /* Only the host that was asked may end a command, and only that one. */
 static void
 take_result (struct ejection_task *task, const char *from,
-             const struct ejection_order *order)
+             const struct ejection_command_message *order)
 {
   struct ejection_command *command;
   DL_FOREACH (task->commands, command)
   {
     if (command->id != order->id || command->is_ended
-        || strcmp (command->sent_to, from) != 0)
+        || strcmp (command->forwarded_to, from) != 0)
       continue;
     if (order->status < STATUS_OK || order->status > STATUS_SYSTEM
         || order->reason < 0 || order->reason >= EJECTION_REASON_COUNT)
@@ -250,8 +252,8 @@
 }
 
 void
-ejection_command_order (struct ejection_task *task, const char *from,
-                        const struct ejection_order *order)
+ejection_command_receive (struct ejection_task *task, const char *from,
+                          const struct ejection_command_message *order)
 {
   if (order->kind == EJECTION_COMMAND)
     take_order (task, from, order);
@@ -273,7 +275,7 @@
 look_at (struct ejection_task *task, struct ejection_command *command)
 {
   const struct ejection_service *service
-      = ejection_find (task, command->command.service);
+      = ejection_find_service (task, command->command.service);
   const bool is_owner = service != NULL && service->role == FLOOR_ROLE_OWNER;
   if (is_owner && command->is_started)
     {
@@ -283,16 +285,16 @@
         finish (task, command, STATUS_OK, EJECTION_REASON_NONE);
       else if (is_out (floor_owner_claims (service->owner), &command->command)
                != wanted)
-        finish (task, command, STATUS_REFUSED, EJECTION_REASON_FLOOR);
+        finish (task, command, STATUS_REFUSED, EJECTION_REASON_BELOW_FLOOR);
     }
   else if (command->is_started)
-    finish (task, command, STATUS_LOST_ANSWER, EJECTION_REASON_UNRECORDED);
-  if (!command->is_ended && ejection_now_ms (task) >= command->until_ms)
-    finish (task, command, STATUS_LOST_ANSWER, EJECTION_REASON_UNRECORDED);
+    finish (task, command, STATUS_LOST_ANSWER, EJECTION_REASON_UNCONFIRMED);
+  if (!command->is_ended && ejection_now_ms (task) >= command->expires_ms)
+    finish (task, command, STATUS_LOST_ANSWER, EJECTION_REASON_UNCONFIRMED);
 }
 
 void
-ejection_commands_beat (struct ejection_task *task)
+ejection_commands_tick (struct ejection_task *task)
 {
   struct ejection_command *command;
   DL_FOREACH (task->commands, command)
@@ -314,7 +316,7 @@
   snprintf (changed, sizeof changed,
             "the record of ejections: now at version %" PRIu64,
             command->version);
-  const bool is_race = command->reason == EJECTION_REASON_VERSION;
+  const bool is_race = command->reason == EJECTION_REASON_VERSION_CHANGED;
   const struct operator_result result
       = { .status = command->status,
           .message = message,
@@ -328,15 +330,17 @@
 answer_remote (struct ejection_task *task,
                const struct ejection_command *command)
 {
-  const struct ejection_order order = { .kind = EJECTION_RESULT,
-                                        .service = command->command.service,
-                                        .target = command->command.target,
-                                        .id = command->from_id,
-                                        .version = command->version,
-                                        .verb = command->command.verb,
-                                        .status = (int)command->status,
-                                        .reason = (int)command->reason };
-  ejection_send_order (task->options.transport, command->from, &order);
+  const struct ejection_command_message order
+      = { .kind = EJECTION_RESULT,
+          .service = command->command.service,
+          .target = command->command.target,
+          .id = command->from_id,
+          .version = command->version,
+          .verb = command->command.verb,
+          .status = (int)command->status,
+          .reason = (int)command->reason };
+  ejection_send_command_message (task->options.transport, command->from,
+                                 &order);
 }
 
 /* Take the first ended command off the list. */
@@ -356,7 +360,7 @@
 }
 
 void
-ejection_commands_answer (struct ejection_task *task)
+ejection_commands_complete (struct ejection_task *task)
 {
   struct ejection_command ended;
   while (take_ended (task, &ended))
--- a/node/ejection/ejection_judge.c
+++ b/node/ejection/ejection_detect.c
@@ -34,8 +34,8 @@
 }
 
 uint32_t
-ejection_judge_share (const struct ejection_service *service,
-                      const char *target)
+ejection_detect_trial_share (const struct ejection_service *service,
+                             const char *target)
 {
   struct detection_explanation explanation;
   const struct floor_claim *claim
@@ -64,13 +64,13 @@
 }
 
 void
-ejection_judge_told (struct ejection_service *service,
-                     const struct floor_decision *decision)
+ejection_detect_announced (struct ejection_service *service,
+                           const struct floor_decision *decision)
 {
   struct ejection_names now = { .names = NULL };
   ejection_names_assign (&now, decision->targets, decision->count);
   for (size_t i = 0; i < now.count; i++)
-    if (!ejection_names_has (&service->told, now.names[i]))
+    if (!ejection_names_has (&service->announced, now.names[i]))
       {
         detection_detector_ejected (
             service->detector, now_us (service),
@@ -78,14 +78,14 @@
         counter_add (service->task->counters.ejected, 1);
         log_change (service, "ejected", now.names[i]);
       }
-  for (size_t i = 0; i < service->told.count; i++)
-    if (!ejection_names_has (&now, service->told.names[i]))
+  for (size_t i = 0; i < service->announced.count; i++)
+    if (!ejection_names_has (&now, service->announced.names[i]))
       {
         detection_detector_reinstated (
             service->detector, now_us (service),
-            ejection_target_key (service, service->told.names[i]));
+            ejection_target_key (service, service->announced.names[i]));
         counter_add (service->task->counters.reinstated, 1);
-        log_change (service, "reinstated", service->told.names[i]);
+        log_change (service, "reinstated", service->announced.names[i]);
       }
   free (now.names);
 }
@@ -124,7 +124,7 @@
       service->owner, ejection_now_ms (service->task), target, scaled, false);
   if (verdict == FLOOR_EJECT_EJECTED || verdict == FLOOR_EJECT_PLANNED
       || verdict == FLOOR_EJECT_ALREADY)
-    ejection_owner_drive (service);
+    ejection_owner_update (service);
   else
     log_refusal (service, ejection->target_key, target, verdict);
 }
@@ -137,7 +137,7 @@
   if (target != NULL
       && floor_owner_reinstate (
           service->owner, ejection_now_ms (service->task), target, false))
-    ejection_owner_drive (service);
+    ejection_owner_update (service);
 }
 
 static void
@@ -178,11 +178,11 @@
 /* The detector's arrays hold until its next step, which carrying out its
    decisions doesn't take; ejections may change the decision told, no more. */
 void
-ejection_judge (struct ejection_service *service)
+ejection_detect (struct ejection_service *service)
 {
   const struct detection_decisions decisions
       = detection_detector_step (service->detector, now_us (service));
-  ejection_paths_found (service, decisions.paths, decisions.path_count);
+  ejection_paths_set (service, decisions.paths, decisions.path_count);
   for (size_t i = 0; i < decisions.eject_count; i++)
     eject (service, &decisions.eject[i]);
   for (size_t i = 0; i < decisions.reinstate_count; i++)
--- a/node/ejection/ejection_enforce.c
+++ b/node/ejection/ejection_enforce.c
@@ -49,7 +49,7 @@
 }
 
 void
-ejection_service_post (struct ejection_service *service)
+ejection_service_post_enforced (struct ejection_service *service)
 {
   const char (*targets)[FLOOR_NAME_SIZE];
   const size_t most = floor_view_targets (service->view, &targets);
@@ -80,18 +80,18 @@
 
 static void
 take_trials (struct ejection_service *service,
-             const struct ejection_news *news)
+             const struct ejection_notice *news)
 {
   service->trials = xreallocarray (service->trials, news->count + 1,
                                    sizeof *service->trials);
   service->trial_count = 0;
   for (size_t i = 0; i < news->count; i++)
     {
-      if (news->shares_permille[i] == 0)
+      if (news->trial_permille[i] == 0)
         continue;
       struct ejection_trial *trial = &service->trials[service->trial_count++];
       memcpy (trial->target, news->names[i], sizeof trial->target);
-      trial->share_permille = news->shares_permille[i];
+      trial->share_permille = news->trial_permille[i];
     }
 }
 
@@ -103,12 +103,12 @@
     LOG_INFO ("owner-known", LOG_STR ("service", service->name),
               LOG_STR ("owner", name), LOG_INT ("epoch", epoch));
   snprintf (service->owner_name, sizeof service->owner_name, "%s", name);
-  service->heard_ms = ejection_now_ms (service->task);
+  service->owner_seen_ms = ejection_now_ms (service->task);
 }
 
 static void
 hear_decision (struct ejection_service *service, const char *from,
-               const struct ejection_news *news)
+               const struct ejection_notice *news)
 {
   if (news->epoch < floor_view_epoch (service->view))
     return;
@@ -125,13 +125,13 @@
                                            .count = news->count };
   floor_view_apply (service->view, ejection_now_ms (service->task),
                     news->poll_ms, &decision);
-  ejection_service_post (service);
-  ejection_shares_hear (service, news);
+  ejection_service_post_enforced (service);
+  ejection_shares_receive (service, news);
 }
 
 void
-ejection_service_hear_own (struct ejection_service *service,
-                           const struct ejection_news *news)
+ejection_service_apply_own (struct ejection_service *service,
+                            const struct ejection_notice *news)
 {
   hear_decision (service, service->task->options.settings->name, news);
 }
@@ -141,18 +141,18 @@
    gone.  For how long that counts is bounded, see silence(). */
 static void
 hear_redirect (struct ejection_service *service,
-               const struct ejection_news *news)
+               const struct ejection_notice *news)
 {
   if (news->count != 1 || news->epoch < floor_view_epoch (service->view))
     return;
   floor_view_epoch_seen (service->view, news->epoch);
   memcpy (service->owner_name, news->names[0], sizeof service->owner_name);
-  service->heard_of_ms = ejection_now_ms (service->task);
+  service->owner_reported_ms = ejection_now_ms (service->task);
 }
 
 static void
 hear_stopped (struct ejection_service *service, const char *from,
-              const struct ejection_news *news)
+              const struct ejection_notice *news)
 {
   floor_owner_predecessor_stopped (
       service->owner, ejection_now_ms (service->task), news->epoch);
@@ -162,12 +162,14 @@
   LOG_INFO ("owner-stopped", LOG_STR ("service", service->name),
             LOG_STR ("owner", from), LOG_INT ("epoch", news->epoch));
   service->owner_name[0] = '\0';
-  service->heard_ms -= service->task->options.settings->times.owner_lease_ms;
+  service->owner_seen_ms
+      -= service->task->options.settings->times.owner_lease_ms;
 }
 
 void
-ejection_service_news (struct ejection_service *service, const char *from,
-                       const struct ejection_news *news)
+ejection_service_receive_notice (struct ejection_service *service,
+                                 const char *from,
+                                 const struct ejection_notice *news)
 {
   floor_owner_epoch_seen (service->owner, ejection_now_ms (service->task),
                           news->epoch);
@@ -177,5 +179,5 @@
     hear_redirect (service, news);
   else
     hear_stopped (service, from, news);
-  ejection_owner_drive (service);
+  ejection_owner_update (service);
 }
--- a/node/ejection/ejection_messages.c
+++ b/node/ejection/ejection_messages.c
@@ -95,25 +95,25 @@
 }
 
 static void
-format_targets (const struct ejection_news *news, int64_t *rows,
+format_targets (const struct ejection_notice *news, int64_t *rows,
                 char (*names)[PEER_NAME_SIZE])
 {
   for (size_t i = 0; i < news->count; i++)
     {
-      if (news->shares_permille != NULL)
-        rows[i * NEWS_COLUMNS + TARGET_SHARE] = news->shares_permille[i];
+      if (news->trial_permille != NULL)
+        rows[i * NEWS_COLUMNS + TARGET_SHARE] = news->trial_permille[i];
       memcpy (names[i], news->names[i], sizeof names[i]);
     }
   for (size_t i = news->count; i < news->count + news->avoid_count; i++)
     {
       rows[i * NEWS_COLUMNS + TARGET_IS_AVOIDED] = 1;
-      memcpy (names[i], news->avoid[i - news->count], sizeof names[i]);
+      memcpy (names[i], news->avoided[i - news->count], sizeof names[i]);
     }
 }
 
 enum status
-ejection_send_news (struct ejection_transport *transport, const char *to,
-                    const struct ejection_news *news)
+ejection_send_notice (struct ejection_transport *transport, const char *to,
+                      const struct ejection_notice *news)
 {
   const size_t count = news->count + news->avoid_count;
   int64_t *values = xcalloc ((count + 1) * NEWS_COLUMNS, sizeof *values);
@@ -122,8 +122,8 @@
   values[HEAD_INCARNATION] = (int64_t)news->incarnation;
   values[HEAD_POLL_MS] = news->poll_ms;
   values[HEAD_ENFORCE_MS] = news->enforce_ms;
-  values[HEAD_SHARE_FROM] = news->slots.from_permille;
-  values[HEAD_SHARE] = news->slots.permille;
+  values[HEAD_SHARE_FROM] = news->share.from_permille;
+  values[HEAD_SHARE] = news->share.permille;
   format_targets (news, values + NEWS_COLUMNS, names);
   struct peer_report message = { .epoch = news->epoch,
                                  .sequence = news->sequence,
@@ -141,8 +141,9 @@
 }
 
 enum status
-ejection_send_order (struct ejection_transport *transport, const char *to,
-                     const struct ejection_order *order)
+ejection_send_command_message (struct ejection_transport *transport,
+                               const char *to,
+                               const struct ejection_command_message *order)
 {
   int64_t values[NEWS_COLUMNS] = { 0 };
   char target[1][PEER_NAME_SIZE];
@@ -258,8 +259,8 @@
 }
 
 bool
-ejection_read_news (const struct peer_report *message,
-                    struct ejection_news *news)
+ejection_read_notice (const struct peer_report *message,
+                      struct ejection_notice *news)
 {
   const size_t count = message->value_count / message->columns - 1;
   uint32_t enforce_ms;
@@ -277,7 +278,7 @@
     }
   const char (*names)[PEER_NAME_SIZE]
       = (const char (*)[PEER_NAME_SIZE])message->names;
-  *news = (struct ejection_news){
+  *news = (struct ejection_notice){
     .kind = ejection_message_kind (message),
     .service = message->service,
     .epoch = message->epoch,
@@ -286,24 +287,24 @@
     .incarnation = (uint64_t)message->values[HEAD_INCARNATION],
     .poll_ms = message->values[HEAD_POLL_MS],
     .names = names,
-    .shares_permille = shares,
+    .trial_permille = shares,
     .count = ejected,
-    .avoid = names + ejected,
+    .avoided = names + ejected,
     .avoid_count = count - ejected,
-    .slots = slots,
+    .share = slots,
   };
   return true;
 }
 
 bool
-ejection_read_order (const struct peer_report *message,
-                     struct ejection_order *order)
+ejection_read_command_message (const struct peer_report *message,
+                               struct ejection_command_message *order)
 {
   if (message->columns != NEWS_COLUMNS || message->name_count != 1
       || message->value_count != NEWS_COLUMNS)
     return false;
   const int64_t *head = message->values;
-  *order = (struct ejection_order){
+  *order = (struct ejection_command_message){
     .kind = ejection_message_kind (message),
     .service = message->service,
     .target = message->names[0],
--- a/node/ejection/ejection_messages.h
+++ b/node/ejection/ejection_messages.h
@@ -44,7 +44,7 @@
 };
 
 /** EJECTION_DECISION, EJECTION_REDIRECT, EJECTION_STOPPED. */
-struct ejection_news
+struct ejection_notice
 {
   enum ejection_kind kind;
   const char *service;
@@ -56,17 +56,17 @@
   /** Ejected targets; in a redirect the owner's name. */
   const char (*names)[PEER_NAME_SIZE];
   /** For each target, how much of the time it is let through on trial. */
-  const uint32_t *shares_permille;
+  const uint32_t *trial_permille;
   size_t count;
   /** In a decision: targets that the receiver should avoid, which its dc or
    * it alone sees fail. */
-  const char (*avoid)[PEER_NAME_SIZE];
+  const char (*avoided)[PEER_NAME_SIZE];
   size_t avoid_count;
-  struct slot_share slots; /**< in a decision: granted to the receiver */
+  struct slot_share share; /**< in a decision: granted to the receiver */
 };
 
 /** EJECTION_COMMAND, EJECTION_RESULT. */
-struct ejection_order
+struct ejection_command_message
 {
   enum ejection_kind kind;
   const char *service;
@@ -81,12 +81,13 @@
 enum status ejection_send_report (struct ejection_transport *transport,
                                   const char *to,
                                   const struct ejection_report *report);
-enum status ejection_send_news (struct ejection_transport *transport,
-                                const char *to,
-                                const struct ejection_news *news);
-enum status ejection_send_order (struct ejection_transport *transport,
-                                 const char *to,
-                                 const struct ejection_order *order);
+enum status ejection_send_notice (struct ejection_transport *transport,
+                                  const char *to,
+                                  const struct ejection_notice *news);
+enum status
+ejection_send_command_message (struct ejection_transport *transport,
+                               const char *to,
+                               const struct ejection_command_message *order);
 
 /** What REPORT is; 0 when it is nothing known. */
 enum ejection_kind ejection_message_kind (const struct peer_report *report);
@@ -96,9 +97,9 @@
  * @return false when it isn't well formed. */
 bool ejection_read_report (const struct peer_report *message,
                            struct ejection_report *report);
-bool ejection_read_news (const struct peer_report *message,
-                         struct ejection_news *news);
-bool ejection_read_order (const struct peer_report *message,
-                          struct ejection_order *order);
+bool ejection_read_notice (const struct peer_report *message,
+                           struct ejection_notice *news);
+bool ejection_read_command_message (const struct peer_report *message,
+                                    struct ejection_command_message *order);
 
 #endif
--- a/node/ejection/ejection_owner.c
+++ b/node/ejection/ejection_owner.c
@@ -45,7 +45,7 @@
   const struct floor_record *record
       = floor_owner_known_record (service->owner);
   configure_detector (service);
-  service->told.count = 0;
+  service->announced.count = 0;
   service->why = "found in record";
   service->role_epoch = record->epoch;
   counter_add (service->task->counters.takeovers, 1);
@@ -63,19 +63,19 @@
 announce_stopped (struct ejection_service *service, uint64_t epoch)
 {
   const struct ejection_task *task = service->task;
-  const struct ejection_news news
+  const struct ejection_notice news
       = { .kind = EJECTION_STOPPED, .service = service->name, .epoch = epoch };
   const char *successor = floor_owner_known_record (service->owner)->owner;
   for (size_t i = 0; i < service->poller_count; i++)
-    ejection_send_news (task->options.transport, service->pollers[i].host,
-                        &news);
+    ejection_send_notice (task->options.transport, service->pollers[i].host,
+                          &news);
   if (successor[0] != '\0'
       && strcmp (successor, task->options.settings->name) != 0)
-    ejection_send_news (task->options.transport, successor, &news);
+    ejection_send_notice (task->options.transport, successor, &news);
 }
 
 void
-ejection_owner_drop (struct ejection_service *service)
+ejection_owner_clear (struct ejection_service *service)
 {
   detection_detector_destroy (service->detector);
   service->detector = NULL;
@@ -84,9 +84,9 @@
       target_probe_destroy (service->probes[i]);
       service->probes[i] = NULL;
     }
-  service->path_count = 0;
+  service->path_fault_count = 0;
   service->poller_count = 0;
-  service->told.count = 0;
+  service->announced.count = 0;
 }
 
 static void
@@ -101,7 +101,7 @@
             LOG_STR ("why", is_released ? "released" : "replaced"));
   floor_owner_take_stopped_epoch (service->owner);
   announce_stopped (service, epoch);
-  ejection_owner_drop (service);
+  ejection_owner_clear (service);
 }
 
 /* After a race for ownership was lost the winner gets its time to be
@@ -113,7 +113,7 @@
       = floor_owner_known_record (service->owner);
   memcpy (service->owner_name, record->owner, sizeof service->owner_name);
   floor_view_epoch_seen (service->view, record->epoch);
-  service->heard_ms = ejection_now_ms (service->task);
+  service->owner_seen_ms = ejection_now_ms (service->task);
 }
 
 static void
@@ -140,7 +140,7 @@
 {
   const uint32_t enforce_ms
       = service->task->options.settings->times.enforce_ms;
-  const uint32_t late_ms = 2 * ejection_beat_ms (service->task);
+  const uint32_t late_ms = 2 * ejection_tick_interval_ms (service->task);
   return enforce_ms > 2 * late_ms ? enforce_ms - late_ms : enforce_ms / 2;
 }
 
@@ -151,9 +151,9 @@
 {
   uint32_t *shares = xcalloc (decision->count + 1, sizeof *shares);
   for (size_t i = 0; i < decision->count; i++)
-    shares[i] = ejection_judge_share (service, decision->targets[i]);
+    shares[i] = ejection_detect_trial_share (service, decision->targets[i]);
   char avoid[EJECTION_AVOID_MAX][PEER_NAME_SIZE] = { { '\0' } };
-  const struct ejection_news news
+  const struct ejection_notice news
       = { .kind = EJECTION_DECISION,
           .service = service->name,
           .epoch = decision->epoch,
@@ -162,22 +162,22 @@
           .incarnation = poller->incarnation,
           .poll_ms = poller->poll_ms,
           .names = decision->targets,
-          .shares_permille = shares,
+          .trial_permille = shares,
           .count = decision->count,
-          .avoid = (const char (*)[PEER_NAME_SIZE])avoid,
-          .avoid_count = ejection_paths_of (service, poller, avoid),
-          .slots = ejection_shares_grant (service, poller) };
+          .avoided = (const char (*)[PEER_NAME_SIZE])avoid,
+          .avoid_count = ejection_paths_for_poller (service, poller, avoid),
+          .share = ejection_shares_grant (service, poller) };
   const struct ejection_task *task = service->task;
   if (strcmp (poller->host, task->options.settings->name) == 0)
-    ejection_service_hear_own (service, &news);
+    ejection_service_apply_own (service, &news);
   else
-    ejection_send_news (task->options.transport, poller->host, &news);
+    ejection_send_notice (task->options.transport, poller->host, &news);
   free (shares);
 }
 
 void
-ejection_owner_tell (struct ejection_service *service,
-                     const struct ejection_poller *poller)
+ejection_owner_announce (struct ejection_service *service,
+                         const struct ejection_poller *poller)
 {
   struct floor_decision decision;
   if (!floor_owner_decision (service->owner, ejection_now_ms (service->task),
@@ -191,7 +191,7 @@
 tell_all (struct ejection_service *service)
 {
   for (size_t i = 0; i < service->poller_count; i++)
-    ejection_owner_tell (service, &service->pollers[i]);
+    ejection_owner_announce (service, &service->pollers[i]);
 }
 
 /* A change of the decision is logged, counted and told at once to all hosts
@@ -204,30 +204,31 @@
       || !floor_owner_decision (service->owner,
                                 ejection_now_ms (service->task), &decision))
     return;
-  bool same = decision.count == service->told.count;
+  bool same = decision.count == service->announced.count;
   for (size_t i = 0; same && i < decision.count; i++)
-    same = ejection_names_has (&service->told, decision.targets[i]);
+    same = ejection_names_has (&service->announced, decision.targets[i]);
   if (same)
     return;
-  ejection_judge_told (service, &decision);
-  ejection_names_assign (&service->told, decision.targets, decision.count);
+  ejection_detect_announced (service, &decision);
+  ejection_names_assign (&service->announced, decision.targets,
+                         decision.count);
   tell_all (service);
 }
 
 void
-ejection_owner_drive (struct ejection_service *service)
+ejection_owner_update (struct ejection_service *service)
 {
-  if (service->is_driving)
+  if (service->is_updating)
     return;
-  service->is_driving = true;
+  service->is_updating = true;
   floor_owner_tick (service->owner, ejection_now_ms (service->task));
-  ejection_calls_drive (service);
+  ejection_calls_start_next (service);
   follow_role (service);
   if (service->role == FLOOR_ROLE_OWNER
       && service->detector_version != service->spec->version)
     configure_detector (service);
   follow_decision (service);
-  service->is_driving = false;
+  service->is_updating = false;
 }
 
 static struct ejection_poller *
@@ -239,7 +240,7 @@
       struct ejection_poller *poller = &service->pollers[i];
       if (strcmp (poller->host, from) == 0)
         return poller;
-      if (oldest == NULL || poller->heard_ms < oldest->heard_ms)
+      if (oldest == NULL || poller->received_ms < oldest->received_ms)
         oldest = poller;
     }
   if (service->poller_count < EJECTION_POLLERS_MAX)
@@ -255,14 +256,14 @@
 {
   const struct ejection_task *task = service->task;
   const uint32_t lease_ms = task->options.settings->times.owner_lease_ms;
-  const bool hears
-      = ejection_now_ms (task) - service->heard_ms < (int64_t)lease_ms / 2;
+  const bool hears = ejection_now_ms (task) - service->owner_seen_ms
+                     < (int64_t)lease_ms / 2;
   if (!hears || service->owner_name[0] == '\0'
       || strcmp (service->owner_name, from) == 0)
     return;
   char names[1][PEER_NAME_SIZE];
   memcpy (names[0], service->owner_name, sizeof names[0]);
-  const struct ejection_news news
+  const struct ejection_notice news
       = { .kind = EJECTION_REDIRECT,
           .service = service->name,
           .epoch = floor_view_epoch (service->view),
@@ -270,7 +271,7 @@
           .poll_ms = report->poll_ms,
           .names = (const char (*)[PEER_NAME_SIZE])names,
           .count = 1 };
-  ejection_send_news (task->options.transport, from, &news);
+  ejection_send_notice (task->options.transport, from, &news);
 }
 
 /* Reports reach the detector at most once: a poll that isn't newer than the
@@ -287,7 +288,7 @@
     return;
   poller->incarnation = report->incarnation;
   poller->poll_ms = report->poll_ms;
-  poller->heard_ms = now_ms;
+  poller->received_ms = now_ms;
   poller->demand = report->demand;
   snprintf (poller->dc, sizeof poller->dc, "%s", report->dc);
   if (report->count > 0)
@@ -295,13 +296,14 @@
                                hash_string (from), hash_string (report->dc),
                                report->items, report->count);
   if (report->count > 0)
-    ejection_judge (service);
-  ejection_owner_tell (service, poller);
+    ejection_detect (service);
+  ejection_owner_announce (service, poller);
 }
 
 void
-ejection_owner_report (struct ejection_service *service, const char *from,
-                       const struct ejection_report *report)
+ejection_owner_receive_report (struct ejection_service *service,
+                               const char *from,
+                               const struct ejection_report *report)
 {
   floor_owner_epoch_seen (service->owner, ejection_now_ms (service->task),
                           report->epoch);
@@ -309,19 +311,19 @@
     take_report (service, from, report);
   else
     redirect (service, from, report);
-  ejection_owner_drive (service);
+  ejection_owner_update (service);
 }
 
 void
-ejection_owner_step (struct ejection_service *service)
+ejection_owner_detect (struct ejection_service *service)
 {
   if (service->role == FLOOR_ROLE_OWNER)
-    ejection_judge (service);
+    ejection_detect (service);
 }
 
 void
 ejection_owner_release (struct ejection_service *service)
 {
   floor_owner_release (service->owner, ejection_now_ms (service->task));
-  ejection_owner_drive (service);
+  ejection_owner_update (service);
 }
--- a/node/ejection/ejection_paths.c
+++ b/node/ejection/ejection_paths.c
@@ -7,14 +7,14 @@
 #include "base/xmalloc.h"
 
 void
-ejection_paths_found (struct ejection_service *service,
-                      const struct detection_path *paths, size_t count)
+ejection_paths_set (struct ejection_service *service,
+                    const struct detection_path *paths, size_t count)
 {
-  service->paths
-      = xreallocarray (service->paths, count + 1, sizeof *service->paths);
+  service->path_faults = xreallocarray (service->path_faults, count + 1,
+                                        sizeof *service->path_faults);
   if (count > 0)
-    memcpy (service->paths, paths, count * sizeof *paths);
-  service->path_count = count;
+    memcpy (service->path_faults, paths, count * sizeof *paths);
+  service->path_fault_count = count;
 }
 
 static bool
@@ -27,15 +27,15 @@
 }
 
 size_t
-ejection_paths_of (const struct ejection_service *service,
-                   const struct ejection_poller *poller,
-                   char (*names)[PEER_NAME_SIZE])
+ejection_paths_for_poller (const struct ejection_service *service,
+                           const struct ejection_poller *poller,
+                           char (*names)[PEER_NAME_SIZE])
 {
   size_t count = 0;
-  for (size_t i = 0; i < service->path_count && count < EJECTION_AVOID_MAX;
-       i++)
+  for (size_t i = 0;
+       i < service->path_fault_count && count < EJECTION_AVOID_MAX; i++)
     {
-      const struct detection_path *path = &service->paths[i];
+      const struct detection_path *path = &service->path_faults[i];
       const char *name = ejection_target_name (service, path->target_key);
       if (name != NULL && is_path_of (path, poller))
         memcpy (names[count++], name, strlen (name) + 1);
@@ -44,8 +44,8 @@
 }
 
 void
-ejection_paths_avoid (struct ejection_service *service,
-                      const char (*names)[PEER_NAME_SIZE], size_t count)
+ejection_paths_post (struct ejection_service *service,
+                     const char (*names)[PEER_NAME_SIZE], size_t count)
 {
   bool same = count == service->avoided.count;
   for (size_t i = 0; same && i < count; i++)
--- a/node/ejection/ejection_service.c
+++ b/node/ejection/ejection_service.c
@@ -46,8 +46,8 @@
   snprintf (service->name, sizeof service->name, "%s", name);
   service->owner = create_owner (task);
   service->view = floor_view_create ();
-  service->heard_ms = ejection_now_ms (task);
-  service->active_ms = service->heard_ms - OUTSIDER_ACTIVE_MS;
+  service->owner_seen_ms = ejection_now_ms (task);
+  service->last_outcome_ms = service->owner_seen_ms - OUTSIDER_ACTIVE_MS;
   service->rank = -1;
   service->why = "-";
   return service;
@@ -57,7 +57,7 @@
 ejection_service_destroy (struct ejection_service *service)
 {
   platform_cancel (service->task->options.platform, service);
-  ejection_owner_drop (service);
+  ejection_owner_clear (service);
   floor_owner_destroy (service->owner);
   floor_view_destroy (service->view);
   service_spec_destroy (service->spec);
@@ -65,9 +65,9 @@
   free (service->hosts);
   free (service->trials);
   free (service->posted.names);
-  free (service->told.names);
+  free (service->announced.names);
   free (service->avoided.names);
-  free (service->paths);
+  free (service->path_faults);
   free (service);
 }
 
@@ -124,7 +124,7 @@
   for (size_t i = 0; i < spec->target_count; i++)
     service->keys[i] = ejection_target_key (service, spec->targets[i].name);
   tell_floor (service);
-  ejection_owner_drive (service);
+  ejection_owner_update (service);
 }
 
 void
@@ -157,7 +157,7 @@
   const size_t count = detection_recorder_collect (
       recorder, service->task->items, EJECTION_ITEMS_MAX);
   if (count > 0)
-    service->active_ms = ejection_now_ms (service->task);
+    service->last_outcome_ms = ejection_now_ms (service->task);
   return count;
 }
 
@@ -168,7 +168,8 @@
 follows (struct ejection_service *service)
 {
   const int64_t now_ms = ejection_now_ms (service->task);
-  if (service->rank >= 0 || now_ms < service->active_ms + OUTSIDER_ACTIVE_MS)
+  if (service->rank >= 0
+      || now_ms < service->last_outcome_ms + OUTSIDER_ACTIVE_MS)
     return service->host_count > 0;
   const bool begins = take_evidence (service) > 0;
   return begins && service->host_count > 0;
@@ -178,7 +179,8 @@
 static bool
 demand_moved (const struct ejection_service *service, uint32_t demand)
 {
-  return demand > service->told_demand || demand < service->told_demand / 2;
+  return demand > service->reported_demand
+         || demand < service->reported_demand / 2;
 }
 
 /* Reports must be counted once, so what was seen goes only to an owner that
@@ -192,12 +194,12 @@
   const int64_t now_ms = ejection_now_ms (task);
   const size_t count = with_items ? take_evidence (service) : 0;
   const uint32_t demand = ejection_shares_demand (service);
-  if (with_items && count == 0 && now_ms < service->refresh_ms
+  if (with_items && count == 0 && now_ms < service->next_refresh_ms
       && !demand_moved (service, demand))
     return;
   if (with_items)
-    service->told_demand = demand;
-  service->refresh_ms
+    service->reported_demand = demand;
+  service->next_refresh_ms
       = now_ms + options->settings->times.enforce_ms / POLLS_PER_ENFORCEMENT;
   const struct ejection_report report
       = { .service = service->name,
@@ -209,7 +211,7 @@
           .items = task->items,
           .count = count };
   if (strcmp (to, options->settings->name) == 0)
-    ejection_owner_report (service, to, &report);
+    ejection_owner_receive_report (service, to, &report);
   else
     ejection_send_report (options->transport, to, &report);
   counter_add (task->counters.reports, 1);
@@ -236,7 +238,7 @@
   for (size_t i = 0; i < service->host_count; i++)
     {
       const char *host
-          = service->hosts[service->rotation++ % service->host_count];
+          = service->hosts[service->next_host++ % service->host_count];
       if (strcmp (host, self) == 0 || strcmp (host, service->owner_name) == 0)
         continue;
       report_to (service, host, false);
@@ -266,34 +268,34 @@
   const uint32_t lease_ms
       = service->task->options.settings->times.owner_lease_ms;
   const int64_t most_ms
-      = service->heard_ms + (int64_t)lease_ms * HEARD_OF_LEASES;
-  int64_t last_ms = service->heard_of_ms;
+      = service->owner_seen_ms + (int64_t)lease_ms * HEARD_OF_LEASES;
+  int64_t last_ms = service->owner_reported_ms;
   if (last_ms > most_ms)
     last_ms = most_ms;
-  if (last_ms < service->heard_ms)
-    last_ms = service->heard_ms;
+  if (last_ms < service->owner_seen_ms)
+    last_ms = service->owner_seen_ms;
   return now_ms - last_ms;
 }
 
 void
-ejection_service_beat (struct ejection_service *service)
+ejection_service_tick (struct ejection_service *service)
 {
   const struct control_times *times = &service->task->options.settings->times;
   const int64_t now_ms = ejection_now_ms (service->task);
   const bool is_owner = floor_owner_role (service->owner) == FLOOR_ROLE_OWNER;
   floor_view_tick (service->view, now_ms);
-  ejection_service_post (service);
+  ejection_service_post_enforced (service);
   ejection_shares_tick (service, now_ms);
   if (is_owner)
-    service->heard_ms = now_ms;
+    service->owner_seen_ms = now_ms;
   const int64_t silence_ms = silence (service, now_ms);
   if (service->spec != NULL && now_ms >= service->next_poll_ms)
     {
       service->next_poll_ms = now_ms + times->evidence_ms;
       if (follows (service))
-        poll_owner (service, now_ms - service->heard_ms);
-      ejection_owner_step (service);
+        poll_owner (service, now_ms - service->owner_seen_ms);
+      ejection_owner_detect (service);
     }
   consider_ownership (service, silence_ms);
-  ejection_owner_drive (service);
+  ejection_owner_update (service);
 }
--- a/node/ejection/ejection_shares.c
+++ b/node/ejection/ejection_shares.c
@@ -39,7 +39,7 @@
 {
   const uint32_t enforce_ms
       = service->task->options.settings->times.enforce_ms;
-  return ejection_now_ms (service->task) - poller->heard_ms
+  return ejection_now_ms (service->task) - poller->received_ms
          < (int64_t)enforce_ms;
 }
 
@@ -126,10 +126,10 @@
 static void
 hold (struct ejection_service *service, const struct slot_share *slots)
 {
-  if (slots->permille == service->slots.permille
-      && slots->from_permille == service->slots.from_permille)
+  if (slots->permille == service->share.permille
+      && slots->from_permille == service->share.from_permille)
     return;
-  service->slots = *slots;
+  service->share = *slots;
   struct bus_message message
       = { .topic = BUS_SLOT_SHARES, .slot_shares = { .share = *slots } };
   memcpy (message.slot_shares.service, service->name, sizeof service->name);
@@ -139,18 +139,18 @@
 /* The answer to an older poll that comes late tells of a division that is
    over. */
 void
-ejection_shares_hear (struct ejection_service *service,
-                      const struct ejection_news *news)
+ejection_shares_receive (struct ejection_service *service,
+                         const struct ejection_notice *news)
 {
   const int64_t now_ms = ejection_now_ms (service->task);
   const int64_t until_ms = news->poll_ms + news->enforce_ms;
-  if (news->slots.permille == 0 || news->poll_ms < service->told_poll_ms
+  if (news->share.permille == 0 || news->poll_ms < service->answered_poll_ms
       || news->poll_ms > now_ms || until_ms <= now_ms)
     return;
-  service->told_poll_ms = news->poll_ms;
-  service->told_until_ms = until_ms;
-  hold (service, &news->slots);
-  ejection_paths_avoid (service, news->avoid, news->avoid_count);
+  service->answered_poll_ms = news->poll_ms;
+  service->share_expires_ms = until_ms;
+  hold (service, &news->share);
+  ejection_paths_post (service, news->avoided, news->avoid_count);
 }
 
 /* Guards against a host that keeps most of the slots while the owner it can't
@@ -159,8 +159,8 @@
 ejection_shares_tick (struct ejection_service *service, int64_t now_ms)
 {
   const struct slot_share none = { .permille = 0 };
-  if (now_ms < service->told_until_ms)
+  if (now_ms < service->share_expires_ms)
     return;
   hold (service, &none);
-  ejection_paths_avoid (service, NULL, 0);
+  ejection_paths_post (service, NULL, 0);
 }
--- a/node/ejection/ejection_task.c
+++ b/node/ejection/ejection_task.c
@@ -25,7 +25,7 @@
 }
 
 struct ejection_service *
-ejection_find (struct ejection_task *task, const char *name)
+ejection_find_service (struct ejection_task *task, const char *name)
 {
   struct ejection_service *service;
   HASH_FIND_STR (task->services, name, service);
@@ -54,7 +54,7 @@
 static struct ejection_service *
 find_or_add (struct ejection_task *task, const char *name)
 {
-  struct ejection_service *service = ejection_find (task, name);
+  struct ejection_service *service = ejection_find_service (task, name);
   if (service != NULL)
     return service;
   service = ejection_service_create (task, name);
@@ -75,7 +75,7 @@
 {
   struct ejection_task *task = owner;
   struct ejection_service *service
-      = ejection_find (task, message->service_removed.name);
+      = ejection_find_service (task, message->service_removed.name);
   if (service == NULL)
     return;
   HASH_DEL (task->services, service);
@@ -111,15 +111,15 @@
   struct ejection_service *next;
   HASH_ITER (hh, task->services, service, next)
   {
-    ejection_service_beat (service);
+    ejection_service_tick (service);
   }
-  ejection_commands_beat (task);
+  ejection_commands_tick (task);
 }
 
 static void
 on_soon (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
-  ejection_commands_answer (watcher->data);
+  ejection_commands_complete (watcher->data);
 }
 
 static struct counter *
@@ -152,7 +152,7 @@
 }
 
 uint32_t
-ejection_beat_ms (const struct ejection_task *task)
+ejection_tick_interval_ms (const struct ejection_task *task)
 {
   const uint32_t evidence_ms = task->options.settings->times.evidence_ms;
   const uint32_t beat_ms = evidence_ms / BEATS_PER_EVIDENCE;
@@ -167,13 +167,13 @@
 static void
 start_beat (struct ejection_task *task)
 {
-  const double beat_s = ejection_beat_ms (task) / 1000.0;
-  ev_timer_init (&task->beat, on_beat, beat_s, beat_s);
-  ev_set_priority (&task->beat, EV_MAXPRI);
-  task->beat.data = task;
-  ev_timer_start (task->options.loop, &task->beat);
-  ev_timer_init (&task->soon, on_soon, 0, 0);
-  task->soon.data = task;
+  const double beat_s = ejection_tick_interval_ms (task) / 1000.0;
+  ev_timer_init (&task->tick_timer, on_beat, beat_s, beat_s);
+  ev_set_priority (&task->tick_timer, EV_MAXPRI);
+  task->tick_timer.data = task;
+  ev_timer_start (task->options.loop, &task->tick_timer);
+  ev_timer_init (&task->completion_timer, on_soon, 0, 0);
+  task->completion_timer.data = task;
 }
 
 struct ejection_task *
@@ -198,8 +198,8 @@
 {
   if (task == NULL)
     return;
-  ev_timer_stop (task->options.loop, &task->beat);
-  ev_timer_stop (task->options.loop, &task->soon);
+  ev_timer_stop (task->options.loop, &task->tick_timer);
+  ev_timer_stop (task->options.loop, &task->completion_timer);
   bus_unsubscribe (task->options.bus, task);
   if (task->options.tables != NULL)
     tables_unregister (task->options.tables, task);
@@ -222,7 +222,7 @@
   struct ejection_report report;
   if (!ejection_read_report (message, &report))
     return;
-  ejection_owner_report (service, from, &report);
+  ejection_owner_receive_report (service, from, &report);
   free ((void *)report.items);
 }
 
@@ -230,20 +230,20 @@
 receive_news (struct ejection_service *service, const char *from,
               const struct peer_report *message)
 {
-  struct ejection_news news;
-  if (!ejection_read_news (message, &news))
+  struct ejection_notice news;
+  if (!ejection_read_notice (message, &news))
     return;
-  ejection_service_news (service, from, &news);
-  free ((void *)news.shares_permille);
+  ejection_service_receive_notice (service, from, &news);
+  free ((void *)news.trial_permille);
 }
 
 static void
 receive_order (struct ejection_task *task, const char *from,
                const struct peer_report *message)
 {
-  struct ejection_order order;
-  if (ejection_read_order (message, &order))
-    ejection_command_order (task, from, &order);
+  struct ejection_command_message order;
+  if (ejection_read_command_message (message, &order))
+    ejection_command_receive (task, from, &order);
 }
 
 void
@@ -252,7 +252,8 @@
 {
   const struct peer_report *report = &message->report;
   const enum ejection_kind kind = ejection_message_kind (report);
-  struct ejection_service *service = ejection_find (task, report->service);
+  struct ejection_service *service
+      = ejection_find_service (task, report->service);
   switch (kind)
     {
     case EJECTION_REPORT:
--- a/node/ejection/tests/ejection_fleet.h
+++ b/node/ejection/tests/ejection_fleet.h
@@ -223,7 +223,7 @@
     options.now_ms = fleet_clock;
     h.task = ejection_task_create (&options);
     // Beats come from the test's clock alone.
-    ev_timer_stop (loop, &h.task->beat);
+    ev_timer_stop (loop, &h.task->tick_timer);
     bus_subscribe (
         h.messages, BUS_EJECTIONS,
         [] (void *owner, const bus_message *m) {
@@ -371,12 +371,12 @@
         if (peer_message_decode (l.bytes.data (), l.bytes.size (), &message)
             != STATUS_OK)
           abort ();
-        ejection_news news;
+        ejection_notice news;
         if (message.type == PEER_DECISION
-            && ejection_read_news (&message.report, &news))
+            && ejection_read_notice (&message.report, &news))
           {
             most_told_ms = std::max (most_told_ms, news.enforce_ms);
-            free ((void *)news.shares_permille);
+            free ((void *)news.trial_permille);
           }
         for (int copy = 0; copy < (duplicate ? 2 : 1); copy++)
           ejection_task_receive (h.task, hosts[l.from].name.c_str (),
@@ -397,7 +397,7 @@
     deliver ();
     for (auto &h : hosts)
       if (h.task != nullptr && !h.frozen)
-        ev_invoke (loop, &h.task->beat, EV_TIMER);
+        ev_invoke (loop, &h.task->tick_timer, EV_TIMER);
     ev_run (loop, EVRUN_NOWAIT);
   }
 
@@ -438,7 +438,7 @@
   ejection_service *
   service (int i)
   {
-    return ejection_find (hosts[i].task, service_name);
+    return ejection_find_service (hosts[i].task, service_name);
   }
 
   // The host that acts as owner; -1: none or several.
--- a/node/ejection/tests/ejection_messages_test.cc
+++ b/node/ejection/tests/ejection_messages_test.cc
@@ -80,13 +80,13 @@
   const char names[2][PEER_NAME_SIZE] = { "t1", "t2" };
   const uint32_t shares[2] = { 0, 50 };
   const char avoid[1][PEER_NAME_SIZE] = { "t7" };
-  const ejection_news sent = {
+  const ejection_notice sent = {
     EJECTION_DECISION, "holds", 3, 4, 900, 5, 6, names, shares, 2, avoid, 1,
     { 350, 1250 }
   };
-  ASSERT_EQ (ejection_send_news (&last.base, "h", &sent), STATUS_OK);
-  ejection_news got;
-  ASSERT_TRUE (ejection_read_news (report (), &got));
+  ASSERT_EQ (ejection_send_notice (&last.base, "h", &sent), STATUS_OK);
+  ejection_notice got;
+  ASSERT_TRUE (ejection_read_notice (report (), &got));
   EXPECT_EQ (got.kind, EJECTION_DECISION);
   EXPECT_EQ (got.sequence, 4U);
   EXPECT_EQ (got.enforce_ms, 900U);
@@ -94,26 +94,27 @@
   EXPECT_EQ (got.poll_ms, 6);
   ASSERT_EQ (got.count, 2U);
   EXPECT_STREQ (got.names[1], "t2");
-  EXPECT_EQ (got.shares_permille[1], 50U);
+  EXPECT_EQ (got.trial_permille[1], 50U);
   ASSERT_EQ (got.avoid_count, 1U);
-  EXPECT_STREQ (got.avoid[0], "t7");
-  EXPECT_EQ (got.slots.from_permille, 350U);
-  EXPECT_EQ (got.slots.permille, 1250U);
-  free ((void *)got.shares_permille);
+  EXPECT_STREQ (got.avoided[0], "t7");
+  EXPECT_EQ (got.share.from_permille, 350U);
+  EXPECT_EQ (got.share.permille, 1250U);
+  free ((void *)got.trial_permille);
   // A target to avoid among those ejected, or neither.
   report ()->values[report ()->columns + 1] = 1;
-  EXPECT_FALSE (ejection_read_news (report (), &got));
+  EXPECT_FALSE (ejection_read_notice (report (), &got));
   report ()->values[report ()->columns + 1] = 2;
-  EXPECT_FALSE (ejection_read_news (report (), &got));
+  EXPECT_FALSE (ejection_read_notice (report (), &got));
 }
 
 TEST_F (EjectionMessages, OrdersComeBack)
 {
-  const ejection_order sent
+  const ejection_command_message sent
       = { EJECTION_RESULT, "holds", "t1", UINT64_MAX, 8, 5, 3, 2 };
-  ASSERT_EQ (ejection_send_order (&last.base, "h", &sent), STATUS_OK);
-  ejection_order got;
-  ASSERT_TRUE (ejection_read_order (report (), &got));
+  ASSERT_EQ (ejection_send_command_message (&last.base, "h", &sent),
+             STATUS_OK);
+  ejection_command_message got;
+  ASSERT_TRUE (ejection_read_command_message (report (), &got));
   EXPECT_EQ (got.id, UINT64_MAX);
   EXPECT_EQ (got.version, 8U);
   EXPECT_EQ (got.verb, 5);
@@ -147,29 +148,29 @@
   report ()->values[0] = EJECTION_REPORT;
   report ()->value_count--;
   EXPECT_EQ (ejection_message_kind (report ()), 0);
-  ejection_news news;
+  ejection_notice news;
   report ()->value_count++;
-  EXPECT_FALSE (ejection_read_news (report (), &news));
-  ejection_order order;
-  EXPECT_FALSE (ejection_read_order (report (), &order));
+  EXPECT_FALSE (ejection_read_notice (report (), &news));
+  ejection_command_message order;
+  EXPECT_FALSE (ejection_read_command_message (report (), &order));
 }
 
 // A host would take slots by the million on the word of a broken peer.
 TEST_F (EjectionMessages, SharesOutOfBoundsAreRefused)
 {
-  ejection_news sent = {};
+  ejection_notice sent = {};
   sent.kind = EJECTION_DECISION;
   sent.service = "holds";
-  ASSERT_EQ (ejection_send_news (&last.base, "h", &sent), STATUS_OK);
-  ejection_news got;
-  ASSERT_TRUE (ejection_read_news (report (), &got));
-  free ((void *)got.shares_permille);
+  ASSERT_EQ (ejection_send_notice (&last.base, "h", &sent), STATUS_OK);
+  ejection_notice got;
+  ASSERT_TRUE (ejection_read_notice (report (), &got));
+  free ((void *)got.trial_permille);
   for (const int column : { 4, 5 })
     {
       for (const int64_t bad : { (int64_t)-1, (int64_t)4001, INT64_MAX })
         {
           report ()->values[column] = bad;
-          EXPECT_FALSE (ejection_read_news (report (), &got)) << column;
+          EXPECT_FALSE (ejection_read_notice (report (), &got)) << column;
         }
       report ()->values[column] = 0;
     }
@@ -196,14 +197,14 @@
       r.names = names;
       r.name_count = rng_below (&rng, 2);
       ejection_report report;
-      ejection_news news;
+      ejection_notice news;
       if (ejection_read_report (&r, &report))
         free ((void *)report.items);
-      if (!ejection_read_news (&r, &news))
+      if (!ejection_read_notice (&r, &news))
         continue;
-      EXPECT_LE (news.slots.from_permille, 4000U);
-      EXPECT_LE (news.slots.permille, 4000U);
-      free ((void *)news.shares_permille);
+      EXPECT_LE (news.share.from_permille, 4000U);
+      EXPECT_LE (news.share.permille, 4000U);
+      free ((void *)news.trial_permille);
     }
 }
 }
--- a/node/ejection/tests/ejection_task_test.cc
+++ b/node/ejection/tests/ejection_task_test.cc
@@ -234,7 +234,8 @@
   EXPECT_EQ (command (0, order (OPERATOR_EJECT, "t0")).code, STATUS_OK);
   ASSERT_TRUE (f.until (long_ms, [&] { return f.all_out ("t0"); }));
   // Less than is counted, by as much as a host may notice its end late.
-  EXPECT_EQ (f.most_told_ms, 1000 - 2 * ejection_beat_ms (f.hosts[2].task));
+  EXPECT_EQ (f.most_told_ms,
+             1000 - 2 * ejection_tick_interval_ms (f.hosts[2].task));
   f.cut[0][2] = true;
   EXPECT_TRUE (f.until (1000, [&] { return f.hosts[2].out.empty (); }));
   EXPECT_EQ (f.hosts[1].out.count ("t0"), 1U);
@@ -309,7 +310,7 @@
 TEST_F (EjectionTask, AnAnswerToAnEarlierProcessEnforcesNothing)
 {
   const char names[1][PEER_NAME_SIZE] = { "t3" };
-  ejection_news news = {};
+  ejection_notice news = {};
   news.kind = EJECTION_DECISION;
   news.service = service_name;
   news.epoch = 1;
@@ -319,7 +320,7 @@
   news.poll_ms = fleet_now_ms;
   news.names = names;
   news.count = 1;
-  ejection_send_news (&f.hosts[0].transport, "host-2", &news);
+  ejection_send_notice (&f.hosts[0].transport, "host-2", &news);
   f.run (100);
   EXPECT_TRUE (f.none_out ("t3"));
 }
@@ -332,12 +333,12 @@
   const operator_command c = order (OPERATOR_EJECT, "t1");
   f.cut[2][0] = true;
   ejection_task_command (f.hosts[2].task, &c, on_result, &r);
-  ejection_order forged = {};
+  ejection_command_message forged = {};
   forged.kind = EJECTION_RESULT;
   forged.service = service_name;
   forged.target = "t1";
   forged.id = f.hosts[2].task->command_id;
-  ejection_send_order (&f.hosts[1].transport, "host-2", &forged);
+  ejection_send_command_message (&f.hosts[1].transport, "host-2", &forged);
   f.run (100);
   EXPECT_FALSE (r.ended);
   ASSERT_TRUE (f.until (long_ms, [&] { return r.ended; }));
--- a/node/ejection/tests/slot_shares_task_test.cc
+++ b/node/ejection/tests/slot_shares_task_test.cc
@@ -138,19 +138,19 @@
 TEST_F (SlotSharesTask, ALateAnswerChangesNothing)
 {
   const uint32_t before = f.hosts[1].slots.permille;
-  ejection_news news = {};
+  ejection_notice news = {};
   news.kind = EJECTION_DECISION;
   news.service = service_name;
   news.epoch = floor_owner_epoch (f.service (0)->owner);
   news.enforce_ms = 900;
   news.incarnation = f.hosts[1].task->options.incarnation;
-  news.poll_ms = f.service (1)->told_poll_ms - 1;
-  news.slots = { 0, 999 };
-  ejection_service_news (f.service (1), "host-0", &news);
+  news.poll_ms = f.service (1)->answered_poll_ms - 1;
+  news.share = { 0, 999 };
+  ejection_service_receive_notice (f.service (1), "host-0", &news);
   f.turn ();
   EXPECT_EQ (f.hosts[1].slots.permille, before);
   news.poll_ms = fleet_now_ms + 60000; // would hold for a minute
-  ejection_service_news (f.service (1), "host-0", &news);
+  ejection_service_receive_notice (f.service (1), "host-0", &news);
   f.turn ();
   EXPECT_EQ (f.hosts[1].slots.permille, before);
 }
--- a/node/quota/control_quota.c
+++ b/node/quota/control_quota.c
@@ -24,7 +24,7 @@
 static uint32_t
 known_hosts (struct quota_transport *base)
 {
-  return control_listed_hosts (control_of (base));
+  return control_listed_host_count (control_of (base));
 }
 
 static const struct quota_transport_ops ops = {
--- a/node/quota/quota_messages.c
+++ b/node/quota/quota_messages.c
@@ -31,16 +31,16 @@
   int64_t *row = xcalloc ((report->row_count + 1) * COLUMNS, sizeof *row);
   *values = row;
   row[FIRST_HOSTS] = report->hosts;
-  row[FIRST_LENDS] = report->lends;
+  row[FIRST_LENDS] = report->leases_share;
   row[FIRST_IS_COORDINATOR] = report->is_coordinator;
   for (size_t i = 0; i < report->row_count; i++)
     {
       row += COLUMNS;
       row[ROW_WORKSPACE] = (int64_t)report->rows[i].workspace;
-      row[ROW_WANTED] = report->rows[i].wanted;
+      row[ROW_WANTED] = report->rows[i].requested;
       row[ROW_TOKENS] = report->rows[i].tokens;
       row[ROW_TERM_MS] = report->rows[i].term_ms;
-      row[ROW_DUE_MS] = report->rows[i].due_ms;
+      row[ROW_DUE_MS] = report->rows[i].next_token_ms;
     }
   return (struct peer_message){
     .type = type,
@@ -74,7 +74,7 @@
   report->echo = from->epoch;
   report->stamp = from->sequence;
   report->hosts = number (row[FIRST_HOSTS]);
-  report->lends = row[FIRST_LENDS] != 0;
+  report->leases_share = row[FIRST_LENDS] != 0;
   report->is_coordinator = row[FIRST_IS_COORDINATOR] != 0;
   report->row_count = from->value_count / COLUMNS - 1;
   for (size_t i = 0; i < report->row_count; i++)
@@ -82,10 +82,10 @@
       row += COLUMNS;
       report->rows[i] = (struct quota_row){
         .workspace = (uint64_t)row[ROW_WORKSPACE],
-        .wanted = number (row[ROW_WANTED]),
+        .requested = number (row[ROW_WANTED]),
         .tokens = number (row[ROW_TOKENS]),
         .term_ms = number (row[ROW_TERM_MS]),
-        .due_ms = number (row[ROW_DUE_MS]),
+        .next_token_ms = number (row[ROW_DUE_MS]),
       };
     }
   return true;
--- a/node/quota/quota_messages.h
+++ b/node/quota/quota_messages.h
@@ -24,10 +24,10 @@
 struct quota_row
 {
   uint64_t workspace; /**< hash_string() of its name */
-  uint32_t wanted;
-  uint32_t tokens;  /**< granted; this and the rest in answers only */
-  uint32_t term_ms; /**< they may be used for, from the question on */
-  uint32_t due_ms;  /**< until there is another one */
+  uint32_t requested;
+  uint32_t tokens;        /**< granted; this and the rest in answers only */
+  uint32_t term_ms;       /**< they may be used for, from the question on */
+  uint32_t next_token_ms; /**< until there is another one */
 };
 
 struct quota_report
@@ -35,7 +35,8 @@
   uint64_t stamp; /**< of the sender */
   uint64_t echo;  /**< of the receiver, as the sender had it last; 0: none */
   uint32_t hosts; /**< that the sender knows; 0: not known */
-  bool lends;     /**< question: the sender lends its share to the receiver */
+  bool leases_share; /**< question: the sender lends its share to the receiver
+                      */
   bool is_coordinator; /**< question and its answer: for a keeper, not for
                        requests of its own */
   size_t row_count;
--- a/node/quota/quota_hold.c
+++ b/node/quota/quota_requester.c
@@ -15,7 +15,8 @@
 static bool
 answers (const struct quota_peer *peer, int64_t now_ms)
 {
-  return peer->asked_ms == 0 || now_ms - peer->asked_ms < ANSWER_MS;
+  return peer->unanswered_since_ms == 0
+         || now_ms - peer->unanswered_since_ms < ANSWER_MS;
 }
 
 /* What keeper grants goes to the caller task, which holds the tokens. */
@@ -27,10 +28,10 @@
       = { .topic = BUS_QUOTA_GRANTED,
           .quota = { .workspace = row->workspace,
                      .answer = { .requested_ms = asked_ms,
-                                 .requested = row->wanted,
+                                 .requested = row->requested,
                                  .tokens = row->tokens,
                                  .term_ms = row->term_ms,
-                                 .next_token_ms = row->due_ms } } };
+                                 .next_token_ms = row->next_token_ms } } };
   bus_post (task->options.bus, &message);
 }
 
@@ -39,29 +40,29 @@
 add_wanted (struct quota_task *task)
 {
   struct quota_report *report = &task->report;
-  while (task->wanted != NULL && report->row_count < QUOTA_ROWS_MAX)
+  while (task->pending != NULL && report->row_count < QUOTA_ROWS_MAX)
     {
-      struct quota_entry *entry = task->wanted;
-      DL_DELETE2 (task->wanted, entry, wanted_prev, wanted_next);
-      entry->is_wanted = false;
+      struct quota_entry *entry = task->pending;
+      DL_DELETE2 (task->pending, entry, pending_prev, pending_next);
+      entry->is_pending = false;
       report->rows[report->row_count++]
           = (struct quota_row){ .workspace = entry->workspace,
-                                .wanted = entry->wanted };
-      entry->wanted = 0;
+                                .requested = entry->requested };
+      entry->requested = 0;
     }
 }
 
 static void
 grant_self (struct quota_task *task, int64_t now_ms)
 {
-  while (task->wanted != NULL)
+  while (task->pending != NULL)
     {
-      struct quota_entry *entry = task->wanted;
-      DL_DELETE2 (task->wanted, entry, wanted_prev, wanted_next);
-      entry->is_wanted = false;
+      struct quota_entry *entry = task->pending;
+      DL_DELETE2 (task->pending, entry, pending_prev, pending_next);
+      entry->is_pending = false;
       const struct quota_row row
-          = quota_keep_grant (task, entry, entry->wanted, now_ms);
-      entry->wanted = 0;
+          = quota_coordinator_grant (task, entry, entry->requested, now_ms);
+      entry->requested = 0;
       hand_out (task, &row, now_ms);
     }
 }
@@ -69,7 +70,7 @@
 /* The first keeper that answers; the one of the own data centre if none
    does. */
 const char *
-quota_hold_coordinator (struct quota_task *task, int64_t now_ms)
+quota_requester_coordinator (struct quota_task *task, int64_t now_ms)
 {
   const char *names[QUOTA_COORDINATORS_MAX];
   struct quota_transport *transport = task->options.transport;
@@ -86,21 +87,21 @@
 {
   struct quota_peer *peer = quota_task_peer (task, coordinator);
   quota_task_begin_report (task, peer, now_ms);
-  task->report.lends
-      = quota_lease_renew (&task->lending, now_ms, hash_string (coordinator));
-  quota_shares_set_own_from (task->shares, now_ms, task->lending.expires_ms);
+  task->report.leases_share
+      = quota_lease_renew (&task->lease, now_ms, hash_string (coordinator));
+  quota_shares_set_own_from (task->shares, now_ms, task->lease.expires_ms);
   add_wanted (task);
-  if (peer->asked_ms == 0)
-    peer->asked_ms = now_ms;
+  if (peer->unanswered_since_ms == 0)
+    peer->unanswered_since_ms = now_ms;
   quota_task_send_report (task, coordinator, PEER_QUOTA_ASK);
 }
 
 /* Ask for what requests here want; RENEW: also when that is nothing. */
 void
-quota_hold_ask (struct quota_task *task, bool renew)
+quota_requester_request (struct quota_task *task, bool renew)
 {
   const int64_t now_ms = clock_now_ms ();
-  const char *coordinator = quota_hold_coordinator (task, now_ms);
+  const char *coordinator = quota_requester_coordinator (task, now_ms);
   if (coordinator == NULL)
     return;
   if (quota_task_is_self (task, coordinator))
@@ -108,7 +109,7 @@
       grant_self (task, now_ms);
       return;
     }
-  while (renew || task->wanted != NULL)
+  while (renew || task->pending != NULL)
     {
       ask (task, coordinator, now_ms);
       renew = false;
@@ -116,23 +117,24 @@
 }
 
 void
-quota_hold_receive (struct quota_task *task, const char *from,
-                    const struct quota_report *answer)
+quota_requester_receive (struct quota_task *task, const char *from,
+                         const struct quota_report *answer)
 {
   const int64_t now_ms = clock_now_ms ();
   struct quota_peer *peer = quota_task_peer (task, from);
   int64_t asked_ms;
-  const bool is_first = peer->stamp == 0;
-  peer->stamp = answer->stamp;
-  peer->asked_ms = 0;
+  const bool is_first = peer->last_stamp == 0;
+  peer->last_stamp = answer->stamp;
+  peer->unanswered_since_ms = 0;
   /* What was lent with the question couldn't be counted by the keeper yet. */
   if (is_first && !answer->is_coordinator)
     ask (task, from, now_ms);
-  if (!quota_stamp_parse (task->life, answer->echo, now_ms, &asked_ms))
+  if (!quota_stamp_parse (task->process_nonce, answer->echo, now_ms,
+                          &asked_ms))
     return;
   if (answer->is_coordinator)
     {
-      quota_keep_add (task, answer);
+      quota_coordinator_add (task, answer);
       return;
     }
   for (size_t i = 0; i < answer->row_count; i++)
--- a/node/quota/quota_task.c
+++ b/node/quota/quota_task.c
@@ -57,10 +57,10 @@
                          int64_t now_ms)
 {
   struct quota_report *report = &task->report;
-  report->stamp = quota_stamp_make (task->life, now_ms);
-  report->echo = to->stamp;
+  report->stamp = quota_stamp_make (task->process_nonce, now_ms);
+  report->echo = to->last_stamp;
   report->hosts = quota_shares_host_count (task->shares);
-  report->lends = false;
+  report->leases_share = false;
   report->is_coordinator = false;
   report->row_count = 0;
 }
@@ -88,13 +88,13 @@
     return;
   if (hosts > 0)
     quota_shares_note_host_count (task->shares, now_ms, hosts);
-  quota_hold_ask (task, true);
+  quota_requester_request (task, true);
 }
 
 static void
 gather_cb (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  quota_hold_ask (timer->data, false);
+  quota_requester_request (timer->data, false);
 }
 
 static void
@@ -105,21 +105,21 @@
       = quota_task_entry (task, message->quota.workspace);
   if (entry == NULL)
     return;
-  entry->wanted = message->quota.answer.requested;
-  if (!entry->is_wanted)
-    DL_APPEND2 (task->wanted, entry, wanted_prev, wanted_next);
-  entry->is_wanted = true;
-  if (ev_is_active (&task->gather))
+  entry->requested = message->quota.answer.requested;
+  if (!entry->is_pending)
+    DL_APPEND2 (task->pending, entry, pending_prev, pending_next);
+  entry->is_pending = true;
+  if (ev_is_active (&task->batch_timer))
     return;
-  ev_timer_set (&task->gather, GATHER_MS / MS_PER_SECOND, 0.);
-  ev_timer_start (task->options.loop, &task->gather);
+  ev_timer_set (&task->batch_timer, GATHER_MS / MS_PER_SECOND, 0.);
+  ev_timer_start (task->options.loop, &task->batch_timer);
 }
 
 static void
 free_entry (struct quota_task *task, struct quota_entry *entry)
 {
-  if (entry->is_wanted)
-    DL_DELETE2 (task->wanted, entry, wanted_prev, wanted_next);
+  if (entry->is_pending)
+    DL_DELETE2 (task->pending, entry, pending_prev, pending_next);
   if (entry->is_active)
     DL_DELETE2 (task->active, entry, active_prev, active_next);
   free (entry);
@@ -186,9 +186,9 @@
         quota_shares_note_host_count (task->shares, clock_now_ms (),
                                       report->hosts);
       if (message->type == PEER_QUOTA_ASK)
-        quota_keep_receive (task, from, report);
+        quota_coordinator_receive (task, from, report);
       else
-        quota_hold_receive (task, from, report);
+        quota_requester_receive (task, from, report);
     }
   free (report);
 }
@@ -198,7 +198,7 @@
 {
   struct quota_task *task = owner;
   const int64_t now_ms = clock_now_ms ();
-  const char *coordinator = quota_hold_coordinator (task, now_ms);
+  const char *coordinator = quota_requester_coordinator (task, now_ms);
   struct json_object *rows = json_object_new_array ();
   for (const struct quota_entry *entry = task->entries; entry != NULL;
        entry = entry->hh.next)
@@ -222,21 +222,22 @@
   const struct access_settings *access = &options->settings->access;
   const int64_t now_ms = clock_now_ms ();
   task->options = *options;
-  task->terms = (struct quota_tolerance){ .window_ms = access->quota_window_ms,
-                                          .overshoot_percent
-                                          = access->quota_over_percent,
-                                          .slack = access->quota_slack };
-  rng_secret (&task->life, sizeof task->life);
-  quota_lease_init (&task->lending, now_ms, &task->terms);
-  task->shares = quota_shares_create (now_ms, task->lending.expires_ms);
-  task->ledger = quota_pool_create (task->shares, &task->terms);
-  ev_timer_init (&task->gather, gather_cb, 0., 0.);
-  task->gather.data = task;
+  task->tolerance
+      = (struct quota_tolerance){ .window_ms = access->quota_window_ms,
+                                  .overshoot_percent
+                                  = access->quota_over_percent,
+                                  .slack = access->quota_slack };
+  rng_secret (&task->process_nonce, sizeof task->process_nonce);
+  quota_lease_init (&task->lease, now_ms, &task->tolerance);
+  task->shares = quota_shares_create (now_ms, task->lease.expires_ms);
+  task->pool = quota_pool_create (task->shares, &task->tolerance);
+  ev_timer_init (&task->batch_timer, gather_cb, 0., 0.);
+  task->batch_timer.data = task;
   const double renew_s = QUOTA_RENEWAL_INTERVAL_MS / MS_PER_SECOND;
-  ev_timer_init (&task->renew, renew_cb, renew_s, renew_s);
-  task->renew.data = task;
-  ev_timer_start (options->loop, &task->renew);
-  quota_keep_start (task);
+  ev_timer_init (&task->renew_timer, renew_cb, renew_s, renew_s);
+  task->renew_timer.data = task;
+  ev_timer_start (options->loop, &task->renew_timer);
+  quota_coordinator_start (task);
   bus_subscribe (options->bus, BUS_QUOTA_REQUESTED, on_wanted, task);
   bus_subscribe (options->bus, BUS_CONFIG_IN_FORCE, on_config, task);
   if (options->tables != NULL)
@@ -252,9 +253,9 @@
   bus_unsubscribe (task->options.bus, task);
   if (task->options.tables != NULL)
     tables_unregister (task->options.tables, task);
-  ev_timer_stop (task->options.loop, &task->renew);
-  quota_keep_stop (task);
-  ev_timer_stop (task->options.loop, &task->gather);
+  ev_timer_stop (task->options.loop, &task->renew_timer);
+  quota_coordinator_stop (task);
+  ev_timer_stop (task->options.loop, &task->batch_timer);
   keep_entries (task, task->generation + 1);
   struct quota_peer *peer = task->peers;
   HASH_CLEAR (hh, task->peers);
@@ -264,7 +265,7 @@
       free (peer);
       peer = next;
     }
-  quota_pool_destroy (task->ledger);
+  quota_pool_destroy (task->pool);
   quota_shares_destroy (task->shares);
   free (task);
 }
--- a/node/quota/tests/quota_messages_test.cc
+++ b/node/quota/tests/quota_messages_test.cc
@@ -29,7 +29,7 @@
   sent->stamp = UINT64_MAX - 1;
   sent->echo = 77;
   sent->hosts = 118;
-  sent->lends = true;
+  sent->leases_share = true;
   sent->is_coordinator = true;
   sent->row_count = 2;
   sent->rows[0] = { UINT64_MAX, 3, 2, 150, 900 };
@@ -47,12 +47,12 @@
   EXPECT_EQ (read->stamp, sent->stamp);
   EXPECT_EQ (read->echo, sent->echo);
   EXPECT_EQ (read->hosts, sent->hosts);
-  EXPECT_EQ (read->lends, sent->lends);
+  EXPECT_EQ (read->leases_share, sent->leases_share);
   EXPECT_EQ (read->is_coordinator, sent->is_coordinator);
   ASSERT_EQ (read->row_count, sent->row_count);
   EXPECT_EQ (read->rows[0].workspace, UINT64_MAX);
   EXPECT_EQ (read->rows[0].tokens, 2u);
-  EXPECT_EQ (read->rows[0].due_ms, 900u);
+  EXPECT_EQ (read->rows[0].next_token_ms, 900u);
   EXPECT_EQ (read->rows[1].workspace, 1u);
 }
 
--- a/node/registry/registry.c
+++ b/node/registry/registry.c
@@ -285,8 +285,8 @@
 }
 
 enum status
-registry_take_config (struct registry *registry, const char *name,
-                      const char *text)
+registry_apply_config (struct registry *registry, const char *name,
+                       const char *text)
 {
   struct fleet_config *config;
   const enum status status = fleet_config_parse (name, text, &config);
@@ -419,8 +419,8 @@
 }
 
 enum status
-registry_take_target (struct registry *registry, const char *name,
-                      const char *text)
+registry_apply_target (struct registry *registry, const char *name,
+                       const char *text)
 {
   struct target_record record;
   if (text == NULL)
--- a/node/registry/registry.h
+++ b/node/registry/registry.h
@@ -46,12 +46,12 @@
 
 /** Take in a configuration.  STATUS_INVALID: it can't be used, what is in
  * force stays; STATUS_REFUSED: it isn't newer. */
-enum status registry_take_config (struct registry *registry, const char *name,
-                                  const char *text);
+enum status registry_apply_config (struct registry *registry, const char *name,
+                                   const char *text);
 
 /** Take in the record of target NAME; a TEXT of NULL removes it. */
-enum status registry_take_target (struct registry *registry, const char *name,
-                                  const char *text);
+enum status registry_apply_target (struct registry *registry, const char *name,
+                                   const char *text);
 
 /** The configuration in force, or NULL. */
 const struct fleet_config *registry_config (const struct registry *registry);
--- a/node/registry/tests/registry_test.cc
+++ b/node/registry/tests/registry_test.cc
@@ -101,8 +101,8 @@
   status
   config (int version, const std::vector<std::string> &services)
   {
-    return registry_take_config (r, "main",
-                                 config_text (version, services).c_str ());
+    return registry_apply_config (r, "main",
+                                  config_text (version, services).c_str ());
   }
 
   std::vector<std::string>
@@ -118,8 +118,8 @@
 
 TEST_F (Registry, TellsServicesBeforeTheConfigurationThatRoutesToThem)
 {
-  registry_take_target (r, "t-2", target_text ("holds").c_str ());
-  registry_take_target (r, "t-1", target_text ("holds").c_str ());
+  registry_apply_target (r, "t-2", target_text ("holds").c_str ());
+  registry_apply_target (r, "t-1", target_text ("holds").c_str ());
   EXPECT_EQ (run (), lines{});
   ASSERT_EQ (config (3, { "holds" }), STATUS_OK) << status_message ();
   EXPECT_EQ (run (), (lines{ "service holds t-1 t-2", "config 3" }));
@@ -152,7 +152,7 @@
         "              { 'name': 'plain' } ] }";
   char text[2048];
   snprintf (text, sizeof text, routes, 1, 2000);
-  ASSERT_EQ (registry_take_config (r, "main", quoted (text).c_str ()),
+  ASSERT_EQ (registry_apply_config (r, "main", quoted (text).c_str ()),
              STATUS_OK)
       << status_message ();
   run ();
@@ -160,7 +160,7 @@
   EXPECT_EQ (goals["views"], 3000u);
   EXPECT_EQ (goals["plain"], 0u);
   snprintf (text, sizeof text, routes, 2, 4000);
-  registry_take_config (r, "main", quoted (text).c_str ());
+  registry_apply_config (r, "main", quoted (text).c_str ());
   run ();
   EXPECT_EQ (goals["holds"], 3429u); /* 2 / (1/4000 + 1/3000) */
 }
@@ -182,7 +182,7 @@
 {
   config (8, { "a" });
   run ();
-  EXPECT_EQ (registry_take_config (r, "main", "{ \"version\": 9, \"rout"),
+  EXPECT_EQ (registry_apply_config (r, "main", "{ \"version\": 9, \"rout"),
              STATUS_INVALID);
   EXPECT_EQ (run (), lines{});
   EXPECT_EQ (registry_config (r)->version, 8u);
@@ -191,13 +191,13 @@
 TEST_F (Registry, ATargetChangesAndGoes)
 {
   config (1, { "a" });
-  registry_take_target (r, "t-1", target_text ("a").c_str ());
+  registry_apply_target (r, "t-1", target_text ("a").c_str ());
   run ();
   EXPECT_TRUE (registry_target_is_active (r, "t-1"));
-  registry_take_target (r, "t-1", target_text ("a", "drained").c_str ());
+  registry_apply_target (r, "t-1", target_text ("a", "drained").c_str ());
   EXPECT_EQ (run (), lines{ "service a t-1(drained)" });
   EXPECT_FALSE (registry_target_is_active (r, "t-1"));
-  registry_take_target (r, "t-1", nullptr);
+  registry_apply_target (r, "t-1", nullptr);
   EXPECT_EQ (run (), lines{ "service a" });
   EXPECT_EQ (registry_target_count (r), 0u);
 }
@@ -207,9 +207,9 @@
 TEST_F (Registry, ARecordThatSaysTheSameTellsNothing)
 {
   config (1, { "a" });
-  registry_take_target (r, "t-1", target_text ("a").c_str ());
+  registry_apply_target (r, "t-1", target_text ("a").c_str ());
   run ();
-  registry_take_target (r, "t-1", target_text ("a").c_str ());
+  registry_apply_target (r, "t-1", target_text ("a").c_str ());
   EXPECT_EQ (run (), lines{});
 }
 
@@ -219,11 +219,12 @@
 TEST_F (Registry, AnotherProcessOfATargetTakesTheFormersPlaceForGood)
 {
   config (1, { "a" });
-  registry_take_target (r, "t-1", target_text ("a", "drained", 5000).c_str ());
+  registry_apply_target (r, "t-1",
+                         target_text ("a", "drained", 5000).c_str ());
   run ();
-  registry_take_target (r, "t-1", target_text ("a", "active", 9000).c_str ());
+  registry_apply_target (r, "t-1", target_text ("a", "active", 9000).c_str ());
   EXPECT_EQ (run (), lines{ "service a t-1" });
-  EXPECT_EQ (registry_take_target (
+  EXPECT_EQ (registry_apply_target (
                  r, "t-1", target_text ("a", "drained", 5000).c_str ()),
              STATUS_REFUSED);
   EXPECT_EQ (run (), lines{});
@@ -235,9 +236,9 @@
 TEST_F (Registry, AStartAloneIsAChange)
 {
   config (1, { "a" });
-  registry_take_target (r, "t-1", target_text ("a", "active", 5000).c_str ());
+  registry_apply_target (r, "t-1", target_text ("a", "active", 5000).c_str ());
   run ();
-  registry_take_target (r, "t-1", target_text ("a", "active", 9000).c_str ());
+  registry_apply_target (r, "t-1", target_text ("a", "active", 9000).c_str ());
   EXPECT_EQ (run (), lines{ "service a t-1" });
 }
 
@@ -247,14 +248,14 @@
 TEST_F (Registry, AnObjectThatCantBeReadNamesNoTarget)
 {
   config (1, { "a" });
-  registry_take_target (r, "t-1", target_text ("a").c_str ());
-  registry_take_target (r, "t-2", target_text ("a").c_str ());
+  registry_apply_target (r, "t-1", target_text ("a").c_str ());
+  registry_apply_target (r, "t-2", target_text ("a").c_str ());
   run ();
   EXPECT_EQ (
-      registry_take_target (r, "t-1", target_text ("a", "odd").c_str ()),
+      registry_apply_target (r, "t-1", target_text ("a", "odd").c_str ()),
       STATUS_INVALID);
   EXPECT_EQ (run (), lines{ "service a t-2" });
-  registry_take_target (r, "t-1", target_text ("a").c_str ());
+  registry_apply_target (r, "t-1", target_text ("a").c_str ());
   EXPECT_EQ (run (), lines{ "service a t-1 t-2" });
 }
 } // namespace
