--- a/policy/fleet/host_capacity.c
+++ b/policy/fleet/host_capacity.c
@@ -4,19 +4,22 @@
 
 enum
 {
-  /** Processor time of one request with its answer: about half of what
-   * `bench/path_bench` measures on one core, rounded up for slower ones. */
+  /** CPU time of one request with its response: about half of the time per
+   * request of `bench/path_bench` on one core, rounded up for slower cores. */
   REQUEST_CPU_US = 500,
-  /** Bytes of one request on a host's link, in and out: a request, its answer
-   * and both again at the target, a few kilobytes each. */
+  /** Bytes of one request on a host's link in both directions: the request,
+   * its response, and both again on the side of the target, a few kilobytes
+   * each. */
   REQUEST_LINK_BYTES = 10000,
-  /** A host of at least half of the strongest one's weight is as good. */
-  STRONG_PART = 2,
-  /** The strong ones are preferred if they hold a quarter of all weight. */
-  SHARE_PART = 4,
-  /** What preference multiplies by: a weak host is then chosen before a
-   * strong one less than once in a thousand times. */
-  PREFERENCE = 1000,
+  /** A host with at least half of the weight of the strongest one (1/n)
+   * counts as high-capacity. */
+  HIGH_CAPACITY_DIVISOR = 2,
+  /** High-capacity hosts are preferred if they have a quarter (1/n) of the
+   * total weight. */
+  PREFERRED_SHARE_DIVISOR = 4,
+  /** Factor for the weight of preferred hosts: another host is then chosen
+   * before one of them less than once in a thousand times. */
+  PREFERENCE_FACTOR = 1000,
 
   US_PER_PERCENT = 10000,
   BYTES_PER_MBIT = 125000,
@@ -25,7 +28,7 @@
 uint32_t
 host_capacity (const struct host_resources *resources)
 {
-  uint64_t rate = UINT32_MAX / PREFERENCE;
+  uint64_t rate = UINT32_MAX / PREFERENCE_FACTOR;
   const uint64_t by_cpu
       = (uint64_t)resources->cpu_percent * US_PER_PERCENT / REQUEST_CPU_US;
   const uint64_t by_link
@@ -40,66 +43,67 @@
                                       : HOST_CAPACITY_UNKNOWN + 1;
 }
 
-/** The weights of one data centre. */
-struct dc_strength
+/** Weights of the hosts in one data centre. */
+struct dc_capacity
 {
   uint64_t dc;
-  uint32_t best;
+  uint32_t max;
   uint64_t total;
-  uint64_t strong;
+  uint64_t high_capacity;
 };
 
-struct strengths
+struct capacities
 {
   uint32_t count;
-  struct dc_strength dcs[FLEET_DCS_MAX];
+  struct dc_capacity dcs[FLEET_DCS_MAX];
 };
 
-static struct dc_strength *
-strength_of (struct strengths *strengths, uint64_t dc)
+static struct dc_capacity *
+find_or_add_dc (struct capacities *capacities, uint64_t dc)
 {
-  for (uint32_t i = 0; i < strengths->count; i++)
-    if (strengths->dcs[i].dc == dc)
-      return &strengths->dcs[i];
-  if (strengths->count == FLEET_DCS_MAX)
+  for (uint32_t i = 0; i < capacities->count; i++)
+    if (capacities->dcs[i].dc == dc)
+      return &capacities->dcs[i];
+  if (capacities->count == FLEET_DCS_MAX)
     return NULL;
-  struct dc_strength *strength = &strengths->dcs[strengths->count++];
-  *strength = (struct dc_strength){ .dc = dc };
-  return strength;
+  struct dc_capacity *capacity = &capacities->dcs[capacities->count++];
+  *capacity = (struct dc_capacity){ .dc = dc };
+  return capacity;
 }
 
 static bool
-is_strong (const struct dc_strength *strength, const struct fleet_host *host)
+is_high_capacity (const struct dc_capacity *capacity,
+                  const struct fleet_host *host)
 {
-  return host->weight >= strength->best / STRONG_PART;
+  return host->weight >= capacity->max / HIGH_CAPACITY_DIVISOR;
 }
 
 static bool
-is_enough (const struct dc_strength *dc, uint64_t rate)
+is_sufficient (const struct dc_capacity *dc, uint64_t rate)
 {
-  return dc->strong * SHARE_PART >= dc->total
-         || (rate > 0 && dc->strong >= rate);
+  return dc->high_capacity * PREFERRED_SHARE_DIVISOR >= dc->total
+         || (rate > 0 && dc->high_capacity >= rate);
 }
 
 void
 host_capacity_prefer_strong (struct fleet_host *hosts, size_t count,
                              uint64_t rate)
 {
-  struct strengths strengths = { 0 };
-  struct dc_strength *dc;
+  struct capacities capacities = { 0 };
+  struct dc_capacity *dc;
   for (size_t i = 0; i < count; i++)
-    if ((dc = strength_of (&strengths, hosts[i].dc)) != NULL
-        && hosts[i].weight > dc->best)
-      dc->best = hosts[i].weight;
+    if ((dc = find_or_add_dc (&capacities, hosts[i].dc)) != NULL
+        && hosts[i].weight > dc->max)
+      dc->max = hosts[i].weight;
   for (size_t i = 0; i < count; i++)
-    if ((dc = strength_of (&strengths, hosts[i].dc)) != NULL)
+    if ((dc = find_or_add_dc (&capacities, hosts[i].dc)) != NULL)
       {
         dc->total += hosts[i].weight;
-        if (is_strong (dc, &hosts[i]))
-          dc->strong += hosts[i].weight;
+        if (is_high_capacity (dc, &hosts[i]))
+          dc->high_capacity += hosts[i].weight;
       }
   for (size_t i = 0; i < count; i++)
-    if ((dc = strength_of (&strengths, hosts[i].dc)) != NULL
-        && is_strong (dc, &hosts[i]) && is_enough (dc, rate))
-      hosts[i].weight *= PREFERENCE;
+    if ((dc = find_or_add_dc (&capacities, hosts[i].dc)) != NULL
+        && is_high_capacity (dc, &hosts[i]) && is_sufficient (dc, rate))
+      hosts[i].weight *= PREFERENCE_FACTOR;
 }
--- a/policy/fleet/host_capacity.h
+++ b/policy/fleet/host_capacity.h
@@ -1,5 +1,5 @@
 /** @file
- * How much a host can carry, and whom that makes first choice.
+ * Capacity of a host, and the preference of high-capacity hosts.
  */
 #ifndef POLICY_FLEET_HOST_CAPACITY_H
 #define POLICY_FLEET_HOST_CAPACITY_H
@@ -9,30 +9,31 @@
 
 #include "policy/fleet/fleet_host.h"
 
-/** What a host has; 0 where its settings don't say. */
+/** Resources of a host; 0 if not configured. */
 struct host_resources
 {
-  uint32_t cpu_percent; /**< of one core of usual speed; 50 is half a core */
+  uint32_t cpu_percent; /**< of one core of typical speed; 50 is half a core */
   uint32_t link_mbps;
-  uint32_t memory_mb; /**< that its process may use */
-  uint32_t files;     /**< descriptors that its process may have open */
+  uint32_t memory_mb; /**< available to its process */
+  uint32_t files;     /**< maximum number of open descriptors of its process */
 };
 
 enum
 {
-  /** Strength of a host whose resources nobody told. */
+  /** Capacity of a host whose resources are not known. */
   HOST_CAPACITY_UNKNOWN = 1,
 };
 
-/** Requests a second that a host with RESOURCES can carry, above
- * HOST_CAPACITY_UNKNOWN; or that, when nothing is known of it. */
+/** Return the requests a second that a host with RESOURCES can serve, which
+ * is above HOST_CAPACITY_UNKNOWN, or HOST_CAPACITY_UNKNOWN if its resources
+ * aren't known. */
 uint32_t host_capacity (const struct host_resources *resources);
 
-/** In data centres where few hosts are much stronger than the others, make
- * them first choice: the others are chosen when none of them is left.  That is
- * so where the strong ones carry RATE requests a second together, or hold a
- * good part of all strength; else weights stay.  RATE 0: it isn't known what
- * they must carry. */
+/** Prefer the high-capacity hosts of data centres in which few hosts have
+ * much more capacity than the others: the others are chosen only if none of
+ * them is left.  This applies where they can serve RATE requests a second
+ * together, or have a large share of the total capacity; elsewhere weights
+ * are unchanged.  RATE 0: the required rate isn't known. */
 void host_capacity_prefer_strong (struct fleet_host *hosts, size_t count,
                                   uint64_t rate);
 
--- a/policy/fleet/host_set.h
+++ b/policy/fleet/host_set.h
@@ -1,5 +1,6 @@
 /** @file
- * Which hosts serve a service, relay settings, or watch each other.
+ * Chooses the hosts that serve a service, relay settings, coordinate quotas or
+ * monitor each other.
  */
 #ifndef POLICY_FLEET_HOST_SET_H
 #define POLICY_FLEET_HOST_SET_H
@@ -9,59 +10,63 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** How many neighbours a host watches in its own data centre: enough to check
- * indirectly.  In each other one it watches one, so that the bytes of ten
- * data centres stay bounded. */
+/** Number of neighbours that a host monitors in its own data centre: enough
+ * for indirect checks.  In each other data centre it monitors one, which
+ * bounds the traffic with ten data centres. */
 enum neighbour_count
 {
   NEIGHBOURS_IN_OWN_DC = 3,
 };
 
-/** What the hosts of a set must do together. */
+/** What the hosts of a set must provide together. */
 struct host_set_requirement
 {
-  uint32_t per_dc; /**< hosts in each data centre at least, if it has them */
-  uint64_t rate;   /**< requests a second in all data centres; 0: no matter */
+  uint32_t per_dc; /**< minimum in each data centre, if it has as many */
+  uint64_t rate;   /**< requests a second in all data centres; 0: any */
 };
 
-/** The requests a second that targets with SLOTS slots together may get when
- * callers want their answers within GOAL_MS (0: it isn't known): what their
- * hosts must be able to carry, however much callers ask. */
+/** Return the requests a second that targets with SLOTS slots in total can
+ * serve when callers expect their responses within GOAL_MS (0: not known).
+ * Their hosts must be able to serve this rate, whatever the demand. */
 uint64_t host_set_required_rate (uint64_t slots, uint32_t goal_ms);
 
-/** RATE rounded up, so that few targets more or less leave the hosts as they
- * are. */
+/** Return RATE rounded up, so that small changes in the number of targets
+ * don't change the set. */
 uint64_t host_set_round_rate (uint64_t rate);
 
-/** The host set of the service with key SERVICE.  Each data centre takes part
- * with as many hosts as NEED says, and with more until they carry its part of
- * the rate: strong hosts first where these are enough. */
+/** Choose the host set of the service with key SERVICE.  Each data centre
+ * provides at least the number of hosts in REQUIREMENT, and more until they
+ * can serve its share of the rate.  High-capacity hosts are preferred where
+ * these suffice. */
 void host_set_choose (uint64_t service, const struct fleet_host *hosts,
-                      size_t count, const struct host_set_requirement *need,
+                      size_t count,
+                      const struct host_set_requirement *requirement,
                       struct fleet_choice *choice);
 
-/** Where the N-th address of an answer comes from in a set of COUNT: a
- * rotation by the caller's seed, so that answers differ by caller and the
- * first host of the set isn't everybody's first choice. */
+/** Return the index of the N-th address of a response in a set of COUNT.
+ * The order is rotated by the caller's seed, so that responses differ
+ * between callers and the first host of the set isn't the first address of
+ * every response. */
 uint32_t host_set_nth (uint32_t count, uint64_t caller_seed, uint32_t n);
 
-/** The relays: hosts that watch the platform, PER_DC in each data centre. */
+/** Choose the relays, the hosts that watch the platform, PER_DC in each data
+ * centre. */
 void relays_choose (const struct fleet_host *hosts, size_t count,
                     uint32_t per_dc, struct fleet_choice *choice);
 
-/** The hosts that keep the quotas of workspaces: one in each data centre, a
- * strong one where there are any. */
+/** Choose the hosts that coordinate the quotas of workspaces: one in each
+ * data centre, preferably a high-capacity one. */
 void quota_coordinators_choose (const struct fleet_host *hosts, size_t count,
                                 struct fleet_choice *choice);
 
-/** How many of the relays, from the best placed on, ask the platform for the
- * newest several times a second: those of more than half of the data centres.
- * The rest hear from them sooner than from the platform, through neighbours
- * that every host has in each data centre. */
+/** Return the number of relays, in order of rank, that poll the platform for
+ * changes several times a second: those of more than half of the data
+ * centres.  The other relays receive changes sooner from them than from the
+ * platform, through the neighbours that every host has in each data centre. */
 uint32_t relays_leading_count (const struct fleet_host *hosts, size_t count,
                                uint32_t per_dc);
 
-/** The hosts that SELF (key and data centre) sends heartbeats to. */
+/** Choose the hosts to which SELF (key and data centre) sends heartbeats. */
 void neighbours_choose (const struct fleet_host *self,
                         const struct fleet_host *hosts, size_t count,
                         struct fleet_choice *choice);
--- a/policy/fleet/member.c
+++ b/policy/fleet/member.c
@@ -36,21 +36,21 @@
     member->monitored_since_ms = now_ms;
 }
 
-/* LEAVING is final: a watcher that still gets answers mustn't bring back a
-   host that runs out its last requests. */
+/* LEAVING is final: answers to a monitoring host must not revive a host
+   that is finishing its last requests. */
 bool
 member_is_superseded_by (const struct member *member,
-                         const struct member_update *verdict)
+                         const struct member_update *update)
 {
-  if (verdict->incarnation != member->incarnation)
-    return verdict->incarnation > member->incarnation;
+  if (update->incarnation != member->incarnation)
+    return update->incarnation > member->incarnation;
   if (member->announced == MEMBER_LEAVING)
     return false;
-  if (verdict->state == MEMBER_LEAVING)
+  if (update->state == MEMBER_LEAVING)
     return true;
-  if (verdict->counter != member->counter)
-    return verdict->counter > member->counter;
-  return verdict->state > member->announced;
+  if (update->counter != member->counter)
+    return update->counter > member->counter;
+  return update->state > member->announced;
 }
 
 struct member_update
@@ -63,57 +63,58 @@
 }
 
 static int64_t
-newest (int64_t a, int64_t b)
+latest (int64_t a, int64_t b)
 {
   return a > b ? a : b;
 }
 
-/* What this host sees by itself. */
+/* Returns the state as observed by this host alone. */
 static enum member_state
-seen (const struct member *member, const struct membership_options *options,
-      int64_t now_ms)
+observed_state (const struct member *member,
+                const struct membership_options *options, int64_t now_ms)
 {
   const int64_t answer_ms
-      = newest (member->last_answer_ms, member->monitored_since_ms);
+      = latest (member->last_answer_ms, member->monitored_since_ms);
   if (now_ms - answer_ms < options->suspect_after_ms)
     return MEMBER_LIVE;
   if (now_ms - member->last_heard_ms < options->suspect_after_ms)
     return MEMBER_ONE_WAY;
-  const int64_t sign_ms = newest (newest (answer_ms, member->last_heard_ms),
-                                  member->last_indirect_answer_ms);
-  if (now_ms - sign_ms < options->dead_after_ms)
+  const int64_t alive_ms = latest (latest (answer_ms, member->last_heard_ms),
+                                   member->last_indirect_answer_ms);
+  if (now_ms - alive_ms < options->dead_after_ms)
     return MEMBER_SUSPECT;
   return MEMBER_DEAD;
 }
 
-/* Guards against two watchers that contradict each other at every beat: one
-   says dead, another still remembers an answer from before and says live.
-   Shows as a dead host that is handed out again and again.  Only an answer
-   that came after the verdict outweighs it. */
+/* Two monitoring hosts could contradict each other with every heartbeat:
+   one announces dead, the other still has an earlier answer and announces
+   live, so that a dead host is handed out repeatedly.  Therefore only an
+   answer received after the update overrides it. */
 enum member_state
 member_evaluate (const struct member *member,
                  const struct membership_options *options, int64_t now_ms)
 {
-  const enum member_state state = seen (member, options, now_ms);
+  const enum member_state state = observed_state (member, options, now_ms);
   if (member->announced > state
       && member->last_answer_ms <= member->announced_ms)
     return member->announced;
   return state;
 }
 
-/* Guards against a dead host that nobody decides on: a host that nobody
-   chooses is watched in return only, and when it dies its beats stop with its
-   answers.  Shows as a killed host that stays live for most of the fleet.
-   After dead_after_ms it answers still, or it is in doubt and kept. */
+/* A host that nobody chooses is monitored only in return.  When it dies,
+   its heartbeats stop together with its answers, and if monitoring stopped
+   then, its state would never be decided: a killed host would stay live for
+   most of the fleet.  After dead_after_ms it either still answers, or it is
+   undecided and stays monitored. */
 bool
 member_return_is_over (const struct member *member,
                        const struct membership_options *options,
                        int64_t now_ms)
 {
-  const int64_t wanted_ms
-      = newest (member->return_requested_ms, member->monitored_since_ms);
+  const int64_t requested_ms
+      = latest (member->return_requested_ms, member->monitored_since_ms);
   return member->monitored_in_return && !member_is_undecided (member)
-         && now_ms - wanted_ms >= options->dead_after_ms;
+         && now_ms - requested_ms >= options->dead_after_ms;
 }
 
 bool
@@ -122,7 +123,7 @@
                                int64_t now_ms)
 {
   const int64_t answer_ms
-      = newest (member->last_answer_ms, member->monitored_since_ms);
-  const int64_t sign_ms = newest (answer_ms, member->last_indirect_answer_ms);
-  return now_ms - sign_ms >= options->dead_after_ms;
+      = latest (member->last_answer_ms, member->monitored_since_ms);
+  const int64_t alive_ms = latest (answer_ms, member->last_indirect_answer_ms);
+  return now_ms - alive_ms >= options->dead_after_ms;
 }
--- a/policy/fleet/member.h
+++ b/policy/fleet/member.h
@@ -1,5 +1,6 @@
 /** @file
- * One host as this host knows it, and what can be told of it alone.
+ * State that this host keeps for one other host, and rules that apply to it
+ * alone.
  *
  * Times are milliseconds since boot.
  */
@@ -14,7 +15,7 @@
 #include "policy/fleet/member_update.h"
 #include "policy/fleet/membership.h"
 
-/** Long before any time that is passed in. */
+/** Earlier than any time that is passed in. */
 static const int64_t member_never_ms = INT64_MIN / 4;
 
 struct member
@@ -22,15 +23,15 @@
   uint64_t key;
   uint64_t incarnation;
   uint32_t counter;
-  enum member_state state;     /**< believed here */
-  enum member_state announced; /**< newest verdict received or spread */
+  enum member_state state;     /**< as seen by this host */
+  enum member_state announced; /**< newest state received or announced */
   int64_t announced_ms;
   bool monitored;
-  bool monitored_in_return; /**< because it watches us */
-  bool has_indirect_answer; /**< lately, as of the last tick */
+  bool monitored_in_return; /**< because it monitors this host */
+  bool has_indirect_answer; /**< as of the last tick */
   bool is_unlisted;
   int64_t monitored_since_ms;
-  int64_t return_requested_ms; /**< when it last gave cause to watch it back */
+  int64_t return_requested_ms; /**< last request for monitoring in return */
   int64_t last_answer_ms;
   int64_t last_heard_ms;
   int64_t last_indirect_answer_ms;
@@ -47,36 +48,38 @@
 /** Dead or leaving. */
 bool member_is_gone (const struct member *member);
 
-/** Suspect or reached one way only. */
+/** Suspect or reachable in one direction only. */
 bool member_is_undecided (const struct member *member);
 
-/** Does this host judge it by what it sees itself? */
+/** Return whether this host determines its state by its own observation. */
 bool member_is_monitored (const struct member *member);
 
-/** Has a watched-back MEMBER given no cause for it for so long that its state
- * is decided? */
+/** Return whether a MEMBER monitored in return hasn't requested it for so
+ * long that its state is decided. */
 bool member_return_is_over (const struct member *member,
                             const struct membership_options *options,
                             int64_t now_ms);
 
-/** The wait for a first answer starts with the watching, not with boot. */
+/** The timeout for the first answer starts with the monitoring, not at
+ * boot. */
 void member_start_monitoring (struct member *member, int64_t now_ms);
 
-/** Is VERDICT news of MEMBER? */
+/** Return whether UPDATE is newer than what is known of MEMBER. */
 bool member_is_superseded_by (const struct member *member,
-                              const struct member_update *verdict);
+                              const struct member_update *update);
 
-/** The newest verdict on MEMBER, as it is sent to others. */
+/** Return the newest update of MEMBER, as sent to other hosts. */
 struct member_update member_get_update (const struct member *member);
 
-/** The state of a watched MEMBER at NOW_MS. */
+/** Return the state of a monitored MEMBER at NOW_MS. */
 enum member_state member_evaluate (const struct member *member,
                                    const struct membership_options *options,
                                    int64_t now_ms);
 
-/** Has nobody had an answer of MEMBER for `dead_after_ms`?  A cut between
- * this host and that one only isn't worth a word: others reach it.  When
- * nobody does for long, all must know. */
+/** Return whether no host has received an answer from MEMBER for
+ * `dead_after_ms`.  A failed connection to this host alone isn't announced,
+ * since others reach the member.  If nobody reaches it for long, all hosts
+ * must know. */
 bool member_is_unreachable_for_all (const struct member *member,
                                     const struct membership_options *options,
                                     int64_t now_ms);
--- a/policy/fleet/member_set.c
+++ b/policy/fleet/member_set.c
@@ -8,10 +8,10 @@
 
 enum
 {
-  /** How often one verdict is sent on: about twice to each neighbour. */
+  /** Number of times that an update is sent: about twice to each neighbour. */
   GOSSIP_SENDS = 24,
-  /** Most hosts watched because they watch us. */
-  WATCHED_BACK_MAX = 64,
+  /** Maximum number of hosts monitored in return. */
+  MONITORED_IN_RETURN_MAX = 64,
 };
 
 struct member *
@@ -135,7 +135,7 @@
 {
   member->return_requested_ms = now_ms;
   if (member->monitored_in_return
-      || set->monitored_in_return_count == WATCHED_BACK_MAX)
+      || set->monitored_in_return_count == MONITORED_IN_RETURN_MAX)
     return;
   member_start_monitoring (member, now_ms);
   member->monitored_in_return = true;
@@ -151,7 +151,7 @@
 }
 
 size_t
-member_set_gossip (struct member_set *set, struct member_update *verdicts,
+member_set_gossip (struct member_set *set, struct member_update *updates,
                    size_t max)
 {
   size_t count = 0;
@@ -161,7 +161,7 @@
   {
     if (count == max)
       break;
-    verdicts[count++] = member_get_update (member);
+    updates[count++] = member_get_update (member);
     if (--member->sends_remaining > 0)
       continue;
     DL_DELETE2 (set->gossip_queue, member, queued_prev, queued_next);
@@ -173,7 +173,7 @@
   DL_DELETE2 (set->not_live, member, not_live_prev, not_live_next);
   DL_APPEND2 (set->not_live, member, not_live_prev, not_live_next);
   if (member->announced != MEMBER_LIVE)
-    verdicts[count++] = member_get_update (member);
+    updates[count++] = member_get_update (member);
   return count;
 }
 
--- a/policy/fleet/membership.c
+++ b/policy/fleet/membership.c
@@ -9,7 +9,7 @@
 {
   struct membership_options options;
   struct member_set set;
-  int64_t ticked_ms;
+  int64_t last_tick_ms;
 };
 
 struct membership *
@@ -17,7 +17,7 @@
 {
   struct membership *membership = xcalloc (1, sizeof *membership);
   membership->options = *options;
-  membership->ticked_ms = member_never_ms;
+  membership->last_tick_ms = member_never_ms;
   member_set_add (&membership->set, options->self, options->incarnation);
   return membership;
 }
@@ -32,8 +32,8 @@
 }
 
 static void
-set_leaving (struct membership *membership, int64_t now_ms,
-             struct member *member)
+mark_leaving (struct membership *membership, int64_t now_ms,
+              struct member *member)
 {
   member_set_change_state (&membership->set, member, MEMBER_LEAVING);
   member_set_announce (&membership->set, now_ms, member, MEMBER_LEAVING);
@@ -54,7 +54,7 @@
     member_set_restart (&membership->set, member, incarnation);
   member->is_unlisted = false;
   if (leaving && member->state != MEMBER_LEAVING)
-    set_leaving (membership, now_ms, member);
+    mark_leaving (membership, now_ms, member);
 }
 
 void
@@ -68,12 +68,12 @@
     member_set_remove (&membership->set, member);
 }
 
-/* Guards against a host that nobody decides on: a suspect is no neighbour to
-   choose any more, so it would no longer be watched and stay suspect for
-   ever.  Shows as a frozen host that is never called dead.  It is watched
-   until it is live or dead. */
+/* A suspect isn't chosen as a neighbour any more.  If it were no longer
+   monitored, its state would never be decided: a suspended host would stay
+   suspect for ever and never be considered dead.  It is monitored until it
+   is live or dead. */
 static void
-stop_watching_decided (struct membership *membership)
+stop_monitoring_decided (struct membership *membership)
 {
   struct member *member;
   for (member = membership->set.members; member != NULL;
@@ -92,15 +92,15 @@
         member = member_set_add (&membership->set, keys[i], 0);
       member_start_monitoring (member, now_ms);
     }
-  stop_watching_decided (membership);
+  stop_monitoring_decided (membership);
   for (size_t i = 0; i < count; i++)
     member_set_find (&membership->set, keys[i])->monitored = true;
 }
 
-/* The member that sent something with INCARNATION; NULL when the sender is
-   an earlier start of a host that has been replaced. */
+/* Returns the member that sent a message with INCARNATION, or NULL if the
+   sender is a previous start of a host that was restarted. */
 static struct member *
-sender (struct membership *membership, uint64_t key, uint64_t incarnation)
+find_sender (struct membership *membership, uint64_t key, uint64_t incarnation)
 {
   if (key == membership->options.self)
     return NULL;
@@ -117,23 +117,23 @@
 void
 membership_note_heartbeat (struct membership *membership, int64_t now_ms,
                            uint64_t key, uint64_t incarnation, bool leaving,
-                           bool return_wanted)
+                           bool return_requested)
 {
-  struct member *member = sender (membership, key, incarnation);
+  struct member *member = find_sender (membership, key, incarnation);
   if (member == NULL)
     return;
-  if (return_wanted || member->state == MEMBER_DEAD)
+  if (return_requested || member->state == MEMBER_DEAD)
     member_set_monitor_in_return (&membership->set, now_ms, member);
   member->last_heard_ms = now_ms;
   if (leaving && member->state != MEMBER_LEAVING)
-    set_leaving (membership, now_ms, member);
+    mark_leaving (membership, now_ms, member);
 }
 
 void
 membership_note_answer (struct membership *membership, int64_t now_ms,
                         uint64_t key, uint64_t incarnation)
 {
-  struct member *member = sender (membership, key, incarnation);
+  struct member *member = find_sender (membership, key, incarnation);
   if (member == NULL)
     return;
   member->last_heard_ms = now_ms;
@@ -150,41 +150,41 @@
 }
 
 static void
-contradict (struct membership *membership, struct member *self,
-            const struct member_update *verdict)
+refute (struct membership *membership, struct member *self,
+        const struct member_update *update)
 {
-  if (verdict->incarnation != self->incarnation
-      || verdict->state == MEMBER_LIVE || verdict->counter < self->counter)
+  if (update->incarnation != self->incarnation || update->state == MEMBER_LIVE
+      || update->counter < self->counter)
     return;
-  self->counter = verdict->counter + 1;
+  self->counter = update->counter + 1;
   member_set_queue_gossip (&membership->set, self);
 }
 
 void
 membership_merge (struct membership *membership, int64_t now_ms,
-                  const struct member_update *verdict)
+                  const struct member_update *update)
 {
-  struct member *member = member_set_find (&membership->set, verdict->key);
-  if (verdict->key == membership->options.self)
+  struct member *member = member_set_find (&membership->set, update->key);
+  if (update->key == membership->options.self)
     {
-      contradict (membership, member, verdict);
+      refute (membership, member, update);
       return;
     }
   if (member == NULL)
-    member = member_set_add (&membership->set, verdict->key,
-                             verdict->incarnation);
-  else if (!member_is_superseded_by (member, verdict))
+    member
+        = member_set_add (&membership->set, update->key, update->incarnation);
+  else if (!member_is_superseded_by (member, update))
     return;
-  if (verdict->incarnation > member->incarnation)
-    member_set_restart (&membership->set, member, verdict->incarnation);
-  member->counter = verdict->counter;
-  member->announced = verdict->state;
+  if (update->incarnation > member->incarnation)
+    member_set_restart (&membership->set, member, update->incarnation);
+  member->counter = update->counter;
+  member->announced = update->state;
   member->announced_ms = now_ms;
   member_set_queue_gossip (&membership->set, member);
-  if (verdict->state == MEMBER_LIVE)
+  if (update->state == MEMBER_LIVE)
     member->last_indirect_answer_ms = now_ms;
-  if (!member_is_monitored (member) || verdict->state > member->state)
-    member_set_change_state (&membership->set, member, verdict->state);
+  if (!member_is_monitored (member) || update->state > member->state)
+    member_set_change_state (&membership->set, member, update->state);
 }
 
 void
@@ -223,17 +223,17 @@
     member_set_stop_monitoring_in_return (&membership->set, member);
 }
 
-/* Guards against a host that was frozen and thaws: it has heard nobody for
-   long, and would tell all others that its neighbours are dead.  Shows as
-   live hosts taken from callers whenever one process pauses.  A silence that
-   this host slept through says nothing, so the wait starts again. */
+/* A host that resumes after a suspension has received nothing for long and
+   would announce to all others that its neighbours are dead, so that every
+   pause of a process would take live hosts from callers.  Silence during
+   its own pause proves nothing, so the timeouts start again. */
 static void
-excuse_pause (struct membership *membership, int64_t now_ms)
+restart_timeouts_after_pause (struct membership *membership, int64_t now_ms)
 {
-  const int64_t gap_ms = now_ms - membership->ticked_ms;
-  const bool is_paused = membership->ticked_ms != member_never_ms
+  const int64_t gap_ms = now_ms - membership->last_tick_ms;
+  const bool is_paused = membership->last_tick_ms != member_never_ms
                          && gap_ms >= membership->options.suspect_after_ms;
-  membership->ticked_ms = now_ms;
+  membership->last_tick_ms = now_ms;
   if (!is_paused)
     return;
   struct member *member;
@@ -248,7 +248,7 @@
 {
   struct member *member;
   struct member *next;
-  excuse_pause (membership, now_ms);
+  restart_timeouts_after_pause (membership, now_ms);
   HASH_ITER (hh, membership->set.members, member, next)
   {
     if (member->key == membership->options.self)
@@ -263,7 +263,7 @@
 }
 
 static bool
-gets_heartbeats (const struct member *member)
+receives_heartbeats (const struct member *member)
 {
   return member_is_monitored (member) && member->state != MEMBER_LEAVING;
 }
@@ -276,7 +276,7 @@
   size_t count = 0;
   for (member = membership->set.members; member != NULL;
        member = member->hh.next)
-    if (gets_heartbeats (member) && count < max)
+    if (receives_heartbeats (member) && count < max)
       keys[count++] = member->key;
   return count;
 }
@@ -296,7 +296,7 @@
   size_t count = 0;
   for (member = membership->set.not_live; member != NULL;
        member = member->not_live_next)
-    if (gets_heartbeats (member) && member->state != MEMBER_DEAD
+    if (receives_heartbeats (member) && member->state != MEMBER_DEAD
         && count < max)
       keys[count++] = member->key;
   return count;
@@ -304,9 +304,9 @@
 
 size_t
 membership_gossip (struct membership *membership,
-                   struct member_update *verdicts, size_t max)
+                   struct member_update *updates, size_t max)
 {
-  return member_set_gossip (&membership->set, verdicts, max);
+  return member_set_gossip (&membership->set, updates, max);
 }
 
 bool
--- a/policy/fleet/membership.h
+++ b/policy/fleet/membership.h
@@ -1,12 +1,12 @@
 /** @file
- * What this host believes of the other hosts.
+ * The state of the other hosts as seen by this host.
  *
- * A few hosts are watched: they get heartbeats and are expected to answer.
- * Of all others this host believes what their watchers say (verdicts, spread
- * with heartbeats).  The platform's list only introduces hosts; it lags, so
- * it neither kills nor revives one that is known.
+ * A few hosts are monitored: this host sends them heartbeats and expects
+ * answers.  The state of all others comes from the updates of the hosts that
+ * monitor them, which are spread with heartbeats.  The platform's list only
+ * introduces hosts.  It lags, so it changes the state of no known host.
  *
- * Pure: time is passed in as milliseconds since boot.
+ * No I/O; time is passed in as milliseconds since boot.
  */
 #ifndef POLICY_FLEET_MEMBERSHIP_H
 #define POLICY_FLEET_MEMBERSHIP_H
@@ -22,7 +22,7 @@
   uint64_t self;
   uint64_t incarnation;
   uint32_t suspect_after_ms; /**< without an answer */
-  uint32_t dead_after_ms;    /**< without an answer or a word for it */
+  uint32_t dead_after_ms;    /**< without a direct or indirect answer */
 };
 
 struct membership;
@@ -31,80 +31,87 @@
 membership_create (const struct membership_options *options);
 void membership_destroy (struct membership *membership);
 
-/** A host is on the platform's list, or has introduced itself. */
+/** Add a host that is on the platform's list or has introduced itself. */
 void membership_add (struct membership *membership, int64_t now_ms,
                      uint64_t key, uint64_t incarnation, bool leaving);
 
-/** A host is no longer on the platform's list: forgotten once dead or
- * leaving. */
+/** Note that a host is no longer on the platform's list: it is removed once
+ * dead or leaving. */
 void membership_note_unlisted (struct membership *membership, uint64_t key);
 
-/** Watch these hosts from now, those that want it in return, and those in
- * doubt until they are found live or dead. */
+/** Monitor these hosts from now on, besides those that request it in return,
+ * and those that are undecided until they are found live or dead. */
 void membership_monitor (struct membership *membership, int64_t now_ms,
                          const uint64_t *keys, size_t count);
 
-/** A heartbeat of KEY arrived: it can reach us.  If RETURN_WANTED, or if KEY
- * was dead, it is watched back: until dead_after_ms after the last such
- * heartbeat, and in doubt until it is found live or dead. */
+/** Note a heartbeat from KEY, which shows that it can reach this host.  If
+ * RETURN_REQUESTED is set, or if KEY was dead, it is monitored in return
+ * until dead_after_ms after the last such heartbeat, or while undecided,
+ * until it is found live or dead. */
 void membership_note_heartbeat (struct membership *membership, int64_t now_ms,
                                 uint64_t key, uint64_t incarnation,
-                                bool leaving, bool return_wanted);
+                                bool leaving, bool return_requested);
 
-/** KEY answered our heartbeat: it is reached both ways. */
+/** Note an answer from KEY to a heartbeat, which shows that both directions
+ * work. */
 void membership_note_answer (struct membership *membership, int64_t now_ms,
                              uint64_t key, uint64_t incarnation);
 
-/** Another host says that KEY answered it lately. */
+/** Note the report of another host that KEY answered it recently. */
 void membership_note_indirect_answer (struct membership *membership,
                                       int64_t now_ms, uint64_t key);
 
-/** A verdict arrived.  One about this host that isn't live is contradicted
- * with a higher counter. */
+/** Merge an update from another host.  An update in which this host isn't
+ * live is refuted with a higher counter. */
 void membership_merge (struct membership *membership, int64_t now_ms,
-                       const struct member_update *verdict);
+                       const struct member_update *update);
 
-/** This host leaves: spread it. */
+/** Announce that this host leaves. */
 void membership_leave (struct membership *membership);
 
-/** Judge the watched hosts at NOW_MS.  Call it once a heartbeat. */
+/** Evaluate the monitored hosts at NOW_MS.  To be called once per
+ * heartbeat. */
 void membership_tick (struct membership *membership, int64_t now_ms);
 
-/** Hosts to send a heartbeat to: all watched, dead ones too, as only an
- * answer brings them back.
- * @return how many were written. */
+/** List the hosts to send heartbeats to: all monitored ones, including dead
+ * ones, because only an answer can revive them.
+ * @return the number of keys written */
 size_t membership_monitored (const struct membership *membership,
                              uint64_t *keys, size_t max);
 
-/** Is a heartbeat to KEY to be returned?  Not if KEY is watched only because
- * it watches this host: each would keep the other for ever.  Heartbeats of a
- * dead host are what brings it back. */
+/** Return whether a heartbeat to KEY requests monitoring in return.  It
+ * doesn't if KEY is monitored only in return, because the two hosts would
+ * keep each other monitored for ever.  It does if KEY is dead, because its
+ * heartbeats revive it. */
 bool membership_requests_return (const struct membership *membership,
                                  uint64_t key);
 
-/** Watched hosts that others should be asked about: those that don't answer
- * here. */
+/** List the monitored hosts that don't answer this host, about which others
+ * should be asked. */
 size_t membership_undecided (const struct membership *membership,
                              uint64_t *keys, size_t max);
 
-/** Verdicts to send along: news first, each a few times, then one of the
- * verdicts that aren't live in turn, for those who missed it. */
+/** Get updates to send with a message: first the queued ones, each of which
+ * is sent several times, then one of the members that aren't live in turn,
+ * for hosts that missed its update. */
 size_t membership_gossip (struct membership *membership,
-                          struct member_update *verdicts, size_t max);
+                          struct member_update *updates, size_t max);
 
-/** A host whose state changed since the last call.
- * @return false when there is none. */
+/** Get a host whose state changed since the last call.
+ * @return false if there is none */
 bool membership_next_change (struct membership *membership,
                              struct member_update *change);
 
-/** MEMBER_DEAD for a host never heard of. */
+/** Return the state of KEY; MEMBER_DEAD for an unknown host. */
 enum member_state membership_state (const struct membership *membership,
                                     uint64_t key);
 
-/** May it be handed out?  Live, or cut from this host only: others vouch. */
+/** Return whether the host may be handed out to callers: it is live, or only
+ * this host can't reach it and others report answers. */
 bool membership_is_usable (const struct membership *membership, uint64_t key);
 
-/** Has it answered this host within suspect_after_ms before NOW_MS? */
+/** Return whether KEY has answered this host within suspect_after_ms before
+ * NOW_MS. */
 bool membership_has_recent_answer (const struct membership *membership,
                                    int64_t now_ms, uint64_t key);
 
--- a/policy/fleet/rendezvous.c
+++ b/policy/fleet/rendezvous.c
@@ -5,10 +5,10 @@
 
 #include "base/hash.h"
 
-/* A hash as a number in (0, 1): never 0, whose logarithm is none, and never
-   1, whose logarithm is 0. */
+/* Maps a hash to the open interval (0, 1), because the logarithm is
+   undefined at 0 and is 0 at 1. */
 static double
-unit (uint64_t hash)
+to_unit_interval (uint64_t hash)
 {
   return ((double)(hash >> 12) + 0.5) * 0x1p-52;
 }
@@ -17,7 +17,8 @@
 rendezvous_score (uint64_t subject, const struct fleet_host *host)
 {
   assert (host->weight > 0);
-  return (double)host->weight / -log (unit (hash_pair (subject, host->key)));
+  return (double)host->weight
+         / -log (to_unit_interval (hash_pair (subject, host->key)));
 }
 
 bool
@@ -31,7 +32,7 @@
   return first->key < second->key;
 }
 
-/** The best hosts of one data centre so far. */
+/** Highest-scoring hosts of one data centre. */
 struct dc_best
 {
   uint64_t dc;
@@ -40,8 +41,8 @@
   double scores[FLEET_HOSTS_PER_DC_MAX];
 };
 
-/** A choice under way. */
-struct contest
+/** State of rendezvous_choose(). */
+struct selection
 {
   const struct fleet_host *hosts;
   uint32_t per_dc;
@@ -50,42 +51,42 @@
 };
 
 static struct dc_best *
-contest_dc (struct contest *contest, uint64_t dc)
+find_or_add_dc (struct selection *selection, uint64_t dc)
 {
-  for (uint32_t i = 0; i < contest->dc_count; i++)
-    if (contest->dcs[i].dc == dc)
-      return &contest->dcs[i];
-  if (contest->dc_count == FLEET_DCS_MAX)
+  for (uint32_t i = 0; i < selection->dc_count; i++)
+    if (selection->dcs[i].dc == dc)
+      return &selection->dcs[i];
+  if (selection->dc_count == FLEET_DCS_MAX)
     return NULL;
-  struct dc_best *best = &contest->dcs[contest->dc_count++];
+  struct dc_best *best = &selection->dcs[selection->dc_count++];
   best->dc = dc;
   best->count = 0;
   return best;
 }
 
 static bool
-beats (const struct contest *contest, double score, uint32_t host,
-       const struct dc_best *best, uint32_t rank)
+ranks_before (const struct selection *selection, double score, uint32_t host,
+              const struct dc_best *best, uint32_t rank)
 {
   if (score != best->scores[rank])
     return score > best->scores[rank];
-  return contest->hosts[host].key < contest->hosts[best->hosts[rank]].key;
+  return selection->hosts[host].key < selection->hosts[best->hosts[rank]].key;
 }
 
 static void
-contest_enter (struct contest *contest, struct dc_best *best, double score,
-               uint32_t host)
+insert_host (struct selection *selection, struct dc_best *best, double score,
+             uint32_t host)
 {
   uint32_t rank = best->count;
-  if (rank == contest->per_dc)
+  if (rank == selection->per_dc)
     {
-      if (!beats (contest, score, host, best, rank - 1))
+      if (!ranks_before (selection, score, host, best, rank - 1))
         return;
       rank--;
     }
   else
     best->count++;
-  while (rank > 0 && beats (contest, score, host, best, rank - 1))
+  while (rank > 0 && ranks_before (selection, score, host, best, rank - 1))
     {
       best->hosts[rank] = best->hosts[rank - 1];
       best->scores[rank] = best->scores[rank - 1];
@@ -95,31 +96,32 @@
   best->scores[rank] = score;
 }
 
-/* Add the hosts of one rank, the highest score first. */
+/* Appends the hosts of one rank, highest score first. */
 static void
-take_rank (struct contest *contest, uint32_t rank, struct fleet_choice *choice)
+append_rank (struct selection *selection, uint32_t rank,
+             struct fleet_choice *choice)
 {
   const uint32_t start = choice->count;
   double scores[FLEET_DCS_MAX];
-  for (uint32_t i = 0; i < contest->dc_count; i++)
+  for (uint32_t i = 0; i < selection->dc_count; i++)
     {
-      const struct dc_best *best = &contest->dcs[i];
+      const struct dc_best *best = &selection->dcs[i];
       if (rank >= best->count)
         continue;
-      uint32_t at = choice->count++;
-      while (
-          at > start
-          && beats (contest, best->scores[rank], best->hosts[rank],
-                    &(struct dc_best){ .hosts = { choice->hosts[at - 1] },
-                                       .scores = { scores[at - 1 - start] } },
-                    0))
+      uint32_t position = choice->count++;
+      while (position > start
+             && ranks_before (selection, best->scores[rank], best->hosts[rank],
+                              &(struct dc_best){
+                                  .hosts = { choice->hosts[position - 1] },
+                                  .scores = { scores[position - 1 - start] } },
+                              0))
         {
-          choice->hosts[at] = choice->hosts[at - 1];
-          scores[at - start] = scores[at - 1 - start];
-          at--;
+          choice->hosts[position] = choice->hosts[position - 1];
+          scores[position - start] = scores[position - 1 - start];
+          position--;
         }
-      choice->hosts[at] = best->hosts[rank];
-      scores[at - start] = best->scores[rank];
+      choice->hosts[position] = best->hosts[rank];
+      scores[position - start] = best->scores[rank];
     }
 }
 
@@ -129,7 +131,7 @@
                    struct fleet_choice *choice)
 {
   assert (per_dc <= FLEET_HOSTS_PER_DC_MAX);
-  struct contest contest = { .hosts = hosts, .per_dc = per_dc };
+  struct selection selection = { .hosts = hosts, .per_dc = per_dc };
   choice->count = 0;
   if (per_dc == 0)
     return;
@@ -137,11 +139,11 @@
     {
       if (hosts[i].key == except)
         continue;
-      struct dc_best *best = contest_dc (&contest, hosts[i].dc);
+      struct dc_best *best = find_or_add_dc (&selection, hosts[i].dc);
       if (best != NULL)
-        contest_enter (&contest, best, rendezvous_score (subject, &hosts[i]),
-                       (uint32_t)i);
+        insert_host (&selection, best, rendezvous_score (subject, &hosts[i]),
+                     (uint32_t)i);
     }
   for (uint32_t rank = 0; rank < per_dc; rank++)
-    take_rank (&contest, rank, choice);
+    append_rank (&selection, rank, choice);
 }
--- a/policy/fleet/settings_index.c
+++ b/policy/fleet/settings_index.c
@@ -13,7 +13,7 @@
   uint64_t key;
   uint64_t version;
   bool is_retired;
-  struct entry *next; /**< in its bucket */
+  struct entry *next; /**< in the same bucket */
   UT_hash_handle hh;
 };
 
@@ -60,16 +60,16 @@
 }
 
 static struct entry *
-find (const struct settings_index *index, uint64_t key)
+find_entry (const struct settings_index *index, uint64_t key)
 {
   struct entry *entry;
   HASH_FIND (hh, index->entries, &key, sizeof key, entry);
   return entry;
 }
 
-/* Exclusive or makes the hash independent of the order of arrival. */
+/* XOR makes the hash independent of the order of arrival. */
 static void
-toggle (struct settings_index *index, const struct entry *entry)
+toggle_hash (struct settings_index *index, const struct entry *entry)
 {
   const uint64_t hash = hash_pair (entry->key, entry->version);
   index->hashes[settings_bucket (entry->key)] ^= hash;
@@ -77,7 +77,7 @@
 }
 
 static struct entry *
-add (struct settings_index *index, uint64_t key)
+add_entry (struct settings_index *index, uint64_t key)
 {
   struct entry *entry = xcalloc (1, sizeof *entry);
   entry->key = key;
@@ -88,45 +88,45 @@
   return entry;
 }
 
-/* Guards against a setting that reverts: an older value comes late over a
-   slow link, or twice, after the newer one is in force.  Shows as a service
-   going back to targets that an operator removed.  Only a higher version
-   passes, and a removal is a version like any other. */
+/* An older value may arrive late over a slow link, or twice, after the
+   newer one is in force.  If the setting reverted, a service would use
+   targets again that an operator removed.  Only a higher version is
+   accepted, and a removal has a version like any other change. */
 bool
 settings_index_update (struct settings_index *index, uint64_t key,
                        uint64_t version)
 {
-  struct entry *entry = find (index, key);
+  struct entry *entry = find_entry (index, key);
   const uint64_t held = entry == NULL ? 0 : entry->version;
   if (version <= held)
     return false;
   if (entry == NULL)
-    entry = add (index, key);
+    entry = add_entry (index, key);
   else if (!entry->is_retired)
-    toggle (index, entry);
+    toggle_hash (index, entry);
   entry->is_retired = false;
   entry->version = version;
-  toggle (index, entry);
+  toggle_hash (index, entry);
   return true;
 }
 
-/* Guards against a tombstone that never ends: were it in the hashes, a host
-   that drops it would differ from the others and get it back at once.  Shows
-   as memory and heartbeats that grow with every host ever replaced. */
+/* If tombstones were in the hashes, they would be kept for ever: a host
+   that dropped one would differ from the others and receive it again at
+   once, and memory and heartbeats would grow with every host ever replaced. */
 void
 settings_index_retire (struct settings_index *index, uint64_t key)
 {
-  struct entry *entry = find (index, key);
+  struct entry *entry = find_entry (index, key);
   if (entry == NULL || entry->is_retired)
     return;
-  toggle (index, entry);
+  toggle_hash (index, entry);
   entry->is_retired = true;
 }
 
 void
 settings_index_drop (struct settings_index *index, uint64_t key)
 {
-  struct entry *entry = find (index, key);
+  struct entry *entry = find_entry (index, key);
   if (entry == NULL || !entry->is_retired)
     return;
   LL_DELETE (index->buckets[settings_bucket (key)], entry);
@@ -143,7 +143,7 @@
 uint64_t
 settings_index_version (const struct settings_index *index, uint64_t key)
 {
-  const struct entry *entry = find (index, key);
+  const struct entry *entry = find_entry (index, key);
   return entry == NULL ? 0 : entry->version;
 }
 
--- a/policy/fleet/settings_index.h
+++ b/policy/fleet/settings_index.h
@@ -1,13 +1,14 @@
 /** @file
- * Which version of each object this host holds.
+ * Versions of the objects that this host has.
  *
- * Versions only grow, removals included: a removed object keeps a tombstone
- * with its version, so that a late or repeated delivery of an older value
- * can't bring it back.  A hash over buckets lets two hosts find out in a few
- * bytes that they hold the same.
+ * Versions only increase, also with a removal: a removed object leaves a
+ * tombstone with its version, so that a late or repeated delivery of an older
+ * value can't restore it.  Hashes over buckets allow two hosts to find out in
+ * a few bytes that they have the same versions.
  *
- * A retired entry still guards its key but no longer counts in the hashes:
- * each host may drop it when it likes and still agree with the others.
+ * A retired entry still rejects older versions of its key but no longer counts
+ * in the hashes, so each host may drop it at any time and still agree with the
+ * others.
  */
 #ifndef POLICY_FLEET_SETTINGS_INDEX_H
 #define POLICY_FLEET_SETTINGS_INDEX_H
@@ -23,7 +24,7 @@
 
 struct settings_index;
 
-/** The version of one object. */
+/** Version of one object. */
 struct settings_version
 {
   uint64_t key; /**< settings_key() */
@@ -33,38 +34,39 @@
 struct settings_index *settings_index_create (void);
 void settings_index_destroy (struct settings_index *index);
 
-/** The key of an object. */
+/** Return the key of an object. */
 uint64_t settings_key (const char *kind, const char *name);
-/** The bucket of an object. */
+/** Return the bucket of an object. */
 uint32_t settings_bucket (uint64_t key);
 
-/** Take VERSION in if it is higher than what is held.
- * @return false when it isn't: nothing has changed. */
+/** Set the version of KEY if VERSION is higher than the current one.
+ * @return false if it isn't, and nothing has changed */
 bool settings_index_update (struct settings_index *index, uint64_t key,
                             uint64_t version);
 
-/** The version held of KEY; 0 when there is none. */
+/** Return the version of KEY; 0 if there is none. */
 uint64_t settings_index_version (const struct settings_index *index,
                                  uint64_t key);
 
-/** Leave KEY out of the hashes until it is raised again.  It is still listed:
- * who holds an older version learns of it. */
+/** Exclude KEY from the hashes until its version increases again.  It is
+ * still listed, so that a host with an older version receives it. */
 void settings_index_retire (struct settings_index *index, uint64_t key);
 
-/** Drop KEY if it is retired. */
+/** Remove KEY if it is retired. */
 void settings_index_drop (struct settings_index *index, uint64_t key);
 
-/** How many keys are held, retired ones included. */
+/** Return the number of keys, including retired ones. */
 size_t settings_index_count (const struct settings_index *index);
 
-/** Hash of all keys and versions, whatever the order they came in. */
+/** Return the hash of all keys and versions, which doesn't depend on their
+ * order of arrival. */
 uint64_t settings_index_hash (const struct settings_index *index);
-/** The hash of one bucket. */
+/** Return the hash of one bucket. */
 uint64_t settings_index_bucket_hash (const struct settings_index *index,
                                      uint32_t bucket);
 
-/** What BUCKET holds.
- * @return how many there are; at most MAX are written. */
+/** List the entries of BUCKET.
+ * @return the number of entries, of which at most MAX are written */
 size_t settings_index_list (const struct settings_index *index,
                             uint32_t bucket, struct settings_version *versions,
                             size_t max);
--- a/policy/fleet/subset.c
+++ b/policy/fleet/subset.c
@@ -9,9 +9,9 @@
 is_before (uint64_t target, uint64_t dc, const struct fleet_host *first,
            const struct fleet_host *second)
 {
-  const bool first_is_near = first->dc == dc;
-  if (first_is_near != (second->dc == dc))
-    return first_is_near;
+  const bool is_first_near = first->dc == dc;
+  if (is_first_near != (second->dc == dc))
+    return is_first_near;
   return rendezvous_before (target, first, second);
 }
 
--- a/policy/fleet/subset.h
+++ b/policy/fleet/subset.h
@@ -1,11 +1,11 @@
 /** @file
- * Which host of a set uses which targets.
+ * Divides the targets of a service among the hosts of its set.
  *
- * Where many hosts share many targets, each host meets each target seldom: it
+ * If many hosts share many targets, each host uses each target rarely: it
  * can't know which slots are free or which target has begun to fail, and
- * connections are idle for so long that they are closed.  So the targets are
- * divided: each belongs to one host of the set, in its own data centre where
- * there is one, and that host uses it first.
+ * connections stay idle for so long that they are closed.  Therefore each
+ * target is assigned to one host of the set, in its own data centre if there
+ * is one, and that host uses it first.
  */
 #ifndef POLICY_FLEET_SUBSET_H
 #define POLICY_FLEET_SUBSET_H
@@ -15,9 +15,9 @@
 
 #include "policy/fleet/fleet_host.h"
 
-/** The index in HOSTS, of which there are COUNT and at least one, of the host
- * that the target with key TARGET in data centre DC belongs to.  A host that
- * comes or goes moves only the targets that it wins or held. */
+/** Return the index in HOSTS, which has COUNT hosts and at least one, of the
+ * host that owns the target with key TARGET in data centre DC.  A host that
+ * is added or removed moves only the targets that it gains or had. */
 size_t subset_owner (uint64_t target, uint64_t dc,
                      const struct fleet_host *hosts, size_t count);
 
--- a/policy/fleet/tests/host_cleanup_test.cc
+++ b/policy/fleet/tests/host_cleanup_test.cc
@@ -6,9 +6,10 @@
 #include "policy/fleet/host_set.h"
 }
 
-/* All relays remove the same record at once, or none does: with the same
-   belief exactly one of them must find it its own, and all get a share. */
-TEST (HostCleanup, ExactlyOneRelayIsIt)
+/* Guards against several relays or none that remove the same record: among
+   hosts with the same view of the fleet exactly one relay is responsible,
+   and each relay gets a share of the records. */
+TEST (HostCleanup, ExactlyOneRelayIsResponsible)
 {
   fleet_host hosts[30];
   for (uint32_t i = 0; i < 30; i++)
@@ -19,15 +20,15 @@
   size_t shares[30] = {};
   for (uint64_t subject = 1; subject <= 900; subject++)
     {
-      size_t takers = 0;
+      size_t responsible = 0;
       for (uint32_t i = 0; i < 30; i++)
         if (host_cleanup_is_responsible (subject, hosts[i].key, hosts,
                                          &relays))
           {
-            takers++;
+            responsible++;
             shares[i]++;
           }
-      EXPECT_EQ (takers, 1u);
+      EXPECT_EQ (responsible, 1u);
     }
   for (uint32_t i = 0; i < relays.count; i++)
     EXPECT_GT (shares[relays.hosts[i]], 50u);
@@ -35,14 +36,14 @@
   EXPECT_FALSE (host_cleanup_is_responsible (1, hosts[0].key, hosts, &relays));
 }
 
-TEST (HostCleanup, DueAfterTheWholeWaitOnly)
+TEST (HostCleanup, IsDueOnlyAfterWholeDelay)
 {
   EXPECT_FALSE (host_cleanup_is_due (1000, 0, 100));
   EXPECT_FALSE (host_cleanup_is_due (1000, 901, 100));
   EXPECT_TRUE (host_cleanup_is_due (1000, 900, 100));
 }
 
-TEST (HostCleanup, HalfIsNoMajority)
+TEST (HostCleanup, HalfIsNotAMajority)
 {
   EXPECT_FALSE (host_cleanup_is_majority (1, 2));
   EXPECT_FALSE (host_cleanup_is_majority (0, 0));
--- a/policy/fleet/tests/host_set_test.cc
+++ b/policy/fleet/tests/host_set_test.cc
@@ -14,15 +14,15 @@
 
 constexpr uint64_t DCS = 5;
 
-/* Each data centre with STRONG hosts that carry 1,000 requests a second and
-   WEAK ones that carry 200. */
+/* Each data centre has HIGH hosts that serve 1,000 requests a second and
+   LOW ones that serve 200. */
 std::vector<fleet_host>
-fleet (uint32_t strong, uint32_t weak)
+fleet (uint32_t high, uint32_t low)
 {
   std::vector<fleet_host> hosts;
   for (uint64_t dc = 1; dc <= DCS; dc++)
-    for (uint32_t i = 0; i < strong + weak; i++)
-      hosts.push_back ({ hash_pair (dc, i), dc, i < strong ? 1000u : 200u });
+    for (uint32_t i = 0; i < high + low; i++)
+      hosts.push_back ({ hash_pair (dc, i), dc, i < high ? 1000u : 200u });
   return hosts;
 }
 
@@ -36,8 +36,8 @@
 }
 
 uint64_t
-carried (const std::vector<fleet_host> &hosts, const fleet_choice &choice,
-         uint64_t dc)
+total_capacity (const std::vector<fleet_host> &hosts,
+                const fleet_choice &choice, uint64_t dc)
 {
   uint64_t sum = 0;
   for (uint32_t i = 0; i < choice.count; i++)
@@ -46,25 +46,27 @@
   return sum;
 }
 
-/* 444 hosts, of which fifteen are strong, take 2,800 requests a second for
- * targets with 2,970 slots.  With one host a data centre whatever the traffic,
- * mostly a weak one, each gets three times what it carries: callers wait until
- * their time is over, and what targets have answered isn't delivered. */
-TEST (HostSet, GrowsUntilItCarriesWhatTheTargetsCan)
+/* Guards against a set that is too small for its targets.  444 hosts, of
+   which fifteen have high capacity, serve 2,800 requests a second for
+   targets with 2,970 slots.  With one host for each data centre, mostly a
+   low-capacity one, each receives three times what it can serve: callers
+   wait until their deadlines, and responses of targets aren't delivered. */
+TEST (HostSet, GrowsToTheCapacityOfTheTargets)
 {
   const auto hosts = fleet (3, 86);
   const uint64_t rate = host_set_round_rate (host_set_required_rate (2970, 0));
   const fleet_choice choice = choose (hosts, 1, rate);
   for (uint64_t dc = 1; dc <= DCS; dc++)
-    EXPECT_GE (carried (hosts, choice, dc), rate / DCS);
+    EXPECT_GE (total_capacity (hosts, choice, dc), rate / DCS);
   for (uint32_t i = 0; i < choice.count; i++)
     EXPECT_EQ (hosts[choice.hosts[i]].weight, 1000u);
   EXPECT_LE (choice.count, 15u);
 }
 
-/* All strong hosts of one data centre are lost, as when their rack fails: its
- * weak ones must take over in a number that carries the same. */
-TEST (HostSet, WeakHostsTakeOverInGreaterNumber)
+/* Guards against too few replacements when all high-capacity hosts of one
+   data centre fail, as with a rack: its other hosts must take over in a
+   number that serves the same rate. */
+TEST (HostSet, LowCapacityHostsTakeOverInGreaterNumber)
 {
   auto hosts = fleet (3, 86);
   const auto is_lost = [] (const fleet_host &host) {
@@ -74,11 +76,11 @@
                hosts.end ());
   const uint64_t rate = host_set_round_rate (host_set_required_rate (2970, 0));
   const fleet_choice choice = choose (hosts, 1, rate);
-  EXPECT_GE (carried (hosts, choice, 2), rate / DCS);
-  EXPECT_LE (carried (hosts, choice, 2), rate / DCS + 200);
+  EXPECT_GE (total_capacity (hosts, choice, 2), rate / DCS);
+  EXPECT_LE (total_capacity (hosts, choice, 2), rate / DCS + 200);
 }
 
-TEST (HostSet, StaysAsSmallAsSettingsSayWhereThatIsEnough)
+TEST (HostSet, HasConfiguredSizeIfSufficient)
 {
   const auto hosts = fleet (0, 8);
   EXPECT_EQ (choose (hosts, 1, host_set_required_rate (72, 0)).count, DCS);
@@ -86,7 +88,7 @@
   EXPECT_EQ (choose (hosts, 2, 0).count, 2 * DCS);
 }
 
-TEST (HostSet, HostsOfUnknownStrengthAreTakenAsStrongEnough)
+TEST (HostSet, HostsOfUnknownCapacityAreAssumedSufficient)
 {
   std::vector<fleet_host> hosts = fleet (0, 8);
   for (fleet_host &host : hosts)
@@ -94,14 +96,15 @@
   EXPECT_EQ (choose (hosts, 1, 100000).count, DCS);
 }
 
-TEST (HostSet, HasAllHostsWhereTheyAreTooFew)
+TEST (HostSet, HasAllHostsIfTooFew)
 {
   const auto hosts = fleet (1, 2);
   EXPECT_EQ (choose (hosts, 1, 1000000).count, hosts.size ());
 }
 
-/* A few targets more or less must not move the callers of a whole service. */
-TEST (HostSet, FewTargetsMoreOrLessLeaveTheRateAsItIs)
+/* Guards against moving the callers of a whole service when a few targets
+   are added or removed. */
+TEST (HostSet, SmallChangesOfTargetsKeepTheRate)
 {
   EXPECT_EQ (host_set_round_rate (0), 0u);
   EXPECT_EQ (host_set_round_rate (11880), host_set_round_rate (11600));
@@ -113,11 +116,12 @@
     }
 }
 
-/* 118 hosts, six of them strong, before 349 targets whose answers take half a
- * second.  Counted as if a slot did four requests a second, 42 hosts share the
- * targets: each host meets each target every few seconds, finds one in six
- * hanging, and opens a new connection for every third request. */
-TEST (HostSet, ASlowServiceNeedsFewerHosts)
+/* Guards against too many hosts for a slow service: 118 hosts, six of high
+   capacity, and 349 targets whose responses take half a second.  If a slot
+   counted as four requests a second, 42 hosts would share the targets: each
+   host would use each target every few seconds, find one in six
+   unresponsive, and open a new connection for every third request. */
+TEST (HostSet, SlowServiceNeedsFewerHosts)
 {
   std::vector<fleet_host> hosts;
   for (uint64_t dc = 1; dc <= 3; dc++)
@@ -138,10 +142,11 @@
              host_set_required_rate (100, 1000));
 }
 
-/* Hundreds of targets come and go, and each relay that asks for the newest
- * calls the platform several times a second: one in each of ten data centres
- * makes most calls of the whole fleet, though some hear the same. */
-TEST (Relays, ThoseOfMoreThanHalfOfTheDataCentresLead)
+/* Guards against redundant polling: with hundreds of targets added and
+   removed, each leading relay calls the platform several times a second.
+   One leading relay in each of ten data centres would make most calls of
+   the fleet, although some receive the same changes. */
+TEST (Relays, LeadInMoreThanHalfOfTheDataCentres)
 {
   const auto hosts = fleet (3, 86);
   fleet_choice choice;
--- a/policy/fleet/tests/membership_fleet_test.cc
+++ b/policy/fleet/tests/membership_fleet_test.cc
@@ -12,9 +12,9 @@
 namespace
 {
 constexpr int host_count = 12;
-constexpr int64_t beat_ms = 100;
+constexpr int64_t heartbeat_ms = 100;
 
-/* Twelve hosts in three data centres whose links lose and are cut. */
+/* Twelve hosts in three data centres whose links lose messages and fail. */
 class fleet
 {
 public:
@@ -36,19 +36,19 @@
   void
   step ()
   {
-    now += beat_ms;
+    now += heartbeat_ms;
     for (int h = 0; h < host_count; h++)
       if (!killed[h])
-        beat (h);
+        run_heartbeat (h);
   }
 
-  /* Steps until all running hosts believe STATE of HOST. */
+  /* Returns the number of steps until all running hosts see STATE of HOST. */
   int
   steps_until (int host, member_state state, int max)
   {
     for (int n = 0; n < max; n++)
       {
-        if (all_believe (host, state))
+        if (all_see (host, state))
           return n;
         step ();
       }
@@ -56,7 +56,7 @@
   }
 
   bool
-  all_believe (int host, member_state state) const
+  all_see (int host, member_state state) const
   {
     for (int h = 0; h < host_count; h++)
       if (h != host && !killed[h]
@@ -77,7 +77,7 @@
     return membership_state (members[at], hosts[host].key);
   }
 
-  /* A neighbour that HOST picked. */
+  /* Returns a neighbour that HOST has chosen. */
   int
   neighbour (int host) const
   {
@@ -87,13 +87,13 @@
   }
 
   void
-  isolate (int host, bool is_cut)
+  isolate (int host, bool is_down)
   {
     for (int h = 0; h < host_count; h++)
-      cut[host][h] = cut[h][host] = is_cut;
+      link_down[host][h] = link_down[h][host] = is_down;
   }
 
-  bool cut[host_count][host_count] = {};
+  bool link_down[host_count][host_count] = {};
   bool killed[host_count] = {};
   double loss = 0;
   size_t messages = 0;
@@ -119,21 +119,21 @@
   arrives (int from, int to)
   {
     messages++;
-    return !killed[from] && !killed[to] && !cut[from][to]
+    return !killed[from] && !killed[to] && !link_down[from][to]
            && rng_unit (&random) >= loss;
   }
 
   void
   gossip (int from, int to)
   {
-    member_update verdicts[8];
-    const size_t count = membership_gossip (members[from], verdicts, 8);
+    member_update updates[8];
+    const size_t count = membership_gossip (members[from], updates, 8);
     for (size_t i = 0; i < count; i++)
-      membership_merge (members[to], now, &verdicts[i]);
+      membership_merge (members[to], now, &updates[i]);
   }
 
   void
-  beat (int host)
+  run_heartbeat (int host)
   {
     uint64_t keys[64];
     membership_tick (members[host], now);
@@ -152,23 +152,23 @@
         membership_note_answer (members[host], now, keys[i], 1);
         gossip (other, host);
       }
-    ask_others (host, keys, count);
+    check_indirectly (host, keys, count);
   }
 
   void
-  ask_others (int host, const uint64_t *helpers, size_t helper_count)
+  check_indirectly (int host, const uint64_t *helpers, size_t helper_count)
   {
-    uint64_t doubted[64];
-    const size_t count = membership_undecided (members[host], doubted, 64);
+    uint64_t undecided[64];
+    const size_t count = membership_undecided (members[host], undecided, 64);
     for (size_t d = 0; d < count; d++)
       for (size_t i = 0; i < helper_count; i++)
         {
           const int helper = (int)helpers[i] - 1;
-          const int other = (int)doubted[d] - 1;
+          const int other = (int)undecided[d] - 1;
           if (helper != other && arrives (host, helper)
               && arrives (helper, other) && arrives (other, helper)
               && arrives (helper, host))
-            membership_note_indirect_answer (members[host], now, doubted[d]);
+            membership_note_indirect_answer (members[host], now, undecided[d]);
         }
   }
 
@@ -179,9 +179,10 @@
 };
 }
 
-/* Links lose a tenth of all messages.  A host wrongly believed dead is taken
-   from callers; none may be, in some 100,000 messages. */
-TEST (MembershipFleet, LossAloneKillsNobody)
+/* Guards against hosts that are considered dead because of packet loss, and
+   so not handed out to callers: with one message in ten lost, there must be
+   none in some 100,000 messages. */
+TEST (MembershipFleet, MessageLossAloneMarksNoHostDead)
 {
   fleet f (41);
   f.loss = 0.1;
@@ -194,7 +195,7 @@
     }
 }
 
-TEST (MembershipFleet, AKilledHostIsDeadToAllAndStaysSo)
+TEST (MembershipFleet, KilledHostIsAndStaysDeadForAll)
 {
   fleet f (42);
   f.loss = 0.05;
@@ -205,49 +206,51 @@
   for (int i = 0; i < 200; i++)
     {
       f.step ();
-      ASSERT_TRUE (f.all_believe (4, MEMBER_DEAD));
+      ASSERT_TRUE (f.all_see (4, MEMBER_DEAD));
     }
 }
 
-/* One data centre hears another, but not the reverse.  The host that isn't
-   answered sees a one-way cut and keeps handing the other out, as the rest
-   of the fleet reaches it; nobody is told that it died. */
-TEST (MembershipFleet, AOneWayCutIsItsOwnStateAndHeals)
+/* Guards against announcing a host as dead after a failure in one direction
+   between two hosts.  The host that gets no answers sees a one-way failure
+   and keeps handing the other host out, because the rest of the fleet
+   reaches it. */
+TEST (MembershipFleet, OneWayFailureIsDetectedAndRecovers)
 {
   fleet f (43);
-  const int watcher = 0;
-  const int cut_off = f.neighbour (watcher);
+  const int monitor = 0;
+  const int unreachable = f.neighbour (monitor);
   for (int i = 0; i < 20; i++)
     f.step ();
-  f.cut[watcher][cut_off] = true;
+  f.link_down[monitor][unreachable] = true;
   for (int i = 0; i < 10; i++)
     f.step ();
   for (int i = 0; i < 100; i++)
     {
       f.step ();
       for (int h = 0; h < host_count; h++)
-        ASSERT_TRUE (f.is_usable (h, cut_off)) << h << " step " << i;
+        ASSERT_TRUE (f.is_usable (h, unreachable)) << h << " step " << i;
     }
-  f.cut[watcher][cut_off] = false;
-  EXPECT_LT (f.steps_until (cut_off, MEMBER_LIVE, 100), 10);
+  f.link_down[monitor][unreachable] = false;
+  EXPECT_LT (f.steps_until (unreachable, MEMBER_LIVE, 100), 10);
 }
 
-/* A host can send but hears nobody: it can't serve callers.  All must stop
-   handing it out, though its heartbeats still arrive. */
-TEST (MembershipFleet, AHostThatHearsNobodyIsNotHandedOut)
+/* Guards against handing out a host that can send but receives nothing, so
+   that it can't serve callers, although its heartbeats still arrive. */
+TEST (MembershipFleet, HostThatReceivesNothingIsNotHandedOut)
 {
   fleet f (44);
   for (int h = 0; h < host_count; h++)
-    f.cut[h][5] = true;
+    f.link_down[h][5] = true;
   for (int i = 0; i < 60; i++)
     f.step ();
   for (int h = 0; h < host_count; h++)
     EXPECT_EQ (f.is_usable (h, 5), h == 5) << h;
 }
 
-/* A partition ends.  The host cut off believes the rest dead and the rest it;
-   neither watches the other any more.  All must find back. */
-TEST (MembershipFleet, ACutOffHostComesBackToAll)
+/* Guards against hosts that stay dead after a partition: the isolated host
+   and the rest of the fleet considered each other dead and no longer
+   monitor each other. */
+TEST (MembershipFleet, IsolatedHostIsLiveAgainAfterPartition)
 {
   fleet f (45);
   f.isolate (3, true);
--- a/policy/fleet/tests/membership_growth_test.cc
+++ b/policy/fleet/tests/membership_growth_test.cc
@@ -13,11 +13,12 @@
 {
 constexpr size_t host_count = 36;
 constexpr uint64_t dcs = 3;
-constexpr int64_t beat_ms = 100;
+constexpr int64_t heartbeat_ms = 100;
 constexpr uint32_t suspect_ms = 500;
 constexpr uint32_t dead_ms = 1500;
 
-/* Hosts that start one after the other and choose anew at each start. */
+/* Hosts that are started one after the other and choose their neighbours
+   again after each start. */
 class growing_fleet
 {
 public:
@@ -47,10 +48,10 @@
   void
   step ()
   {
-    now += beat_ms;
+    now += heartbeat_ms;
     for (size_t at = 0; at < members.size (); at++)
       if (at != killed)
-        beat (at);
+        run_heartbeat (at);
   }
 
   std::vector<uint64_t>
@@ -65,14 +66,14 @@
   }
 
   std::set<uint64_t>
-  watched (size_t at) const
+  monitored (size_t at) const
   {
     uint64_t keys[host_count];
     const size_t count = membership_monitored (members[at], keys, host_count);
     return { keys, keys + count };
   }
 
-  /* All that AT chooses or that choose it. */
+  /* Returns the hosts that AT chooses or that choose it. */
   std::set<uint64_t>
   expected (size_t at) const
   {
@@ -95,10 +96,10 @@
 
 private:
   void
-  beat (size_t at)
+  run_heartbeat (size_t at)
   {
     membership_tick (members[at], now);
-    for (uint64_t key : watched (at))
+    for (uint64_t key : monitored (at))
       {
         const size_t other = key - 1;
         if (other == killed)
@@ -114,10 +115,10 @@
   void
   gossip (size_t from, size_t to)
   {
-    member_update verdicts[8];
-    const size_t count = membership_gossip (members[from], verdicts, 8);
+    member_update updates[8];
+    const size_t count = membership_gossip (members[from], updates, 8);
     for (size_t i = 0; i < count; i++)
-      membership_merge (members[to], now, &verdicts[i]);
+      membership_merge (members[to], now, &updates[i]);
   }
 
   std::vector<fleet_host> hosts;
@@ -126,11 +127,12 @@
 };
 }
 
-/* A fleet is started host by host, and each start changes whom the others
-   choose.  An operator saw 36 hosts spend three times the bytes of a fleet
-   started at once, for as long as it ran: hosts that chose each other once
-   kept watching each other in return. */
-TEST (MembershipGrowth, HostsStartedOneByOneKeepOnlyWhoChooses)
+/* Guards against hosts that stay monitored after they are no longer chosen.
+   When a fleet is started host by host, each start changes the choices of
+   the others.  36 hosts used three times the bandwidth of a fleet started
+   at once, for as long as they ran, because hosts that had once chosen each
+   other kept monitoring each other in return. */
+TEST (MembershipGrowth, HostsStartedOneByOneMonitorOnlyChosenHosts)
 {
   growing_fleet fleet;
   for (size_t at = 0; at < host_count; at++)
@@ -139,14 +141,14 @@
       for (int i = 0; i < 3; i++)
         fleet.step ();
     }
-  for (int64_t ms = 0; ms <= dead_ms + beat_ms; ms += beat_ms)
+  for (int64_t ms = 0; ms <= dead_ms + heartbeat_ms; ms += heartbeat_ms)
     fleet.step ();
   for (size_t at = 0; at < host_count; at++)
-    EXPECT_EQ (fleet.watched (at), fleet.expected (at)) << at;
+    EXPECT_EQ (fleet.monitored (at), fleet.expected (at)) << at;
 }
 
-/* Any host may be killed after the fleet has settled, also one that few
-   choose: all others must find it dead. */
+/* Guards against a killed host that isn't found dead by all others after
+   the fleet has stabilized, also if few hosts choose it. */
 TEST (MembershipGrowth, AnyKilledHostIsFoundDead)
 {
   for (size_t victim = 0; victim < host_count; victim += 5)
@@ -157,10 +159,10 @@
           fleet.start_host ();
           fleet.step ();
         }
-      for (int64_t ms = 0; ms <= 2 * dead_ms; ms += beat_ms)
+      for (int64_t ms = 0; ms <= 2 * dead_ms; ms += heartbeat_ms)
         fleet.step ();
       fleet.killed = victim;
-      for (int64_t ms = 0; ms <= 2 * dead_ms; ms += beat_ms)
+      for (int64_t ms = 0; ms <= 2 * dead_ms; ms += heartbeat_ms)
         fleet.step ();
       for (size_t at = 0; at < host_count; at++)
         EXPECT_TRUE (at == victim || fleet.state (at, victim) == MEMBER_DEAD)
--- a/policy/fleet/tests/membership_test.cc
+++ b/policy/fleet/tests/membership_test.cc
@@ -26,8 +26,8 @@
 enum class event_kind
 {
   answered,
-  heard,
-  vouched,
+  heartbeat,
+  indirect_answer,
   tick
 };
 
@@ -35,13 +35,14 @@
 {
   int64_t at_ms;
   event_kind kind;
-  member_state seen;   /* of a tick */
-  member_state judged; /* of a tick */
-  bool told_one_way;   /* of a tick */
+  member_state observed;  /* for a tick */
+  member_state evaluated; /* for a tick */
+  bool announced_one_way; /* for a tick */
 };
 
-/* All that happened to one host, recounted from the start for each answer. */
-class naive_member
+/* Reference model: all events of one host, evaluated from the start each
+   time. */
+class member_model
 {
 public:
   void
@@ -53,19 +54,20 @@
   void
   tick (int64_t now)
   {
-    event e = { now, event_kind::tick, seen (now), MEMBER_LIVE, false };
-    e.judged = judged (e.seen);
-    const int64_t reached
-        = std::max (last (event_kind::answered), last (event_kind::vouched));
-    e.told_one_way = e.judged == MEMBER_ONE_WAY && said () != MEMBER_DEAD
-                     && now - reached >= dead_ms;
+    event e = { now, event_kind::tick, observed (now), MEMBER_LIVE, false };
+    e.evaluated = evaluated (e.observed);
+    const int64_t reached = std::max (last (event_kind::answered),
+                                      last (event_kind::indirect_answer));
+    e.announced_one_way = e.evaluated == MEMBER_ONE_WAY
+                          && announced () != MEMBER_DEAD
+                          && now - reached >= dead_ms;
     log.push_back (e);
   }
 
   member_state
   state () const
   {
-    return log.back ().judged;
+    return log.back ().evaluated;
   }
 
   bool
@@ -73,16 +75,16 @@
   {
     if (state () == MEMBER_LIVE)
       return true;
-    return state () != MEMBER_DEAD && said () == MEMBER_LIVE
-           && last (event_kind::vouched) > 0
-           && now - last (event_kind::vouched) < dead_ms;
+    return state () != MEMBER_DEAD && announced () == MEMBER_LIVE
+           && last (event_kind::indirect_answer) > 0
+           && now - last (event_kind::indirect_answer) < dead_ms;
   }
 
 private:
   int64_t
   last (event_kind kind) const
   {
-    int64_t at = 0; /* watched since 0, which counts as an answer */
+    int64_t at = 0; /* monitored since 0, which counts as an answer */
     for (const auto &e : log)
       if (e.kind == kind)
         at = e.at_ms;
@@ -99,79 +101,82 @@
   }
 
   member_state
-  seen (int64_t now) const
+  observed (int64_t now) const
   {
     const int64_t answer = last (event_kind::answered);
-    int64_t heard = answer;
-    if (has (event_kind::heard))
-      heard = std::max (heard, last (event_kind::heard));
+    int64_t heartbeat = answer;
+    if (has (event_kind::heartbeat))
+      heartbeat = std::max (heartbeat, last (event_kind::heartbeat));
     if (now - answer < suspect_ms)
       return MEMBER_LIVE;
-    if (now - heard < suspect_ms)
+    if (now - heartbeat < suspect_ms)
       return MEMBER_ONE_WAY;
-    const int64_t sign = std::max (heard, last (event_kind::vouched));
-    return now - sign < dead_ms ? MEMBER_SUSPECT : MEMBER_DEAD;
+    const int64_t alive
+        = std::max (heartbeat, last (event_kind::indirect_answer));
+    return now - alive < dead_ms ? MEMBER_SUSPECT : MEMBER_DEAD;
   }
 
-  /* The newest that the others were told. */
+  /* Returns the newest state that was announced. */
   member_state
-  said () const
+  announced () const
   {
     member_state newest = MEMBER_LIVE;
     for (const auto &e : log)
       if (e.kind == event_kind::tick)
         {
-          if (e.judged == MEMBER_LIVE || e.judged == MEMBER_DEAD)
-            newest = e.judged;
-          else if (e.told_one_way)
+          if (e.evaluated == MEMBER_LIVE || e.evaluated == MEMBER_DEAD)
+            newest = e.evaluated;
+          else if (e.announced_one_way)
             newest = MEMBER_ONE_WAY;
         }
     return newest;
   }
 
-  /* What was told holds until an answer comes after the telling. */
+  /* An announced state holds until an answer arrives after the
+     announcement. */
   member_state
-  judged (member_state state) const
+  evaluated (member_state state) const
   {
-    member_state told = MEMBER_LIVE;
+    member_state announced_state = MEMBER_LIVE;
     for (const auto &e : log)
       if (e.kind == event_kind::answered)
-        told = MEMBER_LIVE;
-      else if (e.kind == event_kind::tick && e.judged == MEMBER_DEAD)
-        told = MEMBER_DEAD;
-      else if (e.kind == event_kind::tick && e.told_one_way)
-        told = std::max (told, MEMBER_ONE_WAY);
-    return std::max (state, told);
+        announced_state = MEMBER_LIVE;
+      else if (e.kind == event_kind::tick && e.evaluated == MEMBER_DEAD)
+        announced_state = MEMBER_DEAD;
+      else if (e.kind == event_kind::tick && e.announced_one_way)
+        announced_state = std::max (announced_state, MEMBER_ONE_WAY);
+    return std::max (state, announced_state);
   }
 
   std::vector<event> log;
 };
 
-/* One host's fate in an episode: how likely each sign of life is. */
-struct fate
+/* Probabilities of the events of one host in an episode. */
+struct link_profile
 {
   double answer;
-  double heard;
-  double vouched;
+  double heartbeat;
+  double indirect_answer;
 };
 
-fate
-draw_fate (rng *random)
+link_profile
+draw_profile (rng *random)
 {
-  static const fate fates[] = {
-    { 0.9, 0.9, 0.1 },  /* well, some loss */
-    { 0.0, 0.9, 0.5 },  /* one-way cut, others reach it */
-    { 0.0, 0.9, 0.0 },  /* hears nobody */
-    { 0.0, 0.0, 0.5 },  /* cut off from here only */
+  static const link_profile profiles[] = {
+    { 0.9, 0.9, 0.1 },  /* healthy, some loss */
+    { 0.0, 0.9, 0.5 },  /* one-way failure, others reach it */
+    { 0.0, 0.9, 0.0 },  /* receives nothing */
+    { 0.0, 0.0, 0.5 },  /* unreachable from here only */
     { 0.0, 0.0, 0.0 },  /* dead */
     { 0.2, 0.2, 0.05 }, /* heavy loss */
   };
-  return fates[rng_below (random, sizeof fates / sizeof fates[0])];
+  return profiles[rng_below (random, sizeof profiles / sizeof profiles[0])];
 }
 }
 
-/* 150,000 and more events of six hosts whose fate changes at random. */
-TEST (Membership, AgreesWithRecountingAllThatHappened)
+/* More than 150,000 events of six hosts whose link profiles change
+   randomly. */
+TEST (Membership, AgreesWithReferenceModel)
 {
   rng random;
   rng_seed (&random, 31);
@@ -181,10 +186,10 @@
     {
       membership *m = make_membership ();
       const uint64_t keys[] = { 1, 2, 3, 4, 5, 6 };
-      naive_member naive[6];
-      fate fates[6];
-      for (auto &f : fates)
-        f = draw_fate (&random);
+      member_model models[6];
+      link_profile profiles[6];
+      for (auto &f : profiles)
+        f = draw_profile (&random);
       for (uint64_t key : keys)
         membership_add (m, 0, key, 1, false);
       membership_monitor (m, 0, keys, 6);
@@ -194,26 +199,26 @@
           for (int h = 0; h < 6; h++)
             {
               if (rng_unit (&random) < 0.05)
-                fates[h] = draw_fate (&random);
+                profiles[h] = draw_profile (&random);
               now += 1 + rng_below (&random, 20);
-              if (rng_unit (&random) < fates[h].heard)
+              if (rng_unit (&random) < profiles[h].heartbeat)
                 {
                   membership_note_heartbeat (m, now, keys[h], 1, false, true);
-                  naive[h].add (now, event_kind::heard);
+                  models[h].add (now, event_kind::heartbeat);
                   events++;
                 }
               now++;
-              if (rng_unit (&random) < fates[h].answer)
+              if (rng_unit (&random) < profiles[h].answer)
                 {
                   membership_note_answer (m, now, keys[h], 1);
-                  naive[h].add (now, event_kind::answered);
+                  models[h].add (now, event_kind::answered);
                   events++;
                 }
               now++;
-              if (rng_unit (&random) < fates[h].vouched)
+              if (rng_unit (&random) < profiles[h].indirect_answer)
                 {
                   membership_note_indirect_answer (m, now, keys[h]);
-                  naive[h].add (now, event_kind::vouched);
+                  models[h].add (now, event_kind::indirect_answer);
                   events++;
                 }
             }
@@ -221,11 +226,11 @@
           membership_tick (m, now);
           for (int h = 0; h < 6; h++)
             {
-              naive[h].tick (now);
+              models[h].tick (now);
               const member_state state = membership_state (m, keys[h]);
-              ASSERT_EQ (state, naive[h].state ()) << episode << " " << step;
+              ASSERT_EQ (state, models[h].state ()) << episode << " " << step;
               ASSERT_EQ (membership_is_usable (m, keys[h]),
-                         naive[h].usable (now))
+                         models[h].usable (now))
                   << episode << " " << step;
               states[state]++;
               events++;
@@ -238,8 +243,9 @@
     EXPECT_GT (states[state], 1000u) << state;
 }
 
-/* A host shuts down politely while a watcher still gets its answers.  Were
-   it believed live again, callers would be sent to a port that closes. */
+/* Guards against reviving a host that shuts down gracefully while it still
+   answers a monitoring host: callers would be sent to a port that is about
+   to close. */
 TEST (Membership, LeavingIsFinalForItsIncarnation)
 {
   membership *m = make_membership ();
@@ -253,16 +259,16 @@
   membership_add (m, 50, 7, 2, false);
   EXPECT_EQ (membership_state (m, 7), MEMBER_LIVE);
   membership_add (m, 60, 8, 1, true);
-  const member_update unwatched = { 8, 1, 40, MEMBER_LIVE };
-  membership_merge (m, 70, &unwatched);
+  const member_update unmonitored = { 8, 1, 40, MEMBER_LIVE };
+  membership_merge (m, 70, &unmonitored);
   EXPECT_EQ (membership_state (m, 8), MEMBER_LEAVING);
   membership_destroy (m);
 }
 
-/* A host is frozen for ten seconds and thaws.  It has heard nobody meanwhile,
-   but it is its own fault: told to the others, it would take its live
-   neighbours from callers. */
-TEST (Membership, AThawedHostCondemnsNobody)
+/* Guards against a host that resumes after a suspension of ten seconds and
+   announces its live neighbours as dead, because it has received nothing
+   meanwhile. */
+TEST (Membership, ResumedHostAnnouncesNobodyDead)
 {
   membership *m = make_membership ();
   membership_note_heartbeat (m, 1, 7, 1, false, true);
@@ -276,10 +282,10 @@
   membership_destroy (m);
 }
 
-/* A host is frozen right after it started, before it sent anything.  It turns
-   suspect, is therefore no neighbour to choose any more, and would be watched
-   by nobody: its state would never be decided. */
-TEST (Membership, AHostInDoubtIsWatchedUntilItIsDecided)
+/* Guards against a host whose state is never decided because it is
+   suspended right after its start.  It becomes suspect, so it isn't chosen
+   as a neighbour any more and nobody would monitor it. */
+TEST (Membership, UndecidedHostIsMonitoredUntilDecided)
 {
   membership *m = make_membership ();
   const uint64_t other = 7;
@@ -297,10 +303,10 @@
   membership_destroy (m);
 }
 
-/* A partition ends and a host believed dead beats again.  It must get
-   heartbeats back, as only its answer to one shows that it can be reached;
-   else it would stay dead for ever. */
-TEST (Membership, ADeadHostThatBeatsAgainIsAskedAgain)
+/* Guards against a host that stays dead for ever after a partition: when
+   its heartbeats arrive again it must be sent heartbeats, because only its
+   answer shows that it can be reached. */
+TEST (Membership, DeadHostThatSendsHeartbeatsIsMonitoredAgain)
 {
   membership *m = make_membership ();
   membership_note_heartbeat (m, 1, 7, 1, false, true);
@@ -318,10 +324,10 @@
   membership_destroy (m);
 }
 
-/* Two hosts watch each other in return and neither chose the other.  Were
-   one's heartbeats cause enough for the other's, a fleet whose hosts start one
-   after the other would end as a full mesh. */
-TEST (Membership, AHeartbeatInReturnIsNotReturned)
+/* Guards against two hosts that monitor each other only in return of the
+   other's heartbeats: a fleet whose hosts are started one after the other
+   would end as a full mesh. */
+TEST (Membership, HeartbeatInReturnIsNotReturned)
 {
   membership *m = make_membership ();
   const uint64_t other = 7;
@@ -337,9 +343,9 @@
   membership_destroy (m);
 }
 
-/* A host that chose this one chooses others, as newer hosts came.  It answers
-   still; it must be let go, or neighbours only ever add up. */
-TEST (Membership, AHostThatChoosesOthersIsLetGo)
+/* Guards against neighbours that only accumulate: a host that chose this
+   one chooses others after newer hosts have started, and still answers. */
+TEST (Membership, MonitoringInReturnEndsWhenNotRequested)
 {
   membership *m = make_membership ();
   uint64_t keys[4];
@@ -358,10 +364,10 @@
   membership_destroy (m);
 }
 
-/* A host that nobody chose is cut off: its heartbeats end, and others vouch
-   for it for a while.  It must be watched until it is dead, as nobody else
-   would find out. */
-TEST (Membership, AHostInDoubtIsNotLetGo)
+/* Guards against ending the monitoring in return of a host that is
+   partitioned, while other hosts still report answers: it must continue
+   until the host is dead, because nobody else would find out. */
+TEST (Membership, MonitoringInReturnContinuesWhileUndecided)
 {
   membership *m = make_membership ();
   uint64_t keys[4];
@@ -380,10 +386,10 @@
   membership_destroy (m);
 }
 
-/* After a cut a dead host beats only in return.  It must be asked, as its
-   answer alone brings it back, and it must keep being asked while it is dead
-   here. */
-TEST (Membership, ADeadHostIsAskedWhateverItsHeartbeatSays)
+/* Guards against a dead host that isn't sent heartbeats after a partition
+   because its own are sent only in return: only its answer revives it, so
+   it must be monitored as long as it is dead here. */
+TEST (Membership, DeadHostIsMonitoredWithAnyHeartbeat)
 {
   membership *m = make_membership ();
   const member_update dead = { 7, 1, 4, MEMBER_DEAD };
@@ -403,16 +409,16 @@
   membership_destroy (m);
 }
 
-TEST (Membership, ContradictsAVerdictAboutItself)
+TEST (Membership, RefutesUpdateAboutItself)
 {
   membership *m = make_membership ();
   const member_update dead = { self, 1, 5, MEMBER_DEAD };
   membership_merge (m, 20, &dead);
-  member_update said[4];
-  ASSERT_EQ (membership_gossip (m, said, 4), 1u);
-  EXPECT_EQ (said[0].key, self);
-  EXPECT_EQ (said[0].counter, 6u);
-  EXPECT_EQ (said[0].state, MEMBER_LIVE);
+  member_update announced[4];
+  ASSERT_EQ (membership_gossip (m, announced, 4), 1u);
+  EXPECT_EQ (announced[0].key, self);
+  EXPECT_EQ (announced[0].counter, 6u);
+  EXPECT_EQ (announced[0].state, MEMBER_LIVE);
   membership_destroy (m);
 }
 
--- a/policy/fleet/tests/rendezvous_test.cc
+++ b/policy/fleet/tests/rendezvous_test.cc
@@ -25,10 +25,11 @@
   return hosts;
 }
 
-/* Sort everything, then deal the data centres' hosts out rank by rank. */
+/* Reference model: sorts all hosts, then ranks them within each data
+   centre. */
 std::vector<uint64_t>
-naive_choose (uint64_t subject, const std::vector<fleet_host> &hosts,
-              uint32_t per_dc, uint64_t except)
+reference_choose (uint64_t subject, const std::vector<fleet_host> &hosts,
+                  uint32_t per_dc, uint64_t except)
 {
   std::vector<fleet_host> sorted (hosts);
   std::sort (sorted.begin (), sorted.end (),
@@ -56,7 +57,7 @@
 }
 }
 
-TEST (Rendezvous, AgreesWithSortingEverything)
+TEST (Rendezvous, AgreesWithReferenceModel)
 {
   rng random;
   rng_seed (&random, 11);
@@ -70,11 +71,11 @@
       rendezvous_choose (subject, hosts.data (), hosts.size (), per_dc, except,
                          &choice);
       ASSERT_EQ (keys_of (choice, hosts),
-                 naive_choose (subject, hosts, per_dc, except));
+                 reference_choose (subject, hosts, per_dc, except));
     }
 }
 
-TEST (Rendezvous, HostsWinInProportionToTheirWeight)
+TEST (Rendezvous, HostsRankFirstInProportionToWeight)
 {
   const fleet_host hosts[] = { { 101, 1, 1 }, { 102, 1, 3 } };
   rng random;
@@ -85,7 +86,7 @@
   EXPECT_NEAR (heavy / 20000.0, 0.75, 0.02);
 }
 
-TEST (Rendezvous, ALostHostMovesOnlyItsOwnPlaces)
+TEST (Rendezvous, RemovedHostChangesOnlyItsOwnPlaces)
 {
   rng random;
   rng_seed (&random, 13);
@@ -124,7 +125,7 @@
     EXPECT_NEAR (count, 1000, 120) << host;
 }
 
-TEST (Neighbours, AreFewInEachDataCentreAndNeverAll)
+TEST (Neighbours, AreFewInEachDataCentre)
 {
   std::vector<fleet_host> hosts;
   for (uint64_t i = 0; i < 3700; i++)
--- a/policy/fleet/tests/settings_index_test.cc
+++ b/policy/fleet/tests/settings_index_test.cc
@@ -43,11 +43,12 @@
 }
 }
 
-/* An operator removes a target, then the older setting arrives late over a
-   slow link, or twice.  A caller would be sent to the removed target again.
-   Whatever the order and the copies, a version held never goes down, and two
-   hosts that got all of them hold the same and know it by the hash. */
-TEST (SettingsIndex, NeverRevertsUnderAnyOrderAndAgreesInTheEnd)
+/* Guards against a setting that reverts because an older version arrives
+   late over a slow link, or twice: callers would be sent to a target that
+   an operator removed.  In any order and with duplicates, a version never
+   decreases, and two hosts that received all versions hold the same ones
+   and have the same hash. */
+TEST (SettingsIndex, NeverRevertsAndConvergesInAnyOrder)
 {
   rng random;
   rng_seed (&random, 21);
@@ -56,15 +57,15 @@
       auto history = make_history (&random);
       settings_index *first = settings_index_create ();
       settings_index *second = settings_index_create ();
-      std::map<uint64_t, uint64_t> naive;
+      std::map<uint64_t, uint64_t> reference;
       shuffle (&random, &history);
       for (const auto &d : history)
         {
           const uint64_t before = settings_index_version (first, d.key);
           const bool raised = settings_index_update (first, d.key, d.version);
-          ASSERT_EQ (raised, d.version > naive[d.key]);
-          naive[d.key] = std::max (naive[d.key], d.version);
-          ASSERT_EQ (settings_index_version (first, d.key), naive[d.key]);
+          ASSERT_EQ (raised, d.version > reference[d.key]);
+          reference[d.key] = std::max (reference[d.key], d.version);
+          ASSERT_EQ (settings_index_version (first, d.key), reference[d.key]);
           ASSERT_GE (settings_index_version (first, d.key), before);
         }
       ASSERT_NE (settings_index_hash (first), settings_index_hash (second));
@@ -102,35 +103,35 @@
   settings_index_destroy (index);
 }
 
-/* Two hosts drop the tombstone of a replaced host at different times.  Were
-   it counted, they would differ and exchange it for ever; while it is held
-   it must still refuse the old record. */
-TEST (SettingsIndex, ARetiredEntryGuardsButDoesNotCount)
+/* Guards against tombstones of replaced hosts that are exchanged for ever
+   because two hosts drop them at different times and their hashes differ.
+   While it is held, a tombstone must still reject the old record. */
+TEST (SettingsIndex, RetiredEntryRejectsOldVersionsButIsNotHashed)
 {
   settings_index *index = settings_index_create ();
-  const uint64_t gone = settings_key ("host", "gone");
+  const uint64_t removed = settings_key ("host", "gone");
   const uint64_t other = settings_key ("host", "other");
   settings_index_update (index, other, 3);
   const uint64_t before = settings_index_hash (index);
-  settings_index_update (index, gone, 5);
+  settings_index_update (index, removed, 5);
   const uint64_t with_record = settings_index_hash (index);
-  settings_index_update (index, gone, 9);
-  settings_index_retire (index, gone);
-  settings_index_retire (index, gone);
+  settings_index_update (index, removed, 9);
+  settings_index_retire (index, removed);
+  settings_index_retire (index, removed);
   EXPECT_EQ (settings_index_hash (index), before);
-  EXPECT_FALSE (settings_index_update (index, gone, 5));
+  EXPECT_FALSE (settings_index_update (index, removed, 5));
   settings_version listed[4];
-  EXPECT_GE (settings_index_list (index, settings_bucket (gone), listed, 4),
+  EXPECT_GE (settings_index_list (index, settings_bucket (removed), listed, 4),
              1u);
   settings_index_drop (index, other);
   EXPECT_EQ (settings_index_count (index), 2u);
-  settings_index_drop (index, gone);
+  settings_index_drop (index, removed);
   EXPECT_EQ (settings_index_count (index), 1u);
   EXPECT_EQ (settings_index_hash (index), before);
-  EXPECT_TRUE (settings_index_update (index, gone, 5));
+  EXPECT_TRUE (settings_index_update (index, removed, 5));
   EXPECT_EQ (settings_index_hash (index), with_record);
-  settings_index_retire (index, gone);
-  EXPECT_TRUE (settings_index_update (index, gone, 12));
+  settings_index_retire (index, removed);
+  EXPECT_TRUE (settings_index_update (index, removed, 12));
   EXPECT_NE (settings_index_hash (index), before);
   settings_index_destroy (index);
 }
--- a/policy/fleet/tests/subset_test.cc
+++ b/policy/fleet/tests/subset_test.cc
@@ -17,7 +17,7 @@
 constexpr uint64_t TARGETS = 990;
 
 std::vector<fleet_host>
-set_of_hosts ()
+make_host_set ()
 {
   std::vector<fleet_host> hosts;
   for (uint64_t i = 0; i < DCS * PER_DC; i++)
@@ -33,26 +33,26 @@
       .key;
 }
 
-TEST (Subset, TargetsBelongToHostsOfTheirDataCentreInLikeNumber)
+TEST (Subset, TargetsAreDividedEvenlyWithinTheirDataCentre)
 {
-  const auto hosts = set_of_hosts ();
-  std::vector<uint64_t> held (hosts.size ());
+  const auto hosts = make_host_set ();
+  std::vector<uint64_t> owned (hosts.size ());
   for (uint64_t t = 0; t < TARGETS; t++)
     {
       const size_t i = subset_owner (hash_pair (2, t), t % DCS, hosts.data (),
                                      hosts.size ());
       EXPECT_EQ (hosts[i].dc, t % DCS);
-      held[i]++;
+      owned[i]++;
     }
-  for (uint64_t count : held)
+  for (uint64_t count : owned)
     EXPECT_NEAR ((double)count, (double)TARGETS / hosts.size (), 25);
 }
 
-/* A host of the set is killed.  If the others' targets moved as well, each
- * would begin anew with targets of which it knows nothing. */
-TEST (Subset, ALostHostMovesOnlyItsOwnTargets)
+/* Guards against moving the targets of other hosts when a host of the set
+   fails: each would have to learn the state of its new targets again. */
+TEST (Subset, RemovedHostMovesOnlyItsOwnTargets)
 {
-  const auto before = set_of_hosts ();
+  const auto before = make_host_set ();
   auto after = before;
   after.erase (after.begin () + 4);
   for (uint64_t t = 0; t < TARGETS; t++)
@@ -63,9 +63,9 @@
     }
 }
 
-TEST (Subset, WithoutAHostInItsDataCentreATargetBelongsToAnotherOne)
+TEST (Subset, TargetWithoutHostInItsDataCentreHasAnOwner)
 {
-  auto hosts = set_of_hosts ();
+  auto hosts = make_host_set ();
   const auto is_lost = [] (const fleet_host &host) { return host.dc == 2; };
   hosts.erase (std::remove_if (hosts.begin (), hosts.end (), is_lost),
                hosts.end ());
