--- a/policy/choice/attempt_rules.h
+++ b/policy/choice/attempt_rules.h
@@ -20,7 +20,7 @@
 
 enum attempt_stage attempt_stage_of (enum attempt_end end);
 
-/** May the caller be told that the request was not run? */
+/** May the request be reported to the caller as not run? */
 bool attempt_may_report_not_run (enum attempt_end end);
 
 /** May the request be sent again? */
--- a/policy/choice/chooser.c
+++ b/policy/choice/chooser.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  DEFAULT_LATENCY_US = 1000, /* latency of a target before any sample */
+  DEFAULT_LATENCY_US = 1000, /* latency of a target offset any sample */
   FAILURE_COST = 2, /* cost of a failure in latencies, for another attempt */
   FAILURE_COST_UNREPEATABLE = 24,
 };
@@ -86,11 +86,11 @@
       if (t->tier == TIER_NONE || !(c->tiers & (1u << t->tier))
           || target_state_part (t) != c->part)
         continue;
-      uint32_t before = 0;
+      uint32_t offset = 0;
       for (unsigned tier = 0; tier < (unsigned)t->tier; tier++)
         if (c->tiers & (1u << tier))
-          before += set->tiers[tier][c->part].count;
-      exclude (c, before + t->tier_index);
+          offset += set->tiers[tier][c->part].count;
+      exclude (c, offset + t->tier_index);
     }
 }
 
--- a/policy/choice/latency_histogram.h
+++ b/policy/choice/latency_histogram.h
@@ -3,8 +3,8 @@
  * successful responses: a histogram with exponentially growing buckets in
  * which older responses decay.
  *
- * It tells how unusual it is that an attempt of some age has no response yet.
- * Neither a constant nor a multiple of the mean can tell that: if responses
+ * It gives the probability that an attempt of some age has no response yet.
+ * Neither a constant nor a multiple of the mean can give that: if responses
  * take 0.5 s and rarely more than twice that, a second is a long time; for
  * another service with the same mean it isn't.
  */
--- a/policy/choice/placement.c
+++ b/policy/choice/placement.c
@@ -116,9 +116,9 @@
 {
   if (r->tried_count == 0)
     return false;
-  struct policy_request fresh = *r;
-  fresh.tried_count = 0;
-  return try_healthy (policy, &fresh, d);
+  struct policy_request untried = *r;
+  untried.tried_count = 0;
+  return try_healthy (policy, &untried, d);
 }
 
 /* Prevents sending an unrepeatable request to a target that fails, since
--- a/policy/choice/service_rate.h
+++ b/policy/choice/service_rate.h
@@ -22,7 +22,7 @@
 
 void service_rate_init (struct service_rate *rate);
 
-/** A slot was released; WAITING tells whether requests wait for one. */
+/** A slot was released; WAITING is true if requests wait for one. */
 void service_rate_note_release (struct service_rate *rate, int64_t now_us,
                                 bool waiting);
 
--- a/policy/choice/target_estimate.h
+++ b/policy/choice/target_estimate.h
@@ -65,8 +65,8 @@
 double target_estimate_p_unhealthy (const struct target_estimate *e,
                                     double odds);
 
-/** Update with the end of another host's attempt.  Its latency tells
- * nothing here. */
+/** Update with the end of another host's attempt.  Its latency has
+ * no meaning here. */
 void target_estimate_observe_remote (struct target_estimate *e,
                                      enum attempt_end end);
 
