--- a/policy/choice/tests/attempt_rules_test.cc
+++ b/policy/choice/tests/attempt_rules_test.cc
@@ -16,9 +16,9 @@
   bool not_run;
 };
 
-/* A date hold times out, is sent to another target and runs at both: two
- * holds.  Only an attempt that surely ran nothing may be tried again. */
-TEST (attempt_rules, each_end_allows_what_is_written_here)
+/* An unrepeatable request times out, is sent to another target and runs at
+   both.  It may only be retried if the first attempt certainly ran nothing. */
+TEST (attempt_rules, retry_rules_of_each_end)
 {
   const rule rules[] = {
     { ATTEMPT_ANSWERED, false, false, false },
--- a/policy/choice/tests/chooser_test.cc
+++ b/policy/choice/tests/chooser_test.cc
@@ -51,7 +51,7 @@
   }
 };
 
-TEST_F (chooser_test, equals_share_evenly)
+TEST_F (chooser_test, equal_targets_share_evenly)
 {
   start (10);
   choose (100000);
@@ -59,7 +59,7 @@
     EXPECT_NEAR (n, 10000, 500);
 }
 
-TEST_F (chooser_test, the_cheaper_gets_more_but_the_other_is_not_starved)
+TEST_F (chooser_test, cheaper_target_gets_more_without_starving_the_other)
 {
   start (2);
   set.targets[0].estimate.latency_us = 12500;
@@ -68,7 +68,7 @@
   EXPECT_GT (got[1], 2 * got[0]);
 }
 
-TEST_F (chooser_test, one_twice_as_dear_is_not_chosen)
+TEST_F (chooser_test, target_of_twice_the_cost_is_not_chosen)
 {
   start (3);
   set.targets[0].in_flight = 10;
@@ -76,7 +76,7 @@
   EXPECT_EQ (got[0], 0);
 }
 
-TEST_F (chooser_test, what_was_tried_is_left_out_and_the_rest_share)
+TEST_F (chooser_test, tried_targets_are_excluded_and_the_others_share)
 {
   start (5);
   choose (30000, { 4, 1, 4 });
@@ -85,9 +85,10 @@
     EXPECT_NEAR (got[i], 10000, 500);
 }
 
-/* Bytes between data centres are paid for.  The way takes 1.5 ms of half a
-   second, so by time alone two thirds of all requests cross over. */
-TEST_F (chooser_test, targets_near_by_go_first_unless_they_are_worse)
+/* Traffic between data centres costs money.  The network path takes 1.5 ms
+   of half a second, so by latency alone two thirds of all requests would
+   use the other dc. */
+TEST_F (chooser_test, subset_targets_are_preferred_unless_worse)
 {
   start (3);
   set.backup_cost_percent = 50;
@@ -105,8 +106,8 @@
   EXPECT_EQ (got[0], 1000);
 }
 
-/* One target in thirty belongs to this host: among sixteen random ones of all
-   there would often be none of it. */
+/* One target in thirty belongs to this host's subset: sixteen random ones
+   of all targets would often include none of it. */
 TEST_F (chooser_test, a_small_subset_is_found_among_many_targets)
 {
   start (300);
@@ -120,7 +121,7 @@
   for (uint32_t i = 0; i < 300; i += 30)
     own += got[i];
   EXPECT_EQ (own, 1000);
-  /* All of the subset fail: any other is better. */
+  /* All targets of the subset fail, so any other is better. */
   for (uint32_t i = 0; i < 300; i += 30)
     set.targets[i].failure_rate = 0.75;
   got.assign (300, 0);
@@ -129,7 +130,7 @@
     EXPECT_EQ (got[i], 0);
 }
 
-TEST_F (chooser_test, each_part_of_the_cost_counts)
+TEST_F (chooser_test, all_cost_components_count)
 {
   start (2);
   const target_state *t = &set.targets[0];
--- a/policy/choice/tests/latency_histogram_test.cc
+++ b/policy/choice/tests/latency_histogram_test.cc
@@ -1,4 +1,4 @@
-/* How long answers take, against a plain list of them. */
+/* The response time distribution, compared with a plain list of samples. */
 #include <algorithm>
 #include <cmath>
 #include <vector>
@@ -13,9 +13,9 @@
 
 namespace
 {
-/* Log-normal, as the work of most services. */
+/* Log-normal, like the response times of most services. */
 int64_t
-some_time (rng *random, double median_us, double spread)
+log_normal_us (rng *random, double median_us, double spread)
 {
   const double u = std::max (rng_unit (random), 1e-12);
   const double v = rng_unit (random);
@@ -23,31 +23,31 @@
   return (int64_t)(median_us * std::exp (spread * normal));
 }
 
-TEST (AnswerTimes, NothingMeansAnythingAtFirst)
+TEST (LatencyHistogram, IsNotReadyAtFirst)
 {
-  latency_histogram times;
-  latency_histogram_init (&times);
-  EXPECT_FALSE (latency_histogram_has_enough (&times));
-  EXPECT_EQ (latency_histogram_survival (&times, 60000000), 1);
+  latency_histogram histogram;
+  latency_histogram_init (&histogram);
+  EXPECT_FALSE (latency_histogram_has_enough (&histogram));
+  EXPECT_EQ (latency_histogram_survival (&histogram, 60000000), 1);
   for (int i = 0; i < 5; i++)
-    latency_histogram_add (&times, 1000);
-  EXPECT_EQ (latency_histogram_survival (&times, 60000000), 1);
+    latency_histogram_add (&histogram, 1000);
+  EXPECT_EQ (latency_histogram_survival (&histogram, 60000000), 1);
 }
 
-TEST (AnswerTimes, AgreesWithAList)
+TEST (LatencyHistogram, MatchesAList)
 {
   for (const double median_us : { 5000.0, 550000.0, 1200000.0 })
     for (const double spread : { 0.1, 0.3, 0.5 })
       {
         rng random;
         rng_seed (&random, 5);
-        latency_histogram times;
-        latency_histogram_init (&times);
+        latency_histogram histogram;
+        latency_histogram_init (&histogram);
         std::vector<int64_t> list;
         for (int i = 0; i < 3000; i++)
           {
-            const int64_t us = some_time (&random, median_us, spread);
-            latency_histogram_add (&times, us);
+            const int64_t us = log_normal_us (&random, median_us, spread);
+            latency_histogram_add (&histogram, us);
             list.push_back (us);
           }
         std::sort (list.begin (), list.end ());
@@ -55,38 +55,39 @@
           {
             const int64_t at
                 = list[(size_t)((double)list.size () * (1 - share))];
-            EXPECT_NEAR (latency_histogram_survival (&times, at), share, 0.06)
+            EXPECT_NEAR (latency_histogram_survival (&histogram, at), share,
+                         0.06)
                 << median_us << " " << spread;
           }
       }
 }
 
-/* A release makes a service five times as slow.  What was learned of it
-   before must not make all its answers look overdue for long. */
-TEST (AnswerTimes, FollowsAServiceThatBecomesSlow)
+/* A new release makes a service five times as slow.  The samples from
+   before must not make all its responses look overdue for long. */
+TEST (LatencyHistogram, AdaptsToAServiceThatBecomesSlow)
 {
   rng random;
   rng_seed (&random, 6);
-  latency_histogram times;
-  latency_histogram_init (&times);
+  latency_histogram histogram;
+  latency_histogram_init (&histogram);
   for (int i = 0; i < 3000; i++)
-    latency_histogram_add (&times, some_time (&random, 100000, 0.3));
-  EXPECT_LE (latency_histogram_survival (&times, 500000), 0.02);
+    latency_histogram_add (&histogram, log_normal_us (&random, 100000, 0.3));
+  EXPECT_LE (latency_histogram_survival (&histogram, 500000), 0.02);
   for (int i = 0; i < 300; i++)
-    latency_histogram_add (&times, some_time (&random, 500000, 0.3));
-  EXPECT_GE (latency_histogram_survival (&times, 500000), 0.25);
+    latency_histogram_add (&histogram, log_normal_us (&random, 500000, 0.3));
+  EXPECT_GE (latency_histogram_survival (&histogram, 500000), 0.25);
 }
 
-TEST (AnswerTimes, NeverSaysThatNoAnswerCanCome)
+TEST (LatencyHistogram, SurvivalIsNeverZero)
 {
-  latency_histogram times;
-  latency_histogram_init (&times);
+  latency_histogram histogram;
+  latency_histogram_init (&histogram);
   for (int i = 0; i < 100000; i++)
-    latency_histogram_add (&times, 1000 + i % 7);
-  EXPECT_GE (latency_histogram_survival (&times, INT64_MAX), 0.01);
-  EXPECT_EQ (latency_histogram_survival (&times, 0), 1);
-  EXPECT_EQ (latency_histogram_survival (&times, -5), 1);
-  latency_histogram_add (&times, INT64_MAX);
-  latency_histogram_add (&times, -1);
+    latency_histogram_add (&histogram, 1000 + i % 7);
+  EXPECT_GE (latency_histogram_survival (&histogram, INT64_MAX), 0.01);
+  EXPECT_EQ (latency_histogram_survival (&histogram, 0), 1);
+  EXPECT_EQ (latency_histogram_survival (&histogram, -5), 1);
+  latency_histogram_add (&histogram, INT64_MAX);
+  latency_histogram_add (&histogram, -1);
 }
 } // namespace
--- a/policy/choice/tests/open_attempts_test.cc
+++ b/policy/choice/tests/open_attempts_test.cc
@@ -1,4 +1,4 @@
-/* What attempts without an answer say of their target. */
+/* What attempts without a response imply about their target. */
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -12,71 +12,73 @@
 
 namespace
 {
-/* Answers take 400 to 800 ms. */
+/* Responses take 400 to 800 ms. */
 latency_histogram
-usual ()
+usual_latencies ()
 {
-  latency_histogram times;
-  latency_histogram_init (&times);
+  latency_histogram latencies;
+  latency_histogram_init (&latencies);
   for (int i = 0; i < 400; i++)
-    latency_histogram_add (&times, 400000 + (i * 37 % 400) * 1000);
-  return times;
+    latency_histogram_add (&latencies, 400000 + (i * 37 % 400) * 1000);
+  return latencies;
 }
 
 double
-odds (const open_attempts &open, const latency_histogram &times,
-      int64_t now_us, double hung = 0.8, double slower = 1)
+odds (const open_attempts &open, const latency_histogram &latencies,
+      int64_t now_us, double hang_share = 0.8, double slowdown = 1)
 {
-  const open_attempts_context evidence = { &times, hung, slower, 6000000 };
-  return open_attempts_odds_factor (&open, &evidence, now_us);
+  const open_attempts_context context
+      = { &latencies, hang_share, slowdown, 6000000 };
+  return open_attempts_odds_factor (&open, &context, now_us);
 }
 
-TEST (OpenAttempts, SayNothingWhileAnswersMayCome)
+TEST (OpenAttempts, AreNeutralWithinUsualResponseTimes)
 {
-  const latency_histogram times = usual ();
+  const latency_histogram latencies = usual_latencies ();
   open_attempts open = {};
-  EXPECT_EQ (odds (open, times, 5000000), 1);
+  EXPECT_EQ (odds (open, latencies, 5000000), 1);
   open_attempts_add (&open, 0);
-  EXPECT_EQ (odds (open, times, 0), 1);
-  EXPECT_EQ (odds (open, times, 300000), 1);
-  EXPECT_GT (odds (open, times, 750000), 2);
-  EXPECT_GT (odds (open, times, 1000000), 10);
+  EXPECT_EQ (odds (open, latencies, 0), 1);
+  EXPECT_EQ (odds (open, latencies, 300000), 1);
+  EXPECT_GT (odds (open, latencies, 750000), 2);
+  EXPECT_GT (odds (open, latencies, 1000000), 10);
 }
 
-TEST (OpenAttempts, SeveralSayMoreThanOneAndAllAreForgottenInTime)
+TEST (OpenAttempts, SeveralWeighMoreThanOneAndAllDecay)
 {
-  const latency_histogram times = usual ();
+  const latency_histogram latencies = usual_latencies ();
   open_attempts one = {};
   open_attempts_add (&one, 0);
   open_attempts two = one;
   open_attempts_add (&two, 10000);
-  EXPECT_GT (odds (two, times, 900000), 2 * odds (one, times, 900000));
-  EXPECT_LT (odds (one, times, 30000000), 1.1);
+  EXPECT_GT (odds (two, latencies, 900000), 2 * odds (one, latencies, 900000));
+  EXPECT_LT (odds (one, latencies, 30000000), 1.1);
 }
 
-/* All targets answer five times as slowly as a moment ago: they aren't ill. */
-TEST (OpenAttempts, OfATargetKnownToBeSlowSayLess)
+/* All targets respond five times as slowly as before, but aren't unhealthy. */
+TEST (OpenAttempts, OfASlowTargetWeighLess)
 {
-  const latency_histogram times = usual ();
+  const latency_histogram latencies = usual_latencies ();
   open_attempts open = {};
   open_attempts_add (&open, 0);
-  EXPECT_EQ (odds (open, times, 1500000, 0.8, 5), 1);
+  EXPECT_EQ (odds (open, latencies, 1500000, 0.8, 5), 1);
 }
 
-/* Failures at once don't make an attempt that takes longer suspicious. */
-TEST (OpenAttempts, SayLittleWhereNothingHangs)
+/* If failures come immediately, an attempt that takes longer is no
+   evidence of a hang. */
+TEST (OpenAttempts, AreNeutralWhereNothingHangs)
 {
-  const latency_histogram times = usual ();
+  const latency_histogram latencies = usual_latencies ();
   open_attempts open = {};
   open_attempts_add (&open, 0);
-  EXPECT_EQ (odds (open, times, 1000000, 0), 1);
+  EXPECT_EQ (odds (open, latencies, 1000000, 0), 1);
 }
 
-TEST (OpenAttempts, WhatEndsIsTakenOutByItsBeginning)
+TEST (OpenAttempts, EndedAttemptIsRemovedByItsStart)
 {
   open_attempts open = {};
-  for (int64_t begun_us : { 100000, 200000, 300000 })
-    open_attempts_add (&open, begun_us);
+  for (int64_t started_us : { 100000, 200000, 300000 })
+    open_attempts_add (&open, started_us);
   open_attempts_remove (&open, 203000);
   ASSERT_EQ (open.count, 2u);
   EXPECT_EQ (open.started_us[0], 100000);
@@ -87,9 +89,9 @@
   EXPECT_EQ (open.count, 0u);
 }
 
-/* One that wasn't kept, since there are so many, ends: the oldest ones, which
-   hang, must not leave in its place. */
-TEST (OpenAttempts, OneThatWasNotKeptTakesNoOtherOut)
+/* An attempt ends that wasn't recorded because there were too many.  It
+   must not remove one of the oldest, which hang. */
+TEST (OpenAttempts, UnrecordedAttemptRemovesNoOther)
 {
   open_attempts open = {};
   for (int64_t i = 0; i < OPEN_ATTEMPTS_MAX + 2; i++)
@@ -101,14 +103,15 @@
   EXPECT_EQ (open.count, OPEN_ATTEMPTS_MAX - 1u);
 }
 
-/* Sixteen targets, of which a third is ill at a time, for about three seconds,
- * and then answers nothing; fifty requests a second that may run once and wait
- * four seconds.  Learned from only when their time is over, a target that
- * hangs is sent requests until its slots are full: 23 in 100 of all. */
-class Spells
+/* Sixteen targets.  At any time a third of them is unhealthy, for about
+   three seconds, and sends no responses.  Fifty unrepeatable requests a
+   second wait four seconds each.  If the policy learned only from timeouts,
+   a hanging target would get requests until its slots are full: 23 of 100
+   of all. */
+class EpisodeSimulation
 {
 public:
-  explicit Spells (uint64_t seed)
+  explicit EpisodeSimulation (uint64_t seed)
   {
     rng_seed (&random, seed);
     const service_policy_options options
@@ -118,14 +121,14 @@
     for (uint32_t i = 0; i < TARGETS; i++)
       targets.push_back ({ i + 1, 6, 0, false, true, -1 });
     service_policy_set_targets (policy, 0, targets.data (), TARGETS);
-    ill_until.assign (TARGETS, 0);
-    turn_at.assign (TARGETS, 0);
+    unhealthy_until.assign (TARGETS, 0);
+    next_episode.assign (TARGETS, 0);
     for (uint32_t i = 0; i < TARGETS; i++)
-      turn_at[i] = (int64_t)rng_below (&random, 9000000);
+      next_episode[i] = (int64_t)rng_below (&random, 9000000);
   }
-  Spells (const Spells &) = delete;
-  Spells &operator= (const Spells &) = delete;
-  ~Spells ()
+  EpisodeSimulation (const EpisodeSimulation &) = delete;
+  EpisodeSimulation &operator= (const EpisodeSimulation &) = delete;
+  ~EpisodeSimulation ()
   {
     service_policy_destroy (policy);
   }
@@ -135,9 +138,9 @@
   {
     for (; now < until_us; now += 20000)
       {
-        turn ();
+        update_health ();
         finish ();
-        ask ();
+        send ();
       }
   }
 
@@ -146,7 +149,7 @@
 
 private:
   static constexpr uint32_t TARGETS = 16;
-  static constexpr int64_t WAITS_US = 4000000;
+  static constexpr int64_t TIMEOUT_US = 4000000;
   struct attempt
   {
     uint32_t target;
@@ -155,14 +158,15 @@
   };
 
   void
-  turn ()
+  update_health ()
   {
     for (uint32_t i = 0; i < TARGETS; i++)
-      if (now >= turn_at[i])
+      if (now >= next_episode[i])
         {
-          ill_until[i] = now + 2000000 + (int64_t)rng_below (&random, 2000000);
-          turn_at[i]
-              = ill_until[i] + 4000000 + (int64_t)rng_below (&random, 4000000);
+          unhealthy_until[i]
+              = now + 2000000 + (int64_t)rng_below (&random, 2000000);
+          next_episode[i] = unhealthy_until[i] + 4000000
+                            + (int64_t)rng_below (&random, 4000000);
         }
   }
   void
@@ -182,11 +186,11 @@
         }
   }
   void
-  ask ()
+  send ()
   {
     policy_request r = {};
-    r.id = ++ids;
-    r.deadline_us = now + WAITS_US;
+    r.id = ++next_id;
+    r.deadline_us = now + TIMEOUT_US;
     r.attempt = 1;
     const policy_decision d = service_policy_admit (policy, now, &r);
     if (d.verdict != POLICY_SEND)
@@ -194,10 +198,10 @@
         service_policy_cancel_queued (policy, r.id);
         return;
       }
-    const bool hangs = now < ill_until[d.target];
-    const int64_t takes
-        = hangs ? WAITS_US : 300000 + (int64_t)rng_below (&random, 400000);
-    open.push_back ({ d.target, now, now + takes, hangs });
+    const bool hangs = now < unhealthy_until[d.target];
+    const int64_t duration
+        = hangs ? TIMEOUT_US : 300000 + (int64_t)rng_below (&random, 400000);
+    open.push_back ({ d.target, now, now + duration, hangs });
     sent++;
     hung += hangs;
   }
@@ -205,21 +209,21 @@
   service_policy *policy;
   rng random;
   int64_t now = 0;
-  uint64_t ids = 0;
-  std::vector<int64_t> ill_until, turn_at;
+  uint64_t next_id = 0;
+  std::vector<int64_t> unhealthy_until, next_episode;
   std::vector<attempt> open;
 };
 
-TEST (OpenAttempts, FewRequestsAreSentToATargetThatHangs)
+TEST (OpenAttempts, FewRequestsAreSentToAHangingTarget)
 {
   int sent = 0;
   int hung = 0;
   for (uint64_t seed = 1; seed <= 5; seed++)
     {
-      Spells spells (seed);
-      spells.run (60000000);
-      sent += spells.sent;
-      hung += spells.hung;
+      EpisodeSimulation simulation (seed);
+      simulation.run (60000000);
+      sent += simulation.sent;
+      hung += simulation.hung;
     }
   RecordProperty ("hung_permille", hung * 1000 / sent);
   EXPECT_GT (sent, 12000);
--- a/policy/choice/tests/path_fault_test.cc
+++ b/policy/choice/tests/path_fault_test.cc
@@ -11,7 +11,7 @@
 {
 constexpr int64_t step_us = 1000;
 
-class avoided_test : public ::testing::Test
+class path_fault_test : public ::testing::Test
 {
 protected:
   service_policy *policy = nullptr;
@@ -35,7 +35,7 @@
     service_policy_destroy (policy);
   }
   policy_decision
-  ask (bool repeatable, int64_t left_us = 1000000)
+  admit (bool repeatable, int64_t left_us = 1000000)
   {
     policy_request r = {};
     r.id = next_id++;
@@ -44,7 +44,8 @@
     r.attempt = 1;
     return service_policy_admit (policy, now, &r);
   }
-  // One request after another, all answered; how many target 0 got.
+  // Sends one request after another, all answered; returns how many target 0
+  // got.
   int
   traffic (int count, bool repeatable)
   {
@@ -52,7 +53,7 @@
     for (int i = 0; i < count; i++)
       {
         now += step_us;
-        const policy_decision d = ask (repeatable);
+        const policy_decision d = admit (repeatable);
         EXPECT_EQ (d.verdict, POLICY_SEND);
         got += d.target == 0;
         const policy_outcome o = { d.target, ATTEMPT_ANSWERED, 900, true };
@@ -62,9 +63,10 @@
   }
 };
 
-// Each host of a dc would find out alone, by its callers' errors, what the
-// first of them has told the owner.
-TEST_F (avoided_test, a_target_behind_a_bad_path_gets_a_trickle)
+// Without the report, each host of a dc would find the fault only through
+// errors that its callers see, though the first one has reported it to the
+// owner.
+TEST_F (path_fault_test, target_behind_a_faulty_path_gets_probes_only)
 {
   start (4);
   EXPECT_GT (traffic (400, true), 50);
@@ -78,8 +80,9 @@
   EXPECT_GT (traffic (400, true), 50);
 }
 
-// A dc that sees most targets fail is itself at fault: it must not stop.
-TEST_F (avoided_test, when_most_are_behind_bad_paths_all_serve)
+// If a dc sees most targets fail, the fault is its own; it must keep
+// serving.
+TEST_F (path_fault_test, all_serve_when_most_paths_are_faulty)
 {
   start (4);
   for (uint32_t t = 0; t < 3; t++)
@@ -87,19 +90,19 @@
   EXPECT_GT (traffic (400, true), 50);
 }
 
-// A payment would go into the bad path: all others are full, and its deadline
-// is near.
-TEST_F (avoided_test, unrepeatable_work_never_goes_there)
+// All other targets are full and the deadline is near, so an unrepeatable
+// request would be sent over the faulty path.
+TEST_F (path_fault_test, unrepeatable_requests_avoid_the_faulty_path)
 {
   start (2);
   traffic (50, true);
   service_policy_set_avoided (policy, now, 0, true);
   for (int i = 0; i < 2; i++)
-    ASSERT_EQ (ask (false).target, 1u);
+    ASSERT_EQ (admit (false).target, 1u);
   int refused = 0;
   for (int i = 0; i < 40; i++)
     {
-      const policy_decision d = ask (false, 4000);
+      const policy_decision d = admit (false, 4000);
       EXPECT_NE (d.verdict, POLICY_SEND);
       refused += d.reason == POLICY_REASON_TOO_LATE;
     }
--- a/policy/choice/tests/reference_checker.h
+++ b/policy/choice/tests/reference_checker.h
@@ -1,108 +1,113 @@
 /** @file
- * Whether a decision of the service's policy was allowed, by the naive
- * version.  An empty string means yes, else it says what was wrong.
+ * Checks by the reference model whether a decision of the service's policy
+ * was allowed.  An empty string means that it was; otherwise the string
+ * describes the error.
  */
 #ifndef POLICY_CHOICE_TESTS_REFERENCE_CHECKER_H
 #define POLICY_CHOICE_TESTS_REFERENCE_CHECKER_H
 
 #include "policy/choice/tests/reference_model.h"
 
-struct naive_judge : naive_choice
+struct reference_checker : reference_model
 {
   std::string
-  sent (const policy_request &r, const policy_decision &d,
-        const std::vector<uint32_t> &allowed, bool only)
+  check_sent (const policy_request &r, const policy_decision &d,
+              const std::vector<uint32_t> &allowed, bool only)
   {
     if (d.verdict != POLICY_SEND)
-      return "not sent though a slot was free";
+      return "not sent although a slot was free";
     if (std::count (allowed.begin (), allowed.end (), d.target) == 0)
-      return "sent to a target that was not allowed";
+      return "sent to a target that wasn't allowed";
     if ((d.reason == POLICY_REASON_ONLY_CHOICE) != only)
-      return "wrong reason to send";
+      return "wrong reason for sending";
     targets[d.target].in_flight++;
     if (targets[d.target].open.size () < 8)
       targets[d.target].open.push_back (now);
-    targets[d.target].placed = now;
-    targets[d.target].used = now;
+    targets[d.target].tiered = now;
+    targets[d.target].last_used = now;
     return "";
   }
   std::string
-  refused (const policy_decision &d, policy_reason reason)
+  check_refused (const policy_decision &d, policy_reason reason)
   {
     if (d.verdict != POLICY_REFUSE || d.reason != reason)
       return std::string ("should be refused: ") + policy_reason_name (reason);
     if (reason == POLICY_REASON_NO_TARGET)
-      return d.retry_after_ms == 0 ? "" : "a time to come back from nothing";
+      return d.retry_after_ms == 0 ? "" : "retry delay without targets";
     const double ms = std::clamp (std::ceil (wait () / 1000), 1.0, 60000.0);
-    return d.retry_after_ms == (uint32_t)ms ? "" : "wrong time to come back";
+    return d.retry_after_ms == (uint32_t)ms ? "" : "wrong retry delay";
   }
 
-  /* Tries the tiers in their order; TAKEN says that one of them took it. */
+  /* Checks the tiers in their order; TAKEN is set if one of them was used. */
   std::string
-  good (const policy_request &r, const policy_decision &d, bool again,
-        bool &taken)
+  check_healthy (const policy_request &r, const policy_decision &d,
+                 bool reuse_tried, bool &taken)
   {
-    for (tier of : { CLEAR, WARMING })
+    for (tier of : { HEALTHY, WARMING })
       {
-        const auto found = candidates (of, r, again);
+        const auto found = candidates (of, r, reuse_tried);
         taken = !found.empty ();
         if (taken)
-          return sent (r, d, winners (found, r), found.size () == 1);
+          return check_sent (r, d, best_targets (found, r),
+                             found.size () == 1);
       }
     return "";
   }
   std::string
-  suspect (const policy_request &r, const policy_decision &d, bool fit,
-           double w, bool &taken)
+  check_suspect (const policy_request &r, const policy_decision &d,
+                 bool fits_deadline, double w, bool &taken)
   {
     const auto found = candidates (SUSPECT, r);
     std::vector<uint32_t> allowed;
-    const auto possible = winners (found, r);
+    const auto possible = best_targets (found, r);
     for (uint32_t i : possible)
-      if (worth (r, i, fit, w))
+      if (is_acceptable (r, i, fits_deadline, w))
         allowed.push_back (i);
-    const bool must = !allowed.empty () && allowed.size () == possible.size ();
-    const bool did
+    const bool must_send
+        = !allowed.empty () && allowed.size () == possible.size ();
+    const bool was_sent
         = d.verdict == POLICY_SEND
           && std::count (found.begin (), found.end (), d.target) > 0;
-    taken = must || (!allowed.empty () && did);
-    return taken ? sent (r, d, allowed, found.size () == 1) : "";
+    taken = must_send || (!allowed.empty () && was_sent);
+    return taken ? check_sent (r, d, allowed, found.size () == 1) : "";
   }
 
   bool
-  trickled (const policy_request &r, const policy_decision &d,
-            std::string &wrong)
+  check_probe (const policy_request &r, const policy_decision &d,
+               std::string &wrong)
   {
-    const uint32_t untested = (avoids () ? suspects () : 0) + neglected;
-    if (!r.repeatable || r.attempt > 1 || untested == 0)
+    const uint32_t probe_count = (avoids () ? suspects () : 0) + idle_count;
+    if (!r.repeatable || r.attempt > 1 || probe_count == 0)
       {
         if (d.reason == POLICY_REASON_TRICKLE)
-          wrong = "trickle where there is none";
+          wrong = "probe without a suspect or idle target";
         return false;
       }
-    trickle = std::min (trickle + (double)untested / eligible () / 20, 2.0);
+    probe_tokens = std::min (
+        probe_tokens + (double)probe_count / eligible () / 20, 2.0);
     const auto found = candidates (SUSPECT, r, true);
-    if (trickle < 1 || found.size () + neglected == 0)
+    if (probe_tokens < 1 || found.size () + idle_count == 0)
       {
         if (d.reason == POLICY_REASON_TRICKLE)
-          wrong = "more than a trickle";
+          wrong = "probe exceeds the probe budget";
         return false;
       }
-    std::vector<uint32_t> idle;
+    std::vector<uint32_t> idle_suspects;
     for (uint32_t i : found)
       if (targets[i].in_flight == 0)
-        idle.push_back (i);
-    const bool all_idle = idle.size () == found.size ();
-    const auto unused = neglected_now ();
-    idle.insert (idle.end (), unused.begin (), unused.end ());
+        idle_suspects.push_back (i);
+    const bool all_idle = idle_suspects.size () == found.size ();
+    const auto idle_others = idle_targets ();
+    idle_suspects.insert (idle_suspects.end (), idle_others.begin (),
+                          idle_others.end ());
     if (d.reason != POLICY_REASON_TRICKLE)
       {
-        if (all_idle && unused.size () >= neglected)
-          wrong = "chance withheld";
+        if (all_idle && idle_others.size () >= idle_count)
+          wrong = "probe not sent";
         return false;
       }
-    trickle -= 1;
-    wrong = sent (r, d, idle, false);
+    probe_tokens -= 1;
+    wrong = check_sent (r, d, idle_suspects, false);
     return true;
   }
 
@@ -114,41 +119,41 @@
       budget_events.push_back (
           { now, options.retries.percent / 100.0, options.retries });
     if (d.request_id != r.id)
-      return "another request's decision";
+      return "decision for another request";
     if (eligible () == 0)
-      return refused (d, POLICY_REASON_NO_TARGET);
+      return check_refused (d, POLICY_REASON_NO_TARGET);
     if (r.deadline_us <= now)
-      return refused (d, POLICY_REASON_TOO_LATE);
-    const uint32_t asked = r.attempt - 1 - r.unsent;
-    if (r.attempt > 1 && (asked >= options.attempts || r.unsent > 3))
-      return refused (d, POLICY_REASON_ATTEMPTS);
-    if (asked > 0 && !r.after_unsent)
+      return check_refused (d, POLICY_REASON_TOO_LATE);
+    const uint32_t attempts_sent = r.attempt - 1 - r.unsent;
+    if (r.attempt > 1 && (attempts_sent >= options.attempts || r.unsent > 3))
+      return check_refused (d, POLICY_REASON_ATTEMPTS);
+    if (attempts_sent > 0 && !r.after_unsent)
       {
         if (!may_retry ())
-          return refused (d, POLICY_REASON_RETRY_BUDGET);
+          return check_refused (d, POLICY_REASON_RETRY_BUDGET);
         budget_events.push_back ({ now, -1, options.retries });
       }
     std::string wrong;
-    if (trickled (r, d, wrong) || !wrong.empty ())
+    if (check_probe (r, d, wrong) || !wrong.empty ())
       return wrong;
     const bool first = queue.empty ();
     bool taken = false;
-    if (first && (wrong = good (r, d, false, taken), taken))
+    if (first && (wrong = check_healthy (r, d, false, taken), taken))
       return wrong;
-    const bool fit = fits (r);
-    if (wrong = suspect (r, d, fit, wait (), taken); taken)
+    const bool fits_deadline = fits (r);
+    if (wrong = check_suspect (r, d, fits_deadline, wait (), taken); taken)
       return wrong;
-    if (first && r.tried_count > 0 && (!fit || all_tried (r)))
-      if (wrong = good (r, d, true, taken); taken)
+    if (first && r.tried_count > 0 && (!fits_deadline || all_tried (r)))
+      if (wrong = check_healthy (r, d, true, taken); taken)
         return wrong;
-    if (!room_in_queue (r))
-      return refused (d, POLICY_REASON_QUEUE_FULL);
-    if (!fit)
-      return refused (d, POLICY_REASON_TOO_LATE);
-    return queued (r, d);
+    if (!queue_has_space (r))
+      return check_refused (d, POLICY_REASON_QUEUE_FULL);
+    if (!fits_deadline)
+      return check_refused (d, POLICY_REASON_TOO_LATE);
+    return check_queued (r, d);
   }
   std::string
-  queued (const policy_request &r, const policy_decision &d)
+  check_queued (const policy_request &r, const policy_decision &d)
   {
     const bool waits
         = !r.repeatable && !candidates (SUSPECT, r, true).empty ();
@@ -156,57 +161,59 @@
         || d.reason
                != (waits ? POLICY_REASON_WAIT_FOR_GOOD
                          : POLICY_REASON_NO_FREE_SLOT))
-      return "should wait";
-    const int64_t give_up = r.deadline_us - (int64_t)kept_for_answer (r);
-    queue.push_back ({ r, give_up, now + (give_up - now) / 2 });
+      return "not queued";
+    const int64_t expires = r.deadline_us - (int64_t)reserved_for_response (r);
+    queue.push_back ({ r, expires, now + (expires - now) / 2 });
     return "";
   }
 
-  /* May W be sent now?  MUST: it has to. */
+  /* Checks whether W may be sent now; TAKEN is set if it was or must be. */
   std::string
-  entry (const naive_waiting &w, const policy_decision &d, bool &taken)
+  check_entry (const reference_waiting &w, const policy_decision &d,
+               bool &taken)
   {
-    std::string wrong = good (w.r, d, false, taken);
+    std::string wrong = check_healthy (w.r, d, false, taken);
     if (!taken)
-      wrong = suspect (w.r, d, true, mean_interval (), taken);
-    if (!taken && w.r.tried_count > 0 && (now >= w.again || all_tried (w.r)))
-      wrong = good (w.r, d, true, taken);
+      wrong = check_suspect (w.r, d, true, mean_interval (), taken);
+    if (!taken && w.r.tried_count > 0
+        && (now >= w.reuse_tried || all_tried (w.r)))
+      wrong = check_healthy (w.r, d, true, taken);
     return wrong;
   }
   std::string
-  next (bool some, const policy_decision &d)
+  next (bool has_decision, const policy_decision &d)
   {
     refresh ();
     if (queue.empty ())
-      return some ? "a decision from nothing" : "";
+      return has_decision ? "decision although the queue is empty" : "";
     int64_t first = INT64_MAX;
     for (auto &w : queue)
-      first = std::min (first, w.give_up);
+      first = std::min (first, w.expires);
     if (eligible () == 0 || first <= now)
-      return given_up (some, d, first);
-    const naive_waiting last = queue.back ();
-    if (queue.size () * mean_interval () > 2.0 * (last.give_up - now))
+      return check_expired (has_decision, d, first);
+    const reference_waiting last = queue.back ();
+    if (queue.size () * mean_interval () > 2.0 * (last.expires - now))
       {
         queue.pop_back ();
-        if (!some || d.request_id != last.r.id)
-          return "the hopeless one still waits";
-        return refused (d, POLICY_REASON_TOO_LATE);
+        if (!has_decision || d.request_id != last.r.id)
+          return "request that can't meet its deadline not refused";
+        return check_refused (d, POLICY_REASON_TOO_LATE);
       }
     const bool older = queue[0].r.repeatable;
     for (bool lane : { older, !older })
       {
-        int looked = 0;
-        for (size_t i = 0; i < queue.size () && looked < 4; i++)
+        int examined = 0;
+        for (size_t i = 0; i < queue.size () && examined < 4; i++)
           {
             if (queue[i].r.repeatable != lane)
               continue;
-            looked++;
+            examined++;
             bool taken = false;
-            /* Nobody was sent: then nobody may be sendable. */
+            /* If no request was sent, none may be sendable. */
             policy_decision seen = d;
-            if (!some || d.request_id != queue[i].r.id)
+            if (!has_decision || d.request_id != queue[i].r.id)
               seen.verdict = POLICY_QUEUE;
-            const std::string wrong = entry (queue[i], seen, taken);
+            const std::string wrong = check_entry (queue[i], seen, taken);
             if (taken)
               {
                 queue.erase (queue.begin () + i);
@@ -216,104 +223,109 @@
               break;
           }
       }
-    return some ? "sent though it had to wait" : "";
+    return has_decision ? "sent although it had to wait" : "";
   }
   std::string
-  given_up (bool some, const policy_decision &d, int64_t first)
+  check_expired (bool has_decision, const policy_decision &d, int64_t first)
   {
-    for (size_t i = 0; some && i < queue.size (); i++)
+    for (size_t i = 0; has_decision && i < queue.size (); i++)
       if (queue[i].r.id == d.request_id)
         {
-          if (queue[i].give_up != first)
-            return "given up too early";
+          if (queue[i].expires != first)
+            return "expired too early";
           const bool none = eligible () == 0;
           queue.erase (queue.begin () + i);
-          return refused (d, none ? POLICY_REASON_NO_TARGET
-                                  : POLICY_REASON_TOO_LATE);
+          return check_refused (d, none ? POLICY_REASON_NO_TARGET
+                                        : POLICY_REASON_TOO_LATE);
         }
-    return "not answered at once";
+    return "not refused immediately";
   }
 
   void
   outcome (const policy_outcome &o)
   {
-    naive_target &t = targets[o.target];
+    reference_target &t = targets[o.target];
     t.in_flight -= t.in_flight > 0;
     close (t, now - o.latency_us);
     advance (t);
     if (o.end != ATTEMPT_CANCELLED)
       {
         t.samples++;
-        t.fresh = false;
-        const double well = o.end == ATTEMPT_ANSWERED ? 0.99
-                            : o.end == ATTEMPT_SHED   ? 0.1
-                                                      : 0.01;
-        const double ill = o.end == ATTEMPT_ANSWERED ? 0.25
-                           : o.end == ATTEMPT_SHED   ? 0.25
-                                                     : 0.75;
-        set_known (t, t.known * ill / (t.known * ill + (1 - t.known) * well));
-        const bool known = t.latencies > 0 || o.end == ATTEMPT_TIMED_OUT;
-        if (o.end == ATTEMPT_ANSWERED || (known && o.latency_us > t.latency))
-          t.latency = t.latencies++ == 0
+        t.is_new = false;
+        const double p_if_healthy = o.end == ATTEMPT_ANSWERED ? 0.99
+                                    : o.end == ATTEMPT_SHED   ? 0.1
+                                                              : 0.01;
+        const double p_if_unhealthy = o.end == ATTEMPT_ANSWERED ? 0.25
+                                      : o.end == ATTEMPT_SHED   ? 0.25
+                                                                : 0.75;
+        set_p_unhealthy_ended (
+            t, t.p_unhealthy_ended * p_if_unhealthy
+                   / (t.p_unhealthy_ended * p_if_unhealthy
+                      + (1 - t.p_unhealthy_ended) * p_if_healthy));
+        const bool has_latency
+            = t.latency_samples > 0 || o.end == ATTEMPT_TIMED_OUT;
+        if (o.end == ATTEMPT_ANSWERED
+            || (has_latency && o.latency_us > t.latency))
+          t.latency = t.latency_samples++ == 0
                           ? o.latency_us
                           : t.latency + (o.latency_us - t.latency) / 16;
       }
     if (o.end == ATTEMPT_TIMED_OUT)
-      hung += 0.05 * (1 - hung);
+      hang_share += 0.05 * (1 - hang_share);
     if (o.end == ATTEMPT_CUT || o.end == ATTEMPT_FAILED)
-      hung -= 0.05 * hung;
+      hang_share -= 0.05 * hang_share;
     if (o.end == ATTEMPT_ANSWERED)
-      latency_histogram_add (&times, o.latency_us);
+      latency_histogram_add (&histogram, o.latency_us);
     outcomes++;
-    judge (t);
-    t.placed = now;
+    evaluate (t);
+    t.tiered = now;
     refresh ();
-    const double passed = now - last_end;
-    if (passed >= 5000000)
+    const double elapsed = now - last_end;
+    if (elapsed >= 5000000)
       intervals = 0;
-    if (busy && !queue.empty ())
+    if (had_waiting && !queue.empty ())
       interval
-          = intervals++ == 0 ? passed : interval + (passed - interval) / 32;
-    busy = !queue.empty ();
+          = intervals++ == 0 ? elapsed : interval + (elapsed - interval) / 32;
+    had_waiting = !queue.empty ();
     last_end = now;
   }
   void
   eject (uint32_t i, bool ejected)
   {
     if (targets[i].ejected && !ejected)
-      targets[i].warm_from = now;
-    targets[i].placed
-        = targets[i].ejected == ejected ? targets[i].placed : now;
+      targets[i].warm_up_start = now;
+    targets[i].tiered
+        = targets[i].ejected == ejected ? targets[i].tiered : now;
     targets[i].ejected = ejected;
   }
   void
   replace (const std::vector<policy_target> &configs)
   {
-    std::vector<naive_target> old = targets;
+    std::vector<reference_target> old = targets;
     if (old.empty ())
       learned = now;
     targets.clear ();
     for (auto &c : configs)
       {
-        naive_target t;
+        reference_target t;
         t.updated = now;
-        t.warm_from = old.empty () ? INT64_MIN : now;
-        t.fresh = !old.empty ();
-        set_known (t, t.fresh ? 0 : base_ill);
+        t.warm_up_start = old.empty () ? INT64_MIN : now;
+        t.is_new = !old.empty ();
+        set_p_unhealthy_ended (t, t.is_new ? 0 : base_unhealthy_share);
         for (auto &o : old)
           if (o.config.key == c.key)
             {
               t = o;
-              if (t.warmth (now) >= 1)
-                t.warm_from = INT64_MIN;
+              if (t.warm_up_factor (now) >= 1)
+                t.warm_up_start = INT64_MIN;
               if (c.accepts_work && !o.config.accepts_work)
-                t.warm_from = now;
+                t.warm_up_start = now;
             }
-        const int64_t told = t.config.warm_up_us;
-        const bool known = t.config.key != 0;
+        const int64_t declared = t.config.warm_up_us;
+        const bool existed = t.config.key != 0;
         t.config = c;
-        if (known && t.warm_from != INT64_MIN && told >= 0)
-          t.config.warm_up_us = told;
+        if (existed && t.warm_up_start != INT64_MIN && declared >= 0)
+          t.config.warm_up_us = declared;
         targets.push_back (t);
       }
     for (auto &w : queue)
@@ -322,7 +334,7 @@
     refresh ();
   }
   void
-  renumber (policy_request &r, const std::vector<naive_target> &old)
+  renumber (policy_request &r, const std::vector<reference_target> &old)
   {
     uint32_t kept = 0;
     for (uint32_t i = 0; i < r.tried_count; i++)
--- a/policy/choice/tests/reference_model.h
+++ b/policy/choice/tests/reference_model.h
@@ -1,9 +1,9 @@
 /** @file
- * The decisions of a service written as plainly as possible: every question
- * is answered by going through all targets and the whole queue.
+ * Reference model of a service's decisions, as simple as possible: each
+ * question is answered by scanning all targets and the whole queue.
  *
- * It makes no choice of its own.  It says of each decision whether it was
- * allowed, since which two targets are drawn is chance.
+ * It makes no choices itself.  It checks whether a decision was allowed, since
+ * the targets that are compared are drawn at random.
  */
 #ifndef POLICY_CHOICE_TESTS_REFERENCE_MODEL_H
 #define POLICY_CHOICE_TESTS_REFERENCE_MODEL_H
@@ -23,19 +23,20 @@
 #include "policy/service_policy.h"
 }
 
-struct naive_target
+struct reference_target
 {
   policy_target config = {};
   uint32_t in_flight = 0;
-  bool ejected = false, failing = false, slow = false, fresh = false;
-  /* ILL and FAILURE count attempts without an answer, KNOWN doesn't. */
-  double latency = 0, failure = 0, ill = 0, known = 0;
+  bool ejected = false, failing = false, slow = false, is_new = false;
+  /* P_UNHEALTHY and FAILURE_RATE include attempts without a response,
+     P_UNHEALTHY_ENDED doesn't. */
+  double latency = 0, failure_rate = 0, p_unhealthy = 0, p_unhealthy_ended = 0;
   std::vector<int64_t> open;
-  uint32_t latencies = 0, samples = 0;
+  uint32_t latency_samples = 0, samples = 0;
   int64_t updated = 0;
-  int64_t warm_from = INT64_MIN;
-  int64_t placed = 0; /* when its slow start was last looked at */
-  int64_t used = 0;
+  int64_t warm_up_start = INT64_MIN;
+  int64_t tiered = 0; /* when its tier was last determined */
+  int64_t last_used = 0;
 
   bool
   eligible () const
@@ -48,7 +49,7 @@
     return failing || slow;
   }
   bool
-  room () const
+  has_free_slot () const
   {
     return eligible () && in_flight < config.slots;
   }
@@ -58,48 +59,49 @@
     return std::max (latency - 2.0 * config.distance_us, 0.0);
   }
   double
-  warmth (int64_t now) const
+  warm_up_factor (int64_t now) const
   {
-    const int64_t told = config.warm_up_us;
-    const int64_t length = told < 0 ? 10000000 : told;
-    if (warm_from == INT64_MIN || now - warm_from >= length)
+    const int64_t declared = config.warm_up_us;
+    const int64_t duration = declared < 0 ? 10000000 : declared;
+    if (warm_up_start == INT64_MIN || now - warm_up_start >= duration)
       return 1;
-    return std::max ((double)(now - warm_from) / length, told < 0 ? 0.1 : 0.5);
+    return std::max ((double)(now - warm_up_start) / duration,
+                     declared < 0 ? 0.1 : 0.5);
   }
 };
 
-struct naive_waiting
+struct reference_waiting
 {
   policy_request r;
-  int64_t give_up, again;
+  int64_t expires, reuse_tried;
 };
 
-/* A request, a retry or a look at the retries that are left. */
-struct naive_budget_event
+/* A request, a retry or a check for remaining retries. */
+struct reference_budget_event
 {
   int64_t at;
   double change;
-  retry_limits bound;
+  retry_limits limits;
 };
 
-struct naive_choice
+struct reference_model
 {
   service_policy_options options;
-  std::vector<naive_target> targets;
-  std::vector<naive_waiting> queue;
-  double base_latency = 0, base_ill = 0.05, hung = 0.5;
-  latency_histogram times;
+  std::vector<reference_target> targets;
+  std::vector<reference_waiting> queue;
+  double base_latency = 0, base_unhealthy_share = 0.05, hang_share = 0.5;
+  latency_histogram histogram;
   int64_t refreshed = INT64_MIN / 2, learned = 0, now = 0;
   uint32_t outcomes = 0;
-  double trickle = 0;
-  uint32_t neglected = 0; /* at the refresh */
+  double probe_tokens = 0;
+  uint32_t idle_count = 0; /* as of the refresh */
   double interval = 0;
   int64_t last_end = 0;
   uint32_t intervals = 0;
-  bool busy = false;
-  std::vector<naive_budget_event> budget_events;
+  bool had_waiting = false;
+  std::vector<reference_budget_event> budget_events;
 
-  /* Standing. */
+  /* Outlier status. */
   static double
   median (std::vector<double> v)
   {
@@ -124,73 +126,79 @@
   {
     return suspects () * 2 <= eligible ();
   }
-  naive_choice ()
+  reference_model ()
   {
-    latency_histogram_init (&times);
+    latency_histogram_init (&histogram);
   }
   static double
-  bounded (double ill)
+  clamped (double p_unhealthy)
   {
-    return std::clamp (ill, 0.02, 0.999);
+    return std::clamp (p_unhealthy, 0.02, 0.999);
   }
   static void
-  set_known (naive_target &t, double ill)
+  set_p_unhealthy_ended (reference_target &t, double p_unhealthy)
   {
-    t.known = bounded (ill);
+    t.p_unhealthy_ended = clamped (p_unhealthy);
   }
-  /* Bayes' rule for each attempt that has no answer yet. */
+  /* Bayes' rule for each attempt that has no response yet. */
   void
-  weigh_open (naive_target &t) const
+  apply_open_attempts (reference_target &t) const
   {
     const double usual = base_latency + 2.0 * t.config.distance_us;
-    const double slower = usual > 0 ? std::max (t.latency / usual, 1.0) : 1.0;
+    const double slowdown
+        = usual > 0 ? std::max (t.latency / usual, 1.0) : 1.0;
     double odds = 1;
-    for (int64_t begun : t.open)
+    for (int64_t started : t.open)
       {
-        const double age = now - begun;
-        const double late
-            = latency_histogram_survival (&times, (int64_t)(age / slower));
-        const double ratio
-            = (0.75 * hung + 0.25 * late) / (0.01 * hung + 0.99 * late);
+        const double age = now - started;
+        const double p_slower = latency_histogram_survival (
+            &histogram, (int64_t)(age / slowdown));
+        const double ratio = (0.75 * hang_share + 0.25 * p_slower)
+                             / (0.01 * hang_share + 0.99 * p_slower);
         if (ratio > 1)
           odds *= std::pow (ratio, std::exp (-age / 6000000));
       }
-    t.ill = bounded (t.known * odds / (t.known * odds + 1 - t.known));
-    t.failure = t.ill * 0.75 + (1 - t.ill) * 0.01;
+    t.p_unhealthy
+        = clamped (t.p_unhealthy_ended * odds
+                   / (t.p_unhealthy_ended * odds + 1 - t.p_unhealthy_ended));
+    t.failure_rate = t.p_unhealthy * 0.75 + (1 - t.p_unhealthy) * 0.01;
   }
-  /* The one that began nearest to BEGUN; only the oldest eight are kept. */
+  /* Removes the attempt that started nearest to STARTED; only the oldest
+     eight are kept. */
   static void
-  close (naive_target &t, int64_t begun)
+  close (reference_target &t, int64_t started)
   {
-    const auto off = [&] (int64_t a) { return std::llabs (a - begun); };
+    const auto distance = [&] (int64_t a) { return std::llabs (a - started); };
     const auto at = std::min_element (
         t.open.begin (), t.open.end (),
-        [&] (int64_t a, int64_t b) { return off (a) < off (b); });
-    if (at != t.open.end () && (t.open.size () < 8 || off (*at) <= 50000))
+        [&] (int64_t a, int64_t b) { return distance (a) < distance (b); });
+    if (at != t.open.end () && (t.open.size () < 8 || distance (*at) <= 50000))
       t.open.erase (at);
   }
   void
-  advance (naive_target &t)
+  advance (reference_target &t)
   {
     if (now <= t.updated)
       return;
     const int64_t before = t.updated;
     const double kept = std::exp2 (-(double)(now - before) / 10000000);
     t.updated = now;
-    const double known = std::exp (-(double)(now - before) / 6000000);
-    const double share = t.fresh ? 0 : base_ill;
-    set_known (t, share + (t.known - share) * known);
+    const double kept_state = std::exp (-(double)(now - before) / 6000000);
+    const double share = t.is_new ? 0 : base_unhealthy_share;
+    set_p_unhealthy_ended (t,
+                           share + (t.p_unhealthy_ended - share) * kept_state);
     const double peers = base_latency + 2.0 * t.config.distance_us;
-    if (t.latencies > 0 && base_latency > 0)
+    if (t.latency_samples > 0 && base_latency > 0)
       t.latency = peers + (t.latency - peers) * kept;
   }
   void
-  judge (naive_target &t)
+  evaluate (reference_target &t)
   {
     const double enter = options.prefer_faster_detection ? 0.4 : 0.5;
-    weigh_open (t);
-    t.failing = t.ill > (t.failing ? 0.35 : enter);
-    t.slow = t.warmth (now) == 1 && t.latencies >= 4 && base_latency > 0
+    apply_open_attempts (t);
+    t.failing = t.p_unhealthy > (t.failing ? 0.35 : enter);
+    t.slow = t.warm_up_factor (now) == 1 && t.latency_samples >= 4
+             && base_latency > 0
              && t.own_latency () > (t.slow ? 2.0 : 3.0) * base_latency + 1000;
   }
   void
@@ -199,46 +207,49 @@
     if (outcomes < std::max<size_t> (32, targets.size ())
         && now - refreshed < 100000)
       return;
-    const double passed = now - learned;
+    const double elapsed = now - learned;
     learned = now;
     refreshed = now;
     outcomes = 0;
-    std::vector<double> ills, latencies;
+    std::vector<double> unhealthy, latencies;
     for (auto &t : targets)
       {
         advance (t);
         if (t.eligible () && t.samples > 0)
-          ills.push_back (t.known);
-        if (t.eligible () && t.latencies > 0)
+          unhealthy.push_back (t.p_unhealthy_ended);
+        if (t.eligible () && t.latency_samples > 0)
           latencies.push_back (t.own_latency ());
       }
-    if (!ills.empty ())
+    if (!unhealthy.empty ())
       {
         const double share
-            = std::accumulate (ills.begin (), ills.end (), 0.0) / ills.size ();
-        const double kept = std::exp (-passed / 10000000);
-        base_ill = std::clamp (share + (base_ill - share) * kept, 0.02, 0.4);
+            = std::accumulate (unhealthy.begin (), unhealthy.end (), 0.0)
+              / unhealthy.size ();
+        const double kept = std::exp (-elapsed / 10000000);
+        base_unhealthy_share = std::clamp (
+            share + (base_unhealthy_share - share) * kept, 0.02, 0.4);
       }
     base_latency = median (latencies);
     for (auto &t : targets)
       {
-        judge (t);
-        t.placed = now;
+        evaluate (t);
+        t.tiered = now;
       }
-    neglected = neglected_now ().size ();
+    idle_count = idle_targets ().size ();
   }
   std::vector<uint32_t>
-  neglected_now () const
+  idle_targets () const
   {
     std::vector<uint32_t> found;
     for (uint32_t i = 0; i < targets.size (); i++)
       {
-        const naive_target &t = targets[i];
-        const double slots = std::ceil (t.config.slots * t.warmth (t.placed));
+        const reference_target &t = targets[i];
+        const double slots
+            = std::ceil (t.config.slots * t.warm_up_factor (t.tiered));
         const bool may_be_chosen
             = t.suspect () ? !avoids () : t.in_flight < (uint32_t)slots;
-        if (t.room () && may_be_chosen && !t.config.is_backup
-            && now - t.used >= 3000000)
+        if (t.has_free_slot () && may_be_chosen && !t.config.is_backup
+            && now - t.last_used >= 3000000)
           found.push_back (i);
       }
     return found;
@@ -247,17 +258,18 @@
   /* Candidates and costs. */
   enum tier
   {
-    CLEAR,
+    HEALTHY,
     WARMING,
     SUSPECT
   };
   tier
-  tier_of (const naive_target &t) const
+  tier_of (const reference_target &t) const
   {
     if (t.suspect ())
-      return avoids () ? SUSPECT : CLEAR;
-    const double slots = std::ceil (t.config.slots * t.warmth (t.placed));
-    return t.in_flight >= (uint32_t)slots ? WARMING : CLEAR;
+      return avoids () ? SUSPECT : HEALTHY;
+    const double slots
+        = std::ceil (t.config.slots * t.warm_up_factor (t.tiered));
+    return t.in_flight >= (uint32_t)slots ? WARMING : HEALTHY;
   }
   std::vector<uint32_t>
   candidates (tier of, const policy_request &r, bool again = false) const
@@ -267,65 +279,67 @@
       {
         const bool tried
             = std::count (r.tried, r.tried + r.tried_count, i) > 0;
-        if (targets[i].room () && tier_of (targets[i]) == of
+        if (targets[i].has_free_slot () && tier_of (targets[i]) == of
             && (again || !tried))
           found.push_back (i);
       }
     return found;
   }
   double
-  latency_of (const naive_target &t) const
+  latency_of (const reference_target &t) const
   {
-    if (t.latencies > 0)
+    if (t.latency_samples > 0)
       return t.latency;
     return (base_latency > 0 ? base_latency : 1000)
            + 2.0 * t.config.distance_us;
   }
   double
-  cost (const naive_target &t, bool repeatable) const
+  cost (const reference_target &t, bool repeatable) const
   {
-    const double f = std::min (t.failure, 0.95);
+    const double failure_rate = std::min (t.failure_rate, 0.95);
     return latency_of (t)
            * (1 + (double)t.in_flight / t.config.slots
-              + f / (1 - f) * (repeatable ? 2 : 24))
+              + failure_rate / (1 - failure_rate) * (repeatable ? 2 : 24))
            * (t.config.is_backup ? 1 + options.backup_cost_percent / 100.0 : 1)
-           / t.warmth (now);
+           / t.warm_up_factor (now);
   }
-  /* One that costs more than half as much again as any other can't win:
-     with so few targets all are compared. */
+  /* All targets are compared, as there are so few.  One that costs more
+     than 1.5 times as much as another can't be chosen. */
   std::vector<uint32_t>
-  winners (const std::vector<uint32_t> &of, const policy_request &r) const
+  best_targets (const std::vector<uint32_t> &of, const policy_request &r) const
   {
     std::vector<uint32_t> found;
     for (uint32_t a : of)
       {
-        bool wins = true;
+        bool is_best = true;
         for (uint32_t b : of)
-          wins = wins
-                 && cost (targets[a], r.repeatable)
-                        <= 1.5 * cost (targets[b], r.repeatable);
-        if (wins)
+          is_best = is_best
+                    && cost (targets[a], r.repeatable)
+                           <= 1.5 * cost (targets[b], r.repeatable);
+        if (is_best)
           found.push_back (a);
       }
     return found;
   }
   double
-  answer_time (const naive_target &t) const
+  expected_response (const reference_target &t) const
   {
-    return t.failure > 0.9 ? INFINITY : latency_of (t) / (1 - t.failure);
+    return t.failure_rate > 0.9 ? INFINITY
+                                : latency_of (t) / (1 - t.failure_rate);
   }
 
-  /* Time and rate. */
+  /* Waiting time and service rate. */
   double
   mean_interval () const
   {
     const double since = now - last_end;
     if (intervals >= 8 && since < 5000000)
-      return busy ? std::max (since / 8, interval) : interval;
-    uint32_t flying = 0;
+      return had_waiting ? std::max (since / 8, interval) : interval;
+    uint32_t in_flight = 0;
     for (auto &t : targets)
-      flying += t.in_flight;
-    return (base_latency > 0 ? base_latency : 10000) / std::max (flying, 1u);
+      in_flight += t.in_flight;
+    return (base_latency > 0 ? base_latency : 10000)
+           / std::max (in_flight, 1u);
   }
   double
   wait () const
@@ -333,12 +347,12 @@
     return (queue.size () + 1) * mean_interval ();
   }
   double
-  kept_for_answer (const policy_request &r) const
+  reserved_for_response (const policy_request &r) const
   {
     return std::min (base_latency, (double)(r.deadline_us - now) / 2);
   }
   bool
-  room_in_queue (const policy_request &r) const
+  queue_has_space (const policy_request &r) const
   {
     uint64_t bytes = r.queued_bytes;
     for (auto &w : queue)
@@ -349,17 +363,17 @@
   bool
   fits (const policy_request &r) const
   {
-    return wait () <= r.deadline_us - now - kept_for_answer (r)
-           && room_in_queue (r);
+    return wait () <= r.deadline_us - now - reserved_for_response (r)
+           && queue_has_space (r);
   }
   bool
-  worth (const policy_request &r, uint32_t i, bool fit, double w) const
+  is_acceptable (const policy_request &r, uint32_t i, bool fit, double w) const
   {
-    const double left = r.deadline_us - now;
-    const double answer = answer_time (targets[i]);
+    const double remaining = r.deadline_us - now;
+    const double response = expected_response (targets[i]);
     if (!r.repeatable)
-      return !fit && !targets[i].failing && 2 * answer <= left;
-    return answer <= (fit ? w + base_latency : left);
+      return !fit && !targets[i].failing && 2 * response <= remaining;
+    return response <= (fit ? w + base_latency : remaining);
   }
   bool
   all_tried (const policy_request &r) const
@@ -370,23 +384,25 @@
         return false;
     return true;
   }
-  /* Savings from the whole history, each event under its own bound. */
+  /* Recomputes the tokens from the whole history, each event under its own
+     limits. */
   bool
   may_retry ()
   {
     budget_events.push_back ({ now, 0, options.retries });
-    double saved = 0;
+    double tokens = 0;
     int64_t last = INT64_MIN;
-    for (const naive_budget_event &e : budget_events)
+    for (const reference_budget_event &e : budget_events)
       {
-        saved = last == INT64_MIN
-                    ? e.bound.initial_tokens
-                    : saved + (e.at - last) / 1e6 * e.bound.tokens_per_second;
-        saved = std::min (saved, e.bound.max_tokens);
-        saved = std::min (saved + e.change, e.bound.max_tokens);
+        tokens
+            = last == INT64_MIN
+                  ? e.limits.initial_tokens
+                  : tokens + (e.at - last) / 1e6 * e.limits.tokens_per_second;
+        tokens = std::min (tokens, e.limits.max_tokens);
+        tokens = std::min (tokens + e.change, e.limits.max_tokens);
         last = e.at;
       }
-    return saved >= 1 - 1e-6;
+    return tokens >= 1 - 1e-6;
   }
 };
 
--- a/policy/choice/tests/retry_budget_test.cc
+++ b/policy/choice/tests/retry_budget_test.cc
@@ -16,7 +16,7 @@
 const int64_t window_us = 10 * second_us;
 
 retry_budget
-empty ()
+empty_budget ()
 {
   retry_budget b;
   retry_budget_init (&b);
@@ -24,104 +24,105 @@
 }
 
 int
-take_all (retry_budget &b, const retry_limits &bound, int64_t now)
+take_all (retry_budget &b, const retry_limits &limits, int64_t now)
 {
   int granted = 0;
-  while (retry_budget_take (&b, &bound, now))
+  while (retry_budget_take (&b, &limits, now))
     granted++;
   return granted;
 }
 
-/* Every request fails and every caller's request is tried again at once: the
- * targets get a multiple of the load just when they can't take it. */
-TEST (retry_budget, a_storm_of_failures_gets_its_share_and_no_more)
+/* All requests fail and every caller's request is retried immediately.
+   Without a limit, targets would get a multiple of the load when they can't
+   handle it. */
+TEST (retry_budget, mass_failures_get_only_the_share_of_requests)
 {
-  const retry_limits bound = { 20, 3, 0, 0 };
-  retry_budget b = empty ();
+  const retry_limits limits = { 20, 3, 0, 0 };
+  retry_budget b = empty_budget ();
   int granted = 0;
   for (int i = 0; i < 10000; i++)
     {
-      retry_budget_add_request (&b, &bound, i * 100);
-      granted += retry_budget_take (&b, &bound, i * 100);
+      retry_budget_add_request (&b, &limits, i * 100);
+      granted += retry_budget_take (&b, &limits, i * 100);
     }
   EXPECT_EQ (granted, 2000);
 }
 
-TEST (retry_budget, a_quiet_service_can_retry)
+TEST (retry_budget, service_with_little_traffic_can_retry)
 {
-  const retry_limits bound = { 0, 3, 0.3, 0 };
-  retry_budget b = empty ();
-  EXPECT_EQ (take_all (b, bound, 0), 0);
-  EXPECT_EQ (take_all (b, bound, window_us), 3);
-  EXPECT_EQ (take_all (b, bound, window_us), 0);
-  EXPECT_EQ (take_all (b, bound, 3 * window_us), 3);
+  const retry_limits limits = { 0, 3, 0.3, 0 };
+  retry_budget b = empty_budget ();
+  EXPECT_EQ (take_all (b, limits, 0), 0);
+  EXPECT_EQ (take_all (b, limits, window_us), 3);
+  EXPECT_EQ (take_all (b, limits, window_us), 0);
+  EXPECT_EQ (take_all (b, limits, 3 * window_us), 3);
 }
 
-/* A service is quiet for minutes, then fails as a whole: no more than the
- * bound goes out at once. */
-TEST (retry_budget, no_more_is_saved_than_the_bound)
+/* A service without traffic for minutes then fails completely: no more
+   retries than the limit may be sent at once. */
+TEST (retry_budget, tokens_do_not_exceed_the_limit)
 {
-  const retry_limits bound = { 20, 5, 1, 0 };
-  retry_budget b = empty ();
+  const retry_limits limits = { 20, 5, 1, 0 };
+  retry_budget b = empty_budget ();
   for (int i = 0; i < 1000; i++)
-    retry_budget_add_request (&b, &bound, i * second_us);
-  EXPECT_EQ (take_all (b, bound, 1000 * second_us), 5);
+    retry_budget_add_request (&b, &limits, i * second_us);
+  EXPECT_EQ (take_all (b, limits, 1000 * second_us), 5);
 }
 
-/* A host leaves the set: what it saved as a member of it isn't its any more,
- * since another has a part for it now. */
-TEST (retry_budget, a_narrower_bound_takes_back_what_was_saved)
+/* A host leaves the set.  It loses the tokens that it has as a member,
+   since another host has that part now. */
+TEST (retry_budget, lower_limit_drops_tokens)
 {
   const retry_limits member = { 20, 8, 1, 0 };
   const retry_limits outside = { 20, 1, 0, 0 };
-  retry_budget b = empty ();
+  retry_budget b = empty_budget ();
   take_all (b, member, 0);
   EXPECT_TRUE (retry_budget_is_available (&b, &member, window_us));
   EXPECT_EQ (take_all (b, outside, window_us), 1);
 }
 
-TEST (retry_budget, parts_of_all_hosts_are_no_more_than_the_reserve)
+TEST (retry_budget, parts_of_all_hosts_do_not_exceed_the_reserve)
 {
   const retry_grant grant = { window_us, 20, 56 };
   double sum = 0;
   for (int i = 0; i < 32; i++)
     {
       const retry_fleet fleet = { 32, 3, i < 3 };
-      const retry_limits bound = retry_limits_of_host (&grant, &fleet);
-      EXPECT_GE (bound.max_tokens, 1);
-      sum += bound.max_tokens
-             + bound.tokens_per_second * window_us / second_us;
+      const retry_limits limits = retry_limits_of_host (&grant, &fleet);
+      EXPECT_GE (limits.max_tokens, 1);
+      sum += limits.max_tokens
+             + limits.tokens_per_second * window_us / second_us;
     }
   EXPECT_LE (sum, 56);
   EXPECT_GT (sum, 50);
 }
 
-/* A fleet of few hosts has enough for each to retry its very first request. */
-TEST (retry_budget, with_much_reserve_a_life_begins_with_a_retry)
+/* With few hosts, each can retry its very first request. */
+TEST (retry_budget, large_reserve_gives_an_initial_token)
 {
   const retry_grant grant = { window_us, 20, 10 };
   const retry_fleet fleet = { 3, 3, true };
-  const retry_limits bound = retry_limits_of_host (&grant, &fleet);
-  EXPECT_GE (bound.initial_tokens, 1);
+  const retry_limits limits = retry_limits_of_host (&grant, &fleet);
+  EXPECT_GE (limits.initial_tokens, 1);
   EXPECT_LE (3
-                 * (bound.max_tokens + bound.initial_tokens
-                    + bound.tokens_per_second * 10),
+                 * (limits.max_tokens + limits.initial_tokens
+                    + limits.tokens_per_second * 10),
              10);
-  retry_budget b = empty ();
-  EXPECT_GE (take_all (b, bound, 0), 1);
+  retry_budget b = empty_budget ();
+  EXPECT_GE (take_all (b, limits, 0), 1);
 }
 
-TEST (retry_budget, with_little_reserve_each_host_can_still_make_a_retry)
+TEST (retry_budget, small_reserve_gives_each_host_one_token)
 {
   const retry_grant grant = { window_us, 20, 10 };
   const retry_fleet fleet = { 36, 3, true };
-  const retry_limits bound = retry_limits_of_host (&grant, &fleet);
-  EXPECT_EQ (bound.max_tokens, 1);
-  EXPECT_EQ (bound.tokens_per_second, 0);
-  EXPECT_EQ (bound.initial_tokens, 0);
+  const retry_limits limits = retry_limits_of_host (&grant, &fleet);
+  EXPECT_EQ (limits.max_tokens, 1);
+  EXPECT_EQ (limits.tokens_per_second, 0);
+  EXPECT_EQ (limits.initial_tokens, 0);
 }
 
-/* A fleet of hosts that are killed and started again. */
+/* Simulates hosts that are killed and restarted. */
 struct fleet_model
 {
   static constexpr uint32_t hosts = 12;
@@ -165,31 +166,32 @@
     for (retry_budget &b : budgets)
       retry_budget_init (&b);
   }
-  /* Most requests come to hosts of the set, some by an old answer. */
+  /* Most requests go to hosts of the set, some to others by an outdated
+     address. */
   uint32_t
   host_of_request ()
   {
     return rng_below (&random, 8) == 0 ? (uint32_t)rng_below (&random, hosts)
                                        : members[rng_below (&random, set)];
   }
-  /* FAILING of 100 attempts end so that they may be tried elsewhere. */
+  /* FAILING of 100 attempts end in a way that allows a retry. */
   void
   request (uint32_t failing)
   {
     const uint32_t host = host_of_request ();
     const retry_fleet fleet = { hosts, set, in_set (host) };
-    const retry_limits bound = retry_limits_of_host (&grant, &fleet);
-    retry_budget_add_request (&budgets[host], &bound, now);
+    const retry_limits limits = retry_limits_of_host (&grant, &fleet);
+    retry_budget_add_request (&budgets[host], &limits, now);
     requests.push_back (now);
     for (int tries = 0; tries < 3; tries++)
       {
         if (rng_below (&random, 100) >= failing
-            || !retry_budget_take (&budgets[host], &bound, now))
+            || !retry_budget_take (&budgets[host], &limits, now))
           return;
         retries.push_back (now);
       }
   }
-  /* A recount of every window that begins with a retry. */
+  /* Recounts every window that begins with a retry. */
   void
   expect_bounded () const
   {
@@ -212,11 +214,11 @@
   }
 };
 
-/* All targets of a service shed while its hosts are killed, started again and
- * replaced in its set.  Each life spent what it had saved over its own past,
- * and together they made more retries in ten seconds than the operator allows:
- * 229 where 226 were. */
-TEST (retry_budget, lives_that_follow_one_another_stay_within_the_bound)
+/* All targets of a service shed load while its hosts are killed, restarted
+   and replaced in its set.  Each process consumed the tokens of its own
+   lifetime, and in total they made more retries in ten seconds than the
+   operator allows: 229 instead of 226. */
+TEST (retry_budget, restarted_hosts_stay_within_the_bound)
 {
   for (uint64_t seed = 1; seed <= 40; seed++)
     {
--- a/policy/choice/tests/service_policy_differential_test.cc
+++ b/policy/choice/tests/service_policy_differential_test.cc
@@ -1,4 +1,4 @@
-/* The service's policy against the naive version, event by event. */
+/* Compares the service's policy with the reference model, event by event. */
 #include <gtest/gtest.h>
 
 #include <map>
@@ -18,7 +18,8 @@
   SEQUENCES = 1000,
   EVENTS = 2000,
   REASONS = POLICY_REASON_ATTEMPTS + 1,
-  SEEN_LEAST = 300, /* of each reason, else the test would prove nothing */
+  MIN_SEEN = 300, /* of each reason, so that all kinds of decisions are
+                       covered */
 };
 
 struct attempt
@@ -28,29 +29,29 @@
   int64_t sent;
 };
 
-/* What becomes of each request; every one must end exactly once. */
-struct world
+/* Simulates the requests; each one must end exactly once. */
+struct simulation
 {
   rng random;
   service_policy *policy;
-  naive_judge naive;
-  std::vector<attempt> flying;
+  reference_checker model;
+  std::vector<attempt> attempts;
   std::map<uint64_t, policy_request> waiting;
   uint64_t seen[REASONS] = {};
   uint64_t next_id = 1;
   uint64_t next_key = 1;
-  uint64_t bad_key = 0;
-  int bad_percent = 0;
+  uint64_t unhealthy_key = 0;
+  int unhealthy_percent = 0;
 
-  explicit world (uint64_t seed)
+  explicit simulation (uint64_t seed)
   {
     rng_seed (&random, seed);
-    naive.options = options (seed);
-    policy = service_policy_create (&naive.options);
-    naive.now = 1000000;
-    retarget ();
+    model.options = options (seed);
+    policy = service_policy_create (&model.options);
+    model.now = 1000000;
+    replace_targets ();
   }
-  ~world ()
+  ~simulation ()
   {
     service_policy_destroy (policy);
   }
@@ -74,7 +75,7 @@
              .used_percent = 0,
              .set_hosts = 0 };
   }
-  /* Now and then one that left before comes back. */
+  /* Sometimes a target that left before comes back. */
   uint64_t
   new_key (const std::vector<policy_target> &to)
   {
@@ -88,17 +89,17 @@
     return n * 0x9e3779b97f4a7c15u;
   }
   void
-  retarget ()
+  replace_targets ()
   {
     std::vector<policy_target> to;
-    for (auto &t : naive.targets)
+    for (auto &t : model.targets)
       if (below (8) != 0)
         to.push_back (t.config);
     while (to.size () < 2 + below (9))
       {
-        policy_target fresh = {};
-        fresh.key = new_key (to);
-        to.push_back (fresh);
+        policy_target added = {};
+        added.key = new_key (to);
+        to.push_back (added);
       }
     for (auto &c : to)
       {
@@ -110,56 +111,57 @@
       }
     for (size_t i = to.size (); i > 1; i--)
       std::swap (to[i - 1], to[below (i)]);
-    service_policy_set_targets (policy, naive.now, to.data (), to.size ());
-    naive.replace (to);
-    bad_key = to[below (to.size ())].key;
-    bad_percent = below (2) ? 100 : 40;
+    service_policy_set_targets (policy, model.now, to.data (), to.size ());
+    model.replace (to);
+    unhealthy_key = to[below (to.size ())].key;
+    unhealthy_percent = below (2) ? 100 : 40;
   }
 
   std::string
-  follow (const policy_request &r, const policy_decision &d)
+  track (const policy_request &r, const policy_decision &d)
   {
     seen[d.reason]++;
     if (d.verdict == POLICY_QUEUE)
-      return waiting.emplace (r.id, r).second ? "" : "waits twice";
+      return waiting.emplace (r.id, r).second ? "" : "queued twice";
     if (d.verdict == POLICY_SEND)
-      flying.push_back ({ r, naive.targets[d.target].config.key, naive.now });
+      attempts.push_back (
+          { r, model.targets[d.target].config.key, model.now });
     return "";
   }
   std::string
   admit (policy_request r)
   {
-    const policy_decision d = service_policy_admit (policy, naive.now, &r);
-    const std::string wrong = naive.admit (r, d);
-    return wrong.empty () ? follow (r, d) : wrong;
+    const policy_decision d = service_policy_admit (policy, model.now, &r);
+    const std::string wrong = model.admit (r, d);
+    return wrong.empty () ? track (r, d) : wrong;
   }
   std::string
   admit_new ()
   {
     policy_request r = {};
     r.id = next_id++;
-    r.deadline_us = naive.now + (int64_t)below (60000);
+    r.deadline_us = model.now + (int64_t)below (60000);
     r.queued_bytes = (uint32_t)below (1000);
     r.repeatable = below (3) != 0;
     r.attempt = 1;
     return admit (r);
   }
   std::string
-  drain ()
+  drain_queue ()
   {
     for (;;)
       {
         policy_decision d = {};
-        const bool some = service_policy_next (policy, naive.now, &d);
-        std::string wrong = naive.next (some, d);
-        if (!wrong.empty () || !some)
+        const bool has_decision = service_policy_next (policy, model.now, &d);
+        std::string wrong = model.next (has_decision, d);
+        if (!wrong.empty () || !has_decision)
           return wrong;
         const auto at = waiting.find (d.request_id);
         if (at == waiting.end ())
           return "decided twice";
         const policy_request r = at->second;
         waiting.erase (at);
-        wrong = follow (r, d);
+        wrong = track (r, d);
         if (!wrong.empty ())
           return wrong;
       }
@@ -169,28 +171,28 @@
   end_of (uint64_t key)
   {
     const uint64_t roll = below (100);
-    if (key == bad_key && roll < (uint64_t)bad_percent)
+    if (key == unhealthy_key && roll < (uint64_t)unhealthy_percent)
       return (attempt_end)(1 + below (6));
     return roll < 3 ? (attempt_end)(1 + below (6)) : ATTEMPT_ANSWERED;
   }
   std::string
   finish ()
   {
-    if (flying.empty ())
+    if (attempts.empty ())
       return "";
-    const size_t i = below (flying.size ());
-    attempt a = flying[i];
-    flying.erase (flying.begin () + i);
+    const size_t i = below (attempts.size ());
+    attempt a = attempts[i];
+    attempts.erase (attempts.begin () + i);
     const uint32_t target = service_policy_find (policy, a.key);
     const attempt_end end = end_of (a.key);
     const policy_outcome o = { .target = target,
                                .end = end,
-                               .latency_us = naive.now - a.sent,
+                               .latency_us = model.now - a.sent,
                                .repeatable = a.r.repeatable };
-    service_policy_outcome (policy, naive.now, &o);
+    service_policy_outcome (policy, model.now, &o);
     if (target != POLICY_NO_TARGET)
-      naive.outcome (o);
-    std::string wrong = drain ();
+      model.outcome (o);
+    std::string wrong = drain_queue ();
     if (wrong.empty () && service_policy_may_retry (end, a.r.repeatable)
         && below (4) != 0)
       {
@@ -207,7 +209,7 @@
     if (target != POLICY_NO_TARGET)
       r.tried[r.tried_count++] = target;
     while (r.tried_count > 0 && r.tried_count < 4 && below (3) == 0)
-      r.tried[r.tried_count++] = (uint32_t)below (naive.targets.size ());
+      r.tried[r.tried_count++] = (uint32_t)below (model.targets.size ());
     r.attempt++;
     return admit (r);
   }
@@ -221,7 +223,7 @@
     const uint64_t id = at->first;
     waiting.erase (at);
     service_policy_cancel_queued (policy, id);
-    auto &q = naive.queue;
+    auto &q = model.queue;
     q.erase (std::find_if (q.begin (), q.end (),
                            [&] (auto &w) { return w.r.id == id; }));
     return "";
@@ -229,8 +231,8 @@
   std::string
   reconfigure ()
   {
-    naive.options = options (1);
-    service_policy_configure (policy, &naive.options);
+    model.options = options (1);
+    service_policy_configure (policy, &model.options);
     return "";
   }
   std::string
@@ -238,23 +240,23 @@
   {
     const uint64_t kind = below (20);
     if (kind < 4)
-      retarget ();
+      replace_targets ();
     else if (kind == 4)
       return reconfigure ();
     else
       {
-        const auto target = (uint32_t)below (naive.targets.size ());
+        const auto target = (uint32_t)below (model.targets.size ());
         const bool ejected = below (3) == 0;
-        service_policy_set_ejected (policy, naive.now, target, ejected);
-        naive.eject (target, ejected);
+        service_policy_set_ejected (policy, model.now, target, ejected);
+        model.eject (target, ejected);
       }
-    return drain ();
+    return drain_queue ();
   }
   void
   pass_time ()
   {
     const uint64_t roll = below (1000);
-    naive.now += (int64_t)(roll < 995   ? below (700)
+    model.now += (int64_t)(roll < 995   ? below (700)
                            : roll < 999 ? below (400000)
                                         : below (12000000));
   }
@@ -263,9 +265,9 @@
   event ()
   {
     pass_time ();
-    if (service_policy_wake_us (policy) <= naive.now)
+    if (service_policy_wake_us (policy) <= model.now)
       {
-        const std::string wrong = drain ();
+        const std::string wrong = drain_queue ();
         if (!wrong.empty ())
           return wrong;
       }
@@ -278,7 +280,7 @@
     else if (roll < 96)
       wrong = forget ();
     else
-      wrong = roll < 99 ? change () : drain ();
+      wrong = roll < 99 ? change () : drain_queue ();
     return wrong.empty () ? invariants () : wrong;
   }
 
@@ -286,20 +288,20 @@
   invariants ()
   {
     if (service_policy_queued (policy) != waiting.size ()
-        || naive.queue.size () != waiting.size ())
-      return "a queued request is lost or held twice";
+        || model.queue.size () != waiting.size ())
+      return "a queued request is lost or duplicated";
     if (!waiting.empty () && service_policy_wake_us (policy) == INT64_MAX)
-      return "nobody would wake those who wait";
-    for (uint32_t i = 0; i < naive.targets.size (); i++)
+      return "no wake-up time although requests are queued";
+    for (uint32_t i = 0; i < model.targets.size (); i++)
       {
-        const naive_target &t = naive.targets[i];
+        const reference_target &t = model.targets[i];
         const policy_target_status b
             = service_policy_target_status (policy, i);
         if (b.in_flight != t.in_flight)
-          return "slots counted wrong";
-        if (b.suspect != (t.suspect () && naive.avoids ()))
-          return "standing differs";
-        if (b.failure_permille != (uint32_t)lround (t.failure * 1000)
+          return "wrong number of used slots";
+        if (b.suspect != (t.suspect () && model.avoids ()))
+          return "suspect status differs";
+        if (b.failure_permille != (uint32_t)lround (t.failure_rate * 1000)
             || b.latency_us != (int64_t)t.latency)
           return "estimates differ";
       }
@@ -308,13 +310,13 @@
 };
 
 /* A sequence stops at its first wrong event, so the number printed is the
- * length of the shortest prefix that fails. */
+   length of the shortest prefix that fails. */
 TEST (service_policy_differential, every_decision_is_allowed)
 {
   uint64_t seen[REASONS] = {};
   for (uint64_t seed = 1; seed <= SEQUENCES; seed++)
     {
-      world w (seed);
+      simulation w (seed);
       for (int i = 1; i <= EVENTS; i++)
         {
           const std::string wrong = w.event ();
@@ -330,7 +332,7 @@
     {
       const char *name = policy_reason_name ((policy_reason)i);
       RecordProperty (name, (int)seen[i]);
-      EXPECT_GE (seen[i], SEEN_LEAST) << name;
+      EXPECT_GE (seen[i], MIN_SEEN) << name;
     }
 }
 
--- a/policy/choice/tests/service_policy_fixture.h
+++ b/policy/choice/tests/service_policy_fixture.h
@@ -1,5 +1,5 @@
 /** @file
- * A service's policy with targets that the test makes answer.
+ * Fixture of a service's policy; the test determines the targets' responses.
  */
 #ifndef POLICY_CHOICE_TESTS_SERVICE_POLICY_FIXTURE_H
 #define POLICY_CHOICE_TESTS_SERVICE_POLICY_FIXTURE_H
@@ -40,8 +40,8 @@
   }
 
   policy_decision
-  ask (bool repeatable, int64_t left_us = 1000000,
-       std::vector<uint32_t> tried = {})
+  admit (bool repeatable, int64_t left_us = 1000000,
+         std::vector<uint32_t> tried = {})
   {
     policy_request r = {};
     r.id = next_id++;
@@ -53,30 +53,31 @@
     return service_policy_admit (policy, now, &r);
   }
   void
-  end (uint32_t target, attempt_end how, int64_t latency_us = 10000)
+  end_attempt (uint32_t target, attempt_end how, int64_t latency_us = 10000)
   {
     const policy_outcome o = { target, how, latency_us, true };
     service_policy_outcome (policy, now, &o);
   }
-  /* Waves of ten requests at once; BAD fails each.  How many BAD got. */
+  /* Sends waves of ten concurrent requests, all of which fail at FAILING.
+     Returns how many FAILING got. */
   int
-  traffic (int waves, uint32_t bad, bool repeatable)
+  traffic (int waves, uint32_t failing, bool repeatable)
   {
-    int got = 0;
+    int failing_count = 0;
     for (int i = 0; i < waves; i++)
       {
         now += 10000;
         std::vector<uint32_t> sent;
         for (int j = 0; j < 10; j++)
-          sent.push_back (ask (repeatable).target);
+          sent.push_back (admit (repeatable).target);
         for (uint32_t t : sent)
           {
             EXPECT_NE (t, POLICY_NO_TARGET);
-            got += t == bad;
-            end (t, t == bad ? ATTEMPT_FAILED : ATTEMPT_ANSWERED);
+            failing_count += t == failing;
+            end_attempt (t, t == failing ? ATTEMPT_FAILED : ATTEMPT_ANSWERED);
           }
       }
-    return got;
+    return failing_count;
   }
 };
 
--- a/policy/choice/tests/service_rate_test.cc
+++ b/policy/choice/tests/service_rate_test.cc
@@ -30,15 +30,15 @@
   EXPECT_NEAR (service_rate_interval_us (&rate, 100500, 5, 10000), 1000, 1);
 }
 
-/* All targets hang while requests wait.  The last measured rate still says
- * that the queue moves, so callers wait until their deadlines. */
-TEST (service_rate, a_standstill_shows_before_it_ends)
+/* All targets hang while requests wait.  The last rate would still suggest
+   that the queue moves, and callers would wait until their deadlines. */
+TEST (service_rate, stall_shows_before_it_ends)
 {
   const struct service_rate rate = busy_rate (100);
   EXPECT_GT (service_rate_interval_us (&rate, 1100000, 5, 10000), 100000);
 }
 
-TEST (service_rate, idle_time_is_not_a_standstill)
+TEST (service_rate, idle_time_is_not_a_stall)
 {
   struct service_rate rate = busy_rate (100);
   service_rate_note_release (&rate, 101000, false);
--- a/policy/choice/tests/slot_shares_test.cc
+++ b/policy/choice/tests/slot_shares_test.cc
@@ -32,7 +32,7 @@
              (std::vector<uint32_t> (7, 1)));
 }
 
-TEST (slot_shares, keep_their_bounds_for_any_demand)
+TEST (slot_shares, stay_within_bounds_for_any_demand)
 {
   struct rng rng;
   rng_seed (&rng, 17);
@@ -59,8 +59,9 @@
     }
 }
 
-// Slots would lie idle: each of three hosts rounds its part of four down.
-TEST (slot_shares, hand_out_every_slot_once)
+// If each of three hosts rounded its part of four slots down, slots would be
+// left unused.
+TEST (slot_shares, assign_every_slot_once)
 {
   struct rng rng;
   rng_seed (&rng, 23);
--- a/policy/choice/tests/subset_load_test.cc
+++ b/policy/choice/tests/subset_load_test.cc
@@ -1,5 +1,5 @@
-/* Many hosts before many targets of few slots, in virtual time: what the
-   division of the targets among the hosts buys. */
+/* Simulates many hosts and many targets with few slots, in virtual time, to
+   show the effect of dividing the targets among the hosts. */
 #include <gtest/gtest.h>
 
 #include <queue>
@@ -21,7 +21,7 @@
 constexpr uint32_t SLOTS = 3;
 constexpr int64_t SECOND_US = 1000000;
 constexpr int64_t WORK_US = 250000;
-/* Requests of all hosts together: two fifths of all slots are busy. */
+/* Requests of all hosts together; two fifths of all slots are busy. */
 constexpr int64_t GAP_US = WORK_US * 10 / (4 * TARGETS * SLOTS);
 
 struct attempt
@@ -41,32 +41,34 @@
 {
   uint64_t requests = 0;
   uint64_t shed = 0;
-  uint64_t meetings = 0; /* of a host and a target that hadn't met for 5 s */
-  double least_used = 1; /* share of the targets in any span of 2 s */
+  uint64_t new_contacts = 0; /* between a host and a target without contact for
+                            5 s */
+  double least_used = 1;     /* share of the targets in any span of 2 s */
 };
 
-class load
+class simulation
 {
 public:
-  explicit load (bool divided, uint32_t used_percent)
+  explicit simulation (bool divided, uint32_t used_percent)
   {
     rng_seed (&random, 41);
     for (uint32_t h = 0; h < HOSTS; h++)
       hosts.push_back ({ hash_pair (1, h), 1, 1 });
     for (uint32_t h = 0; h < HOSTS; h++)
-      policies.push_back (make (h, divided, used_percent));
+      policies.push_back (make_policy (h, divided, used_percent));
     busy.resize (TARGETS);
     used_us.resize (TARGETS, 0);
-    met_us.assign (HOSTS, std::vector<int64_t> (TARGETS, -100 * SECOND_US));
+    contacted_us.assign (HOSTS,
+                         std::vector<int64_t> (TARGETS, -100 * SECOND_US));
   }
-  ~load ()
+  ~simulation ()
   {
     for (service_policy *policy : policies)
       service_policy_destroy (policy);
   }
 
   result
-  play (int64_t until_us)
+  run (int64_t until_us)
   {
     int64_t next_us = SECOND_US;
     while (next_us < until_us)
@@ -75,15 +77,15 @@
         now_us = next_us;
         send ((uint32_t)rng_below (&random, HOSTS));
         next_us += GAP_US;
-        if (now_us > 5 * SECOND_US && got.requests % 100 == 0)
-          note_use ();
+        if (now_us > 5 * SECOND_US && totals.requests % 100 == 0)
+          sample_use ();
       }
-    return got;
+    return totals;
   }
 
 private:
   service_policy *
-  make (uint32_t host, bool divided, uint32_t used_percent)
+  make_policy (uint32_t host, bool divided, uint32_t used_percent)
   {
     service_policy_options options = {};
     options.seed = 1 + host;
@@ -105,8 +107,8 @@
         target.is_backup
             = divided
               && subset_owner (target.key, 1, hosts.data (), HOSTS) != host;
-        /* Without a division a host may use what fluctuates beyond its part:
-           two of three slots. */
+        /* Without subsets a host may use more than its part, since demand
+           fluctuates: two of three slots. */
         target.slots = divided && !target.is_backup ? SLOTS : 2;
         targets.push_back (target);
       }
@@ -118,30 +120,31 @@
   send (uint32_t host)
   {
     policy_request r = {};
-    r.id = ++got.requests;
+    r.id = ++totals.requests;
     r.deadline_us = now_us + 3 * SECOND_US;
     r.attempt = 1;
     const policy_decision d
         = service_policy_admit (policies[host], now_us, &r);
     if (d.verdict != POLICY_SEND)
       return;
-    got.meetings += now_us - met_us[host][d.target] > 5 * SECOND_US;
-    met_us[host][d.target] = used_us[d.target] = now_us;
+    totals.new_contacts
+        += now_us - contacted_us[host][d.target] > 5 * SECOND_US;
+    contacted_us[host][d.target] = used_us[d.target] = now_us;
     const bool shed = busy[d.target] >= SLOTS;
-    got.shed += shed;
+    totals.shed += shed;
     busy[d.target] += !shed;
     const int64_t took_us
         = shed ? 1000 : WORK_US / 2 + rng_below (&random, WORK_US);
-    flying.push ({ now_us + took_us, host, d.target, shed });
+    in_flight.push ({ now_us + took_us, host, d.target, shed });
   }
 
   void
   finish (int64_t until_us)
   {
-    while (!flying.empty () && flying.top ().end_us <= until_us)
+    while (!in_flight.empty () && in_flight.top ().end_us <= until_us)
       {
-        const attempt a = flying.top ();
-        flying.pop ();
+        const attempt a = in_flight.top ();
+        in_flight.pop ();
         busy[a.target] -= !a.shed;
         const policy_outcome o
             = { a.target, a.shed ? ATTEMPT_SHED : ATTEMPT_ANSWERED,
@@ -151,12 +154,12 @@
   }
 
   void
-  note_use ()
+  sample_use ()
   {
     uint32_t used = 0;
     for (int64_t at_us : used_us)
       used += now_us - at_us <= 2 * SECOND_US;
-    got.least_used = std::min (got.least_used, (double)used / TARGETS);
+    totals.least_used = std::min (totals.least_used, (double)used / TARGETS);
   }
 
   rng random;
@@ -165,33 +168,34 @@
   std::vector<service_policy *> policies;
   std::vector<uint32_t> busy;
   std::vector<int64_t> used_us;
-  std::vector<std::vector<int64_t>> met_us;
+  std::vector<std::vector<int64_t>> contacted_us;
   std::priority_queue<attempt, std::vector<attempt>, std::greater<attempt>>
-      flying;
-  result got;
+      in_flight;
+  result totals;
 };
 
-/* Fifteen hosts send to 300 targets with three slots each, two fifths of them
- * busy.  A host that may use all targets sees its own requests only, so
- * targets that others have filled shed what it sends, and it opens a
- * connection for most requests.  With a subset each it knows what is free. */
+/* Fifteen hosts send to 300 targets with three slots each, two fifths of
+   which are busy.  A host that may use all targets knows only its own
+   requests.  So targets filled by others shed what it sends, and it opens a
+   connection for most requests.  With its own subset it knows which slots
+   are free. */
 TEST (SubsetLoad, HostsThatDivideTheTargetsDoNotCollide)
 {
-  const result all = load (false, 70).play (20 * SECOND_US);
-  const result divided = load (true, 70).play (20 * SECOND_US);
+  const result all = simulation (false, 70).run (20 * SECOND_US);
+  const result divided = simulation (true, 70).run (20 * SECOND_US);
   RecordProperty ("shed_undivided", (int)all.shed);
   RecordProperty ("shed_divided", (int)divided.shed);
   EXPECT_GT (all.shed * 100, all.requests);
   EXPECT_LT (divided.shed * 1000, divided.requests);
-  EXPECT_LT (divided.meetings * 4, all.meetings);
+  EXPECT_LT (divided.new_contacts * 4, all.new_contacts);
 }
 
-/* All hosts lose power: what is under way fails, and those targets count that
- * were in use before.  Each host sees to its own subset, so together they keep
- * the share that the operator wants. */
-TEST (SubsetLoad, EachSubsetInUseIsTheShareOfAll)
+/* All hosts lose power, so requests in flight fail and only targets that
+   were in use before count.  Each host keeps its own subset in use, so
+   together they maintain the share that the operator configured. */
+TEST (SubsetLoad, SubsetsTogetherKeepTheShareInUse)
 {
-  EXPECT_GE (load (true, 70).play (20 * SECOND_US).least_used, 0.7);
+  EXPECT_GE (simulation (true, 70).run (20 * SECOND_US).least_used, 0.7);
 }
 
 }
--- a/policy/choice/tests/target_estimate_test.cc
+++ b/policy/choice/tests/target_estimate_test.cc
@@ -12,10 +12,10 @@
 namespace
 {
 
-/* The filter step by step against the chain's probability over all paths of
- * states, summed without any shortcut.  Rounds in which the bounds on what is
- * believed have cut in are left out: they differ by design. */
-TEST (target_estimate, ill_is_the_probability_over_all_paths)
+/* Compares the filter, step by step, with the exact probability summed over
+   all paths of states of the Markov chain.  Rounds in which the probability
+   reached its bounds are skipped; they differ by design. */
+TEST (target_estimate, matches_the_probability_over_all_paths)
 {
   struct rng rng;
   rng_seed (&rng, 3);
@@ -26,7 +26,7 @@
       struct target_estimate e;
       target_estimate_init (&e, 0, share);
       const int count = 1 + (int)rng_below (&rng, 9);
-      std::vector<double> stays;
+      std::vector<double> p_unchanged;
       std::vector<bool> failed;
       int64_t now = 0;
       bool was_bounded = false;
@@ -34,7 +34,7 @@
         {
           const int64_t passed = (int64_t)rng_below (&rng, 2000000);
           now += passed;
-          stays.push_back (
+          p_unchanged.push_back (
               std::exp (-(double)passed / ESTIMATE_STATE_DECAY_US));
           failed.push_back (rng_below (&rng, 3) == 0);
           target_estimate_advance (&e, now, 0, share);
@@ -46,25 +46,27 @@
       if (was_bounded)
         continue;
       compared++;
-      double ill = 0, all = 0;
+      double p_unhealthy = 0, total = 0;
       for (int path = 0; path < 1 << (count + 1); path++)
         {
-          bool was = path & 1;
-          double p = was ? share : 1 - share;
+          bool was_unhealthy = path & 1;
+          double p = was_unhealthy ? share : 1 - share;
           for (int i = 0; i < count; i++)
             {
-              const bool is = path >> (i + 1) & 1;
-              const double anew = is ? share : 1 - share;
-              const double fails = is ? ESTIMATE_UNHEALTHY_FAILURE_RATE
-                                      : ESTIMATE_HEALTHY_FAILURE_RATE;
-              p *= (1 - stays[i]) * anew + (is == was ? stays[i] : 0);
-              p *= failed[i] ? fails : 1 - fails;
-              was = is;
+              const bool is_unhealthy = path >> (i + 1) & 1;
+              const double share_of_state = is_unhealthy ? share : 1 - share;
+              const double failure_rate = is_unhealthy
+                                              ? ESTIMATE_UNHEALTHY_FAILURE_RATE
+                                              : ESTIMATE_HEALTHY_FAILURE_RATE;
+              p *= (1 - p_unchanged[i]) * share_of_state
+                   + (is_unhealthy == was_unhealthy ? p_unchanged[i] : 0);
+              p *= failed[i] ? failure_rate : 1 - failure_rate;
+              was_unhealthy = is_unhealthy;
             }
-          all += p;
-          ill += was ? p : 0;
+          total += p;
+          p_unhealthy += was_unhealthy ? p : 0;
         }
-      ASSERT_NEAR (e.p_unhealthy, ill / all, 1e-9)
+      ASSERT_NEAR (e.p_unhealthy, p_unhealthy / total, 1e-9)
           << "seed 3, round " << round;
       EXPECT_NEAR (e.failure_rate,
                    e.p_unhealthy * ESTIMATE_UNHEALTHY_FAILURE_RATE
@@ -74,10 +76,11 @@
   EXPECT_GT (compared, 100);
 }
 
-/* A target is ill for some seconds and fails most of what it gets.  A mean
- * over the last outcomes needs three or four failures to say so, each a hold
- * that is lost; to one that was good a moment ago the first is enough. */
-TEST (target_estimate, one_failure_is_doubt_enough_and_time_heals)
+/* A target is unhealthy for some seconds and fails most requests.  A mean
+   over recent outcomes needs three or four failures to show that, and each
+   is a lost request.  The first failure must be enough for a target that
+   was healthy before. */
+TEST (target_estimate, one_failure_raises_doubt_that_decays)
 {
   struct target_estimate e;
   target_estimate_init (&e, 0, 0.2);
@@ -90,7 +93,7 @@
   EXPECT_LT (e.p_unhealthy, 0.25);
 }
 
-TEST (target_estimate, what_others_saw_counts_but_their_latency_does_not)
+TEST (target_estimate, remote_outcomes_count_but_not_their_latency)
 {
   struct target_estimate e;
   target_estimate_init (&e, 0, 0.1);
@@ -99,8 +102,8 @@
   EXPECT_EQ (e.latency_samples, 0u);
 }
 
-/* A broken target answers 500 in no time and so looks like the fastest of
- * all; a balancer that goes by latency sends it everything. */
+/* A broken target responds with 500 immediately and so looks like the
+   fastest; a balancer that only uses latency would send it all requests. */
 TEST (target_estimate, a_quick_failure_does_not_look_fast)
 {
   struct target_estimate e;
@@ -113,9 +116,9 @@
   EXPECT_GT (e.latency_us, 10000);
 }
 
-/* Guards against a target whose first outcome is a quick failure: its latency
- * was taken from it. */
-TEST (target_estimate, a_failure_before_any_answer_says_nothing_of_latency)
+/* The first outcome of a target is a quick failure, which must not be taken
+   as its latency. */
+TEST (target_estimate, failure_before_any_response_gives_no_latency)
 {
   struct target_estimate e;
   target_estimate_init (&e, 0, 0);
@@ -125,7 +128,7 @@
   EXPECT_EQ (e.latency_us, 10000);
 }
 
-TEST (target_estimate, a_caller_that_leaves_says_nothing)
+TEST (target_estimate, cancelled_attempts_are_ignored)
 {
   struct target_estimate e;
   target_estimate_init (&e, 0, 0);
@@ -135,7 +138,7 @@
   EXPECT_LT (e.failure_rate, 0.03);
 }
 
-TEST (target_estimate, drifts_to_its_peers_without_traffic)
+TEST (target_estimate, decays_to_its_peers_without_traffic)
 {
   struct target_estimate e;
   target_estimate_init (&e, 0, 0);
--- a/policy/choice/tests/target_outlier_test.cc
+++ b/policy/choice/tests/target_outlier_test.cc
@@ -13,12 +13,12 @@
 {
 
 target_estimate
-estimate (double latency_us, double ill)
+estimate (double latency_us, double p_unhealthy)
 {
-  return { latency_us, ill, ill, 0, 100, 100 };
+  return { latency_us, p_unhealthy, p_unhealthy, 0, 100, 100 };
 }
 
-TEST (target_standing, median_is_that_of_a_sorted_copy)
+TEST (target_outlier, median_matches_a_sorted_copy)
 {
   struct rng rng;
   rng_seed (&rng, 5);
@@ -37,15 +37,16 @@
   EXPECT_EQ (target_outlier_median (nullptr, 0), 0);
 }
 
-TEST (target_standing, failing_is_more_likely_ill_than_not)
+TEST (target_outlier, failing_is_more_likely_unhealthy_than_not)
 {
-  const target_estimate well = estimate (10000, 0.3);
-  const target_estimate ill = estimate (10000, 0.6);
-  EXPECT_FALSE (target_outlier_is_failing (well.p_unhealthy, false, false));
-  EXPECT_TRUE (target_outlier_is_failing (ill.p_unhealthy, false, false));
+  const target_estimate healthy = estimate (10000, 0.3);
+  const target_estimate unhealthy = estimate (10000, 0.6);
+  EXPECT_FALSE (target_outlier_is_failing (healthy.p_unhealthy, false, false));
+  EXPECT_TRUE (
+      target_outlier_is_failing (unhealthy.p_unhealthy, false, false));
 }
 
-TEST (target_standing, stays_until_clearly_better_and_enters_sooner_on_wish)
+TEST (target_outlier, failing_has_hysteresis_and_a_faster_threshold)
 {
   const target_estimate e = estimate (10000, 0.45);
   EXPECT_FALSE (target_outlier_is_failing (e.p_unhealthy, false, false));
@@ -53,34 +54,34 @@
   EXPECT_TRUE (target_outlier_is_failing (e.p_unhealthy, false, true));
 }
 
-/* Half of all targets fail for a minute.  If the share that is expected to be
- * ill stayed at what a quiet day shows, each success would count for a cure
- * and requests would run into the next failure. */
-TEST (target_standing, the_share_of_ill_targets_is_learned_within_bounds)
+/* Half of all targets fail for a minute.  If the expected share of
+   unhealthy targets stayed at its usual value, each success would count as
+   a recovery and the next requests would fail. */
+TEST (target_outlier, unhealthy_share_is_learned_within_bounds)
 {
-  double ill = 0.05;
+  double share = 0.05;
   for (int i = 0; i < 100; i++)
-    ill = target_outlier_learn_unhealthy_share (ill, 0.3, 250000);
-  EXPECT_NEAR (ill, 0.3, 0.03);
+    share = target_outlier_learn_unhealthy_share (share, 0.3, 250000);
+  EXPECT_NEAR (share, 0.3, 0.03);
   for (int i = 0; i < 1000; i++)
-    ill = target_outlier_learn_unhealthy_share (ill, 1, 250000);
-  EXPECT_LT (ill, 0.5);
+    share = target_outlier_learn_unhealthy_share (share, 1, 250000);
+  EXPECT_LT (share, 0.5);
   for (int i = 0; i < 1000; i++)
-    ill = target_outlier_learn_unhealthy_share (ill, 0, 250000);
-  EXPECT_GT (ill, 0);
+    share = target_outlier_learn_unhealthy_share (share, 0, 250000);
+  EXPECT_GT (share, 0);
 }
 
-/* Targets in another dc answer later by the way there and back.  Taken for
- * slow, a whole dc would lose its work. */
-TEST (target_standing, the_way_to_another_dc_is_not_slowness)
+/* Responses from another dc take longer by the round trip.  If that counted
+   as slow, a whole dc would get no work. */
+TEST (target_outlier, distance_to_another_dc_is_not_slowness)
 {
-  const peer_baseline near_ones = { 1000, 0.0 };
-  const target_estimate far_one = estimate (31000, 0);
-  EXPECT_TRUE (target_outlier_is_slow (&far_one, &near_ones, false, 0));
-  EXPECT_FALSE (target_outlier_is_slow (&far_one, &near_ones, false, 15000));
+  const peer_baseline near = { 1000, 0.0 };
+  const target_estimate far = estimate (31000, 0);
+  EXPECT_TRUE (target_outlier_is_slow (&far, &near, false, 0));
+  EXPECT_FALSE (target_outlier_is_slow (&far, &near, false, 15000));
 }
 
-TEST (target_standing, few_answers_do_not_make_a_target_slow)
+TEST (target_outlier, few_responses_do_not_make_a_target_slow)
 {
   const peer_baseline peers = { 1000, 0.0 };
   target_estimate e = estimate (50000, 0);
--- a/policy/choice/tests/unserved_share_test.cc
+++ b/policy/choice/tests/unserved_share_test.cc
@@ -1,4 +1,4 @@
-/* The share of requests that aren't served, by what is known at a host. */
+/* The share of requests that aren't served, as estimated by one host. */
 #include <gtest/gtest.h>
 
 extern "C"
@@ -15,7 +15,7 @@
   unserved_share_add (share, now_us, &outcome);
 }
 
-TEST (ServedShare, SaysNothingOfAFew)
+TEST (UnservedShare, IsZeroForFewAttempts)
 {
   unserved_share share = {};
   for (int i = 0; i < 4; i++)
@@ -25,22 +25,22 @@
   EXPECT_EQ (unserved_share_value (&share, 0), 1);
 }
 
-TEST (ServedShare, WhatMayBeRepeatedIsMostlyServedInTheEnd)
+TEST (UnservedShare, RepeatableFailuresCountLess)
 {
-  unserved_share once = {};
-  unserved_share often = {};
+  unserved_share unrepeatable = {};
+  unserved_share repeatable = {};
   for (int i = 0; i < 10; i++)
     {
-      add (&once, 0, ATTEMPT_CUT, false);
-      add (&often, 0, ATTEMPT_CUT, true);
+      add (&unrepeatable, 0, ATTEMPT_CUT, false);
+      add (&repeatable, 0, ATTEMPT_CUT, true);
     }
-  EXPECT_LT (unserved_share_value (&often, 0),
-             unserved_share_value (&once, 0));
-  EXPECT_GT (unserved_share_value (&often, 0), 0.5);
+  EXPECT_LT (unserved_share_value (&repeatable, 0),
+             unserved_share_value (&unrepeatable, 0));
+  EXPECT_GT (unserved_share_value (&repeatable, 0), 0.5);
 }
 
-/* A third of a service's requests is over a quota: no attempt fails. */
-TEST (ServedShare, RefusalsCount)
+/* A third of a service's requests exceeds a quota, so no attempt fails. */
+TEST (UnservedShare, RefusalsCount)
 {
   unserved_share share = {};
   for (int i = 0; i < 30; i++)
@@ -51,7 +51,7 @@
   EXPECT_NEAR (unserved_share_value (&share, 0), 1.0 / 3, 0.001);
 }
 
-TEST (ServedShare, ACallerThatLeavesSaysNothingAndAllFades)
+TEST (UnservedShare, CancelledAttemptsAreIgnoredAndFailuresDecay)
 {
   unserved_share share = {};
   for (int i = 0; i < 20; i++)
@@ -64,10 +64,10 @@
   EXPECT_LT (unserved_share_value (&share, 0), 0.01);
 }
 
-/* One of six hosts has lost its ways to most targets, and a tenth of the
-   service's requests fails, all of them there.  The other five see nothing of
-   it but what it tells. */
-TEST (ServedShare, WhatFailsAtOthersCounts)
+/* One of six hosts has lost its network path to most targets, and a tenth
+   of the service's requests fails, all of them there.  The other five know
+   of it only from that host's reports. */
+TEST (UnservedShare, FailuresAtOtherHostsCount)
 {
   unserved_share share = {};
   for (int i = 0; i < 100; i++)
@@ -80,9 +80,9 @@
   EXPECT_NEAR (unserved_share_value (&share, 6), 0.1, 0.001);
 }
 
-/* All targets shed half of what they get, which hosts don't tell each other.
- */
-TEST (ServedShare, WhatIsShedHereIsShedElsewhere)
+/* All targets shed half of their requests, which hosts don't report to each
+   other. */
+TEST (UnservedShare, ShedRequestsAreAssumedAtOtherHostsToo)
 {
   unserved_share share = {};
   for (int i = 0; i < 100; i++)
@@ -91,8 +91,9 @@
   EXPECT_NEAR (unserved_share_value (&share, 0), 0.5, 0.001);
 }
 
-/* What this host refuses for quotas, the others refuse as well. */
-TEST (ServedShare, RefusalsAreTakenForThoseOfAll)
+/* The other hosts are assumed to refuse as many requests for quotas as this
+   one. */
+TEST (UnservedShare, RefusalsAreAssumedAtOtherHostsToo)
 {
   unserved_share share = {};
   for (int i = 0; i < 100; i++)
--- a/policy/choice/tests/used_targets_test.cc
+++ b/policy/choice/tests/used_targets_test.cc
@@ -7,60 +7,61 @@
 namespace
 {
 
-/* Two targets get all work, and one request in eight fails there.  The third
- * failed two seconds ago and is good again, but nobody knows: what is heard
- * of the two is newer each time.  While so much fails, it must get its turn if
- * the operator wants a share of the targets in use. */
-TEST_F (service_policy_test, unused_targets_get_their_turn_while_many_fail)
+/* Two targets get all requests, and one in eight fails there.  The third
+   failed two seconds ago and has recovered, but it looks worse, as the
+   outcomes of the other two are newer.  While so many requests fail, it
+   must be used if the operator wants a share of the targets in use. */
+TEST_F (service_policy_test, unused_targets_are_used_while_many_fail)
 {
-  for (const uint32_t wanted : { 70, 0 })
+  for (const uint32_t used_percent : { 70, 0 })
     {
-      start (3, 3, 100, wanted);
-      const int64_t begun = now;
+      start (3, 3, 100, used_percent);
+      const int64_t started = now;
       service_policy_remote_outcome (policy, now, 2, ATTEMPT_FAILED);
       service_policy_remote_outcome (policy, now, 2, ATTEMPT_FAILED);
-      bool had_turn = false;
-      for (int i = 0; now < begun + 1800000; i++)
+      bool was_used = false;
+      for (int i = 0; now < started + 1800000; i++)
         {
           now += 30000;
-          const uint32_t t = ask (false).target;
-          had_turn = had_turn || t == 2;
+          const uint32_t t = admit (false).target;
+          was_used = was_used || t == 2;
           const policy_outcome o
               = { t, i % 8 == 0 ? ATTEMPT_CUT : ATTEMPT_ANSWERED, 10000,
                   false };
           service_policy_outcome (policy, now, &o);
         }
-      EXPECT_EQ (had_turn, wanted > 0);
+      EXPECT_EQ (was_used, used_percent > 0);
       service_policy_destroy (policy);
       policy = nullptr;
     }
 }
 
-/* Five of ten targets failed some seconds ago; the other five do all of the
- * disbursements since, without a fault.  Then all hosts lose power: what was
- * under way fails, an eighth of the last seconds' requests, and of the targets
- * that are good again most had been idle.  No host could spread the load
- * after it, so the share must be in use before. */
-TEST_F (service_policy_test, what_may_run_once_uses_the_wanted_share_always)
+/* Five of ten targets failed some seconds ago; since then the other five
+   have served all unrepeatable requests without failures.  Then all hosts
+   lose power: the requests in flight fail, an eighth of those of the last
+   seconds, and most of the recovered targets were idle.  As no host is left
+   to spread the load afterwards, the share must be in use before. */
+TEST_F (service_policy_test,
+        unrepeatable_requests_always_use_the_required_share)
 {
-  for (const uint32_t wanted : { 70, 0 })
+  for (const uint32_t used_percent : { 70, 0 })
     {
-      start (10, 3, 100, wanted);
+      start (10, 3, 100, used_percent);
       for (uint32_t t = 0; t < 5; t++)
         service_policy_remote_outcome (policy, now, t, ATTEMPT_FAILED);
-      const int64_t begun = now;
+      const int64_t started = now;
       std::vector<bool> used (10, false);
-      while (now < begun + 5000000)
+      while (now < started + 5000000)
         {
           now += 10000;
-          const uint32_t t = ask (false).target;
-          if (now > begun + 3000000)
+          const uint32_t t = admit (false).target;
+          if (now > started + 3000000)
             used[t] = true;
           const policy_outcome o = { t, ATTEMPT_ANSWERED, 10000, false };
           service_policy_outcome (policy, now, &o);
         }
       const auto count = std::count (used.begin (), used.end (), true);
-      if (wanted > 0)
+      if (used_percent > 0)
         EXPECT_GE (count, 7);
       else
         EXPECT_LT (count, 7);
@@ -69,10 +70,10 @@
     }
 }
 
-/* Five of ten targets fail: other hosts tell all the time that their attempts
- * there timed out, which began seconds ago.  Nobody sends them anything now,
- * and they are good again. */
-TEST_F (service_policy_test, old_attempts_of_others_are_no_use_of_a_target)
+/* Five of ten targets fail.  Other hosts keep reporting timeouts of
+   attempts that started seconds ago.  No host sends them requests now, and
+   they have recovered. */
+TEST_F (service_policy_test, ends_of_old_attempts_are_not_use)
 {
   start (10, 3, 100, 70);
   std::set<uint32_t> used;
@@ -82,7 +83,7 @@
       if (i % 50 == 0)
         for (uint32_t t = 0; t < 5; t++)
           service_policy_remote_outcome (policy, now, t, ATTEMPT_TIMED_OUT);
-      const uint32_t t = ask (false).target;
+      const uint32_t t = admit (false).target;
       if (i >= 300)
         used.insert (t);
       const policy_outcome o = { t, ATTEMPT_ANSWERED, 10000, false };
@@ -91,9 +92,9 @@
   EXPECT_GE (used.size (), 7u);
 }
 
-/* The host whose subset a target is in can't reach it, and says so.  It gets
- * nothing from anybody, though all but that host could use it: they do. */
-TEST_F (service_policy_test, targets_that_their_host_cannot_reach_are_visited)
+/* The host whose subset a target is in reports that it can't reach it.  All
+   other hosts can, so they must use the target instead. */
+TEST_F (service_policy_test, targets_unreachable_by_their_host_are_used)
 {
   start (1, 1, 100, 70);
   std::vector<policy_target> targets;
@@ -110,18 +111,17 @@
       for (int host = 1; host < 6; host++)
         if (i >= 200 && i < 400 && i % 100 == 0)
           service_policy_remote_outcome (policy, now, 5, ATTEMPT_NOT_SENT);
-      const uint32_t t = ask (false).target;
+      const uint32_t t = admit (false).target;
       used[i / 200].insert (t);
-      end (t, ATTEMPT_ANSWERED);
+      end_attempt (t, ATTEMPT_ANSWERED);
     }
   EXPECT_EQ (used[0].count (5), 0u);
   EXPECT_EQ (used[1].count (5), 1u);
 }
 
-/* Guards against targets left idle while a third of a service's requests are
- * refused for a quota: no attempt fails, so nothing else says that the share
- * must grow. */
-TEST_F (service_policy_test, requests_spread_further_while_a_third_is_refused)
+/* A third of a service's requests is refused for a quota, so no attempt
+   fails.  Targets would stay idle if the refusals didn't raise the share. */
+TEST_F (service_policy_test, more_targets_are_used_while_a_third_is_refused)
 {
   for (const bool refused : { true, false })
     {
@@ -133,10 +133,10 @@
       for (int i = 0; i < 175; i++)
         {
           now += 20000;
-          const uint32_t t = ask (false).target;
+          const uint32_t t = admit (false).target;
           if (i >= 75)
             used.insert (t);
-          end (t, ATTEMPT_ANSWERED);
+          end_attempt (t, ATTEMPT_ANSWERED);
           if (refused && i % 2 == 0)
             service_policy_note_refusal (policy, now);
         }
@@ -146,36 +146,37 @@
     }
 }
 
-/* Guards against targets left idle by repeatable requests while all is well: a
- * loss of power of the hosts then fails what was under way at the others. */
-TEST_F (service_policy_test, repeatable_requests_use_nearly_all_targets_always)
+/* Repeatable requests must not leave targets idle while nothing fails: if
+   the hosts lose power, the requests in flight at the other targets fail. */
+TEST_F (service_policy_test, repeatable_requests_always_use_nearly_all_targets)
 {
-  for (const uint32_t wanted : { 70, 0 })
+  for (const uint32_t used_percent : { 70, 0 })
     {
-      start (20, 3, 100, wanted);
+      start (20, 3, 100, used_percent);
       for (uint32_t t = 0; t < 14; t++)
         service_policy_remote_outcome (policy, now, t, ATTEMPT_FAILED);
-      std::vector<uint32_t> got;
+      std::vector<uint32_t> sent_to;
       for (int i = 0; i < 300; i++)
         {
           now += 20000;
-          got.push_back (ask (true).target);
-          end (got.back (), ATTEMPT_ANSWERED);
+          sent_to.push_back (admit (true).target);
+          end_attempt (sent_to.back (), ATTEMPT_ANSWERED);
         }
-      /* Within any two seconds, once there was a second and a half for it. */
-      size_t least = 20;
-      for (auto from = got.begin () + 75; from + 100 <= got.end (); from++)
-        least
-            = std::min (least, std::set<uint32_t> (from, from + 100).size ());
-      EXPECT_EQ (least >= 19, wanted > 0) << least;
+      /* Within any two seconds, after an initial 1.5 s. */
+      size_t least_used = 20;
+      for (auto from = sent_to.begin () + 75; from + 100 <= sent_to.end ();
+           from++)
+        least_used = std::min (least_used,
+                               std::set<uint32_t> (from, from + 100).size ());
+      EXPECT_EQ (least_used >= 19, used_percent > 0) << least_used;
       service_policy_destroy (policy);
       policy = nullptr;
     }
 }
 
-/* Guards against second attempts that are spent on visits to ill targets:
- * nothing makes their failures good. */
-TEST_F (service_policy_test, only_what_can_be_made_good_visits_ill_targets)
+/* Second attempts must not be sent to unhealthy targets, since their
+   failures can't be recovered. */
+TEST_F (service_policy_test, only_retryable_attempts_probe_unhealthy_targets)
 {
   start (20, 3, 100, 70);
   for (uint32_t t = 0; t < 19; t++)
@@ -198,9 +199,9 @@
              POLICY_REASON_TRICKLE);
 }
 
-/* Guards against targets that get nothing from the moment at which the host
- * whose subset they are in is killed until the others see that. */
-TEST_F (service_policy_test, targets_of_another_hosts_subset_are_visited_late)
+/* When a host is killed, the targets of its subset must not stay without
+   requests until the other hosts notice. */
+TEST_F (service_policy_test, targets_of_other_subsets_are_used_later)
 {
   start (1, 1, 100, 70);
   std::vector<policy_target> targets;
@@ -210,44 +211,45 @@
       = { 1, 100, 1000000, { 20, 3, 0.3, 3 }, 3, false, 50, 70, 3 };
   service_policy_configure (policy, &options);
   service_policy_set_targets (policy, now, targets.data (), targets.size ());
-  std::set<uint32_t> visited;
+  std::set<uint32_t> probed;
   for (int i = 0; i < 1200; i++)
     {
       now += 10000;
-      const policy_decision d = ask (true);
-      end (d.target, ATTEMPT_ANSWERED);
-      /* The other hosts tell for six seconds of what they send. */
+      const policy_decision d = admit (true);
+      end_attempt (d.target, ATTEMPT_ANSWERED);
+      /* The other hosts report their attempts for six seconds. */
       for (uint32_t t = 4; t < 12 && i < 600; t++)
         if (i % 100 == 0)
           service_policy_remote_outcome (policy, now, t, ATTEMPT_ANSWERED);
-      const bool is_visit = d.reason == POLICY_REASON_TRICKLE;
-      EXPECT_FALSE (i < 600 && is_visit && d.target >= 4) << i;
+      const bool is_probe = d.reason == POLICY_REASON_TRICKLE;
+      EXPECT_FALSE (i < 600 && is_probe && d.target >= 4) << i;
       if (i >= 900)
-        visited.insert (d.target);
+        probed.insert (d.target);
     }
-  EXPECT_GE (visited.size (), 11u);
+  EXPECT_GE (probed.size (), 11u);
 }
 
-/* Reads may be tried twice, and one in five attempts fails at the same few
- * targets that get all of them; the rest have been idle for seconds.  Second
- * tries fail as well, so callers do without an answer while good targets do
- * nothing. */
-TEST_F (service_policy_test, what_may_be_repeated_spreads_while_a_fifth_fails)
+/* Repeatable requests may be attempted twice.  One in five attempts fails
+   at the few targets that get all of them, while the others have been idle
+   for seconds.  Second attempts fail too, so callers get no response
+   although healthy targets are idle. */
+TEST_F (service_policy_test, repeatable_requests_spread_while_a_fifth_fails)
 {
   start (20, 3, 100, 70);
   for (uint32_t t = 0; t < 14; t++)
     service_policy_remote_outcome (policy, now, t, ATTEMPT_FAILED);
-  std::vector<uint32_t> got;
+  std::vector<uint32_t> sent_to;
   for (int i = 0; i < 300; i++)
     {
       now += 20000;
-      got.push_back (ask (true).target);
-      end (got.back (), i % 5 == 0 ? ATTEMPT_NOT_SENT : ATTEMPT_ANSWERED);
+      sent_to.push_back (admit (true).target);
+      end_attempt (sent_to.back (),
+                   i % 5 == 0 ? ATTEMPT_NOT_SENT : ATTEMPT_ANSWERED);
     }
-  /* Within any two seconds, once there was a second and a half to see it. */
-  for (auto from = got.begin () + 75; from + 100 <= got.end (); from++)
+  /* Within any two seconds, after an initial 1.5 s. */
+  for (auto from = sent_to.begin () + 75; from + 100 <= sent_to.end (); from++)
     EXPECT_GE (std::set<uint32_t> (from, from + 100).size (), 14u)
-        << from - got.begin ();
+        << from - sent_to.begin ();
 }
 
 }
--- a/policy/choice/tests/wait_queue_test.cc
+++ b/policy/choice/tests/wait_queue_test.cc
@@ -12,16 +12,17 @@
 namespace
 {
 
-struct listed
+struct expected_entry
 {
   uint64_t id;
-  int64_t give_up;
+  int64_t expires;
   bool repeatable;
   uint32_t bytes;
 };
 
-/* Against a plain list, over random pushes, removals and new bounds. */
-TEST (wait_queue, is_the_same_as_a_list)
+/* Compares the queue with a plain list over random pushes, removals and
+   limits. */
+TEST (wait_queue, matches_a_list)
 {
   struct rng rng;
   rng_seed (&rng, 11);
@@ -30,25 +31,25 @@
   wait_queue_set_limits (&q, 8, 500);
   uint32_t count_bound = 8;
   uint32_t bytes_bound = 500;
-  std::vector<listed> list;
+  std::vector<expected_entry> list;
   for (uint64_t id = 1; id < 200000; id++)
     {
-      uint64_t held = 0;
+      uint64_t queued_bytes = 0;
       for (auto &l : list)
-        held += l.bytes;
+        queued_bytes += l.bytes;
       const uint32_t bytes = (uint32_t)rng_below (&rng, 100);
-      const bool room
-          = list.size () < count_bound && held + bytes <= bytes_bound;
-      ASSERT_EQ (wait_queue_has_space (&q, bytes), room) << "step " << id;
-      if (room && rng_below (&rng, 2) == 0)
+      const bool has_space
+          = list.size () < count_bound && queued_bytes + bytes <= bytes_bound;
+      ASSERT_EQ (wait_queue_has_space (&q, bytes), has_space) << "step " << id;
+      if (has_space && rng_below (&rng, 2) == 0)
         {
           policy_request r = {};
           r.id = id;
           r.queued_bytes = bytes;
           r.repeatable = rng_below (&rng, 2) == 0;
-          const auto give_up = (int64_t)rng_below (&rng, 1000);
-          wait_queue_push (&q, &r, give_up, 0);
-          list.push_back ({ id, give_up, r.repeatable, bytes });
+          const auto expires = (int64_t)rng_below (&rng, 1000);
+          wait_queue_push (&q, &r, expires, 0);
+          list.push_back ({ id, expires, r.repeatable, bytes });
         }
       else if (!list.empty ())
         {
@@ -65,7 +66,7 @@
       ASSERT_EQ (q.count, list.size ());
       int64_t first = INT64_MAX;
       for (auto &l : list)
-        first = std::min (first, l.give_up);
+        first = std::min (first, l.expires);
       const uint32_t top = wait_queue_next_expiring (&q);
       ASSERT_EQ (top == WAIT_QUEUE_NONE, list.empty ());
       if (top == WAIT_QUEUE_NONE)
