--- a/policy/choice/chooser.c
+++ b/policy/choice/chooser.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  DEFAULT_LATENCY_US = 1000, /* latency of a target offset any sample */
+  DEFAULT_LATENCY_US = 1000, /* latency of a target before any sample */
   FAILURE_COST = 2, /* cost of a failure in latencies, for another attempt */
   FAILURE_COST_UNREPEATABLE = 24,
 };
