--- a/node/caller/address_answer.c
+++ b/node/caller/address_answer.c
@@ -142,7 +142,7 @@
       const struct local_response error
           = { .outcome = REQUEST_OUTCOME_NOT_RUN,
               .reason = "no-host",
-              .message = "no host is available now: ask another host",
+              .message = "no host can be handed out now: ask another host",
               .retry_after_ms = NO_HOST_RETRY_AFTER_MS };
       return queue_error (context, connection, MHD_HTTP_SERVICE_UNAVAILABLE,
                           &error);
@@ -196,7 +196,7 @@
   if (strcmp (method, "GET") != 0)
     {
       error.reason = "method";
-      strcpy (error.message, "use GET to request addresses");
+      strcpy (error.message, "addresses are asked for with GET");
       return queue_error (context, connection, MHD_HTTP_METHOD_NOT_ALLOWED,
                           &error);
     }
@@ -204,8 +204,8 @@
     {
       error.reason = "no-service";
       snprintf (error.message, sizeof error.message,
-                "no service is named: add ?%s=NAME, or the host name of its "
-                "requests as ?%s=NAME",
+                "name the service: ?%s=NAME, or the host of its requests: "
+                "?%s=NAME",
                 context->interface->service_parameter,
                 context->interface->host_parameter);
       return queue_error (context, connection, MHD_HTTP_BAD_REQUEST, &error);
@@ -219,12 +219,13 @@
         context, connection, MHD_HTTP_SERVICE_UNAVAILABLE,
         &(struct local_response){ .outcome = REQUEST_OUTCOME_NOT_RUN,
                                   .reason = "no-settings",
-                                  .message = "this host has no settings yet: "
-                                             "ask another host",
+                                  .message
+                                  = "this host doesn't know its settings yet: "
+                                    "ask another host",
                                   .retry_after_ms = NO_HOST_RETRY_AFTER_MS });
   error.reason = "unknown-service";
   snprintf (error.message, sizeof error.message,
-            "no service in force at this host matches ?%s=NAME or "
+            "no service in force at this host was named by ?%s=NAME or "
             "?%s=NAME: check the name or declare the service",
             context->interface->service_parameter,
             context->interface->host_parameter);
--- a/node/caller/caller_task.c
+++ b/node/caller/caller_task.c
@@ -272,7 +272,7 @@
   if (address_answer_matches_uri (&task->context, path))
     return address_answer_queue (&task->context, connection, method);
   return plain_server_reply (connection, MHD_HTTP_NOT_FOUND, "text/plain",
-                             "only address requests are served here\n");
+                             "ask for addresses here\n");
 }
 
 static enum status
--- a/node/caller/exchange.c
+++ b/node/caller/exchange.c
@@ -392,13 +392,12 @@
           .outcome = exchange_outcome (x),
           .reason = reason,
           .retry_after_ms = x->may_have_run ? 0 : retry_after_ms };
-  snprintf (
-      response.message, sizeof response.message, "%s",
-      x->may_have_run
-          ? "no target responded in time: find out whether the "
-            "request has run before sending it again"
-          : "no target accepted the request in time: send it again later "
-            "or with a longer deadline");
+  snprintf (response.message, sizeof response.message, "%s",
+            x->may_have_run
+                ? "no target's answer came in time: find out whether the "
+                  "request has run before sending it again"
+                : "no target took the request in time: send it again later "
+                  "or with more time");
   exchange_respond_locally (x, &response);
 }
 
--- a/node/caller/exchange_access.c
+++ b/node/caller/exchange_access.c
@@ -21,11 +21,11 @@
     case REQUEST_KEY_NONE:
       return "this route needs a key: send \"Authorization: Bearer KEY\"";
     case REQUEST_KEY_MALFORMED:
-      return "Authorization is malformed: send it once, as \"Bearer KEY\"";
+      return "Authorization can't be read: send it once, as \"Bearer KEY\"";
     case REQUEST_KEY_GIVEN:
       break;
     }
-  return "the key is unknown: ask the workspace's owner for a valid one";
+  return "the key isn't known: ask the workspace's owner for one in force";
 }
 
 static const char *
@@ -67,11 +67,10 @@
 static void
 refuse_stale (struct exchange *x)
 {
-  exchange_refuse (
-      x, MHD_HTTP_SERVICE_UNAVAILABLE, "config-not-fresh",
-      STALE_RETRY_AFTER_MS,
-      "this host can't verify at present which keys are in force: retry "
-      "after the time given, or use another host");
+  exchange_refuse (x, MHD_HTTP_SERVICE_UNAVAILABLE, "config-not-fresh",
+                   STALE_RETRY_AFTER_MS,
+                   "this host can't tell now which keys are in force: come "
+                   "back after the time given, or ask another one");
 }
 
 /* A proof arrives within milliseconds if it arrives at all.  After the first
--- a/node/caller/exchange_attempt.c
+++ b/node/caller/exchange_attempt.c
@@ -149,10 +149,9 @@
   response.retry_after_ms
       = unknown ? 0 : retry_after_ms (x, DEFAULT_RETRY_AFTER_MS);
   snprintf (response.message, sizeof response.message, "%s: %.120s",
-            unknown
-                ? "the response was lost, find out whether the request has "
-                  "run before sending it again"
-                : "no target accepted the request, send it again later",
+            unknown ? "the answer was lost, find out whether the request has "
+                      "run before sending it again"
+                    : "no target took the request, send it again later",
             message);
   exchange_respond_locally (x, &response);
 }
@@ -291,9 +290,9 @@
     response.status = MHD_HTTP_BAD_GATEWAY;
   snprintf (response.message, sizeof response.message, "%s",
             response.outcome == REQUEST_OUTCOME_UNKNOWN
-                ? "an attempt was lost and no retry is allowed: find out "
+                ? "an attempt was lost and none further is allowed: find out "
                   "whether it has run before sending it again"
-                : "the service can't accept the request now: retry after "
+                : "the service can't take the request now: come back after "
                   "the time given, or ask for other addresses");
   exchange_respond_locally (x, &response);
 }
@@ -424,8 +423,8 @@
   const char *error = response_check_error (x);
   if (error != NULL || response_check_is_unsigned_refusal (x))
     {
-      discard_response (
-          x, error != NULL ? error : "the target sent no complete response");
+      discard_response (x, error != NULL ? error
+                                         : "the target gave no whole answer");
       return;
     }
   if (buffers_whole_response (x))
--- a/node/caller/exchange_caller.c
+++ b/node/caller/exchange_caller.c
@@ -198,7 +198,7 @@
                                      .outcome = exchange_outcome (x),
                                      .reason = "body-too-large" };
   strcpy (response.message,
-          "the body is larger than the service allows: send less");
+          "the body is larger than the service takes: send less");
   exchange_respond_locally (x, &response);
 }
 
--- a/node/caller/exchange_poison.c
+++ b/node/caller/exchange_poison.c
@@ -58,7 +58,7 @@
             unknown ? "targets crashed while they ran this request: find out "
                       "whether it has run, and don't send it again unchanged"
                     : "targets crashed while they ran this request: change "
-                      "it, or retry after the time given");
+                      "it, or come back after the time given");
   exchange_respond_locally (x, &local);
 }
 
@@ -66,7 +66,7 @@
 refuse_late_body (struct exchange *x)
 {
   exchange_refuse (x, MHD_HTTP_REQUEST_TIMEOUT, "body-late", 0,
-                   "the body didn't arrive in time: send the request again");
+                   "the body didn't come in time: send the request again");
 }
 
 bool
--- a/node/caller/exchange_quota.c
+++ b/node/caller/exchange_quota.c
@@ -21,8 +21,8 @@
   exchange_refuse (
       x, MHD_HTTP_TOO_MANY_REQUESTS, "over-quota",
       quota_client_next_token_ms (x->context->quotas, x->workspace_key),
-      "the workspace exceeds its quota: retry after "
-      "the time given, or ask for a higher quota");
+      "the workspace sends more than its quota: come back after "
+      "the time given, or ask for a higher one");
 }
 
 /* Used when no quota coordinator can say how much of the quota is used.  No
@@ -33,8 +33,9 @@
   exchange_refuse (
       x, MHD_HTTP_SERVICE_UNAVAILABLE, "quota-not-known",
       QUOTA_UNKNOWN_RETRY_AFTER_MS,
-      "this host can't determine at present how much of the workspace's "
-      "quota is used: retry after the time given, or use another host");
+      "this host can't tell now how much of the workspace's quota "
+      "is used: come back after the time given, or ask another "
+      "one");
 }
 
 /* Limits how long requests are held for a token that doesn't come: the waits
--- a/node/caller/exchange_start.c
+++ b/node/caller/exchange_start.c
@@ -26,7 +26,7 @@
 {
   char message[LOCAL_RESPONSE_MESSAGE_SIZE];
   snprintf (message, sizeof message,
-            "no route matches %.16s %.100s: check host, path and method",
+            "no route takes %.16s %.100s: check host, path and method",
             x->head.method, x->head.path);
   exchange_refuse (x, MHD_HTTP_NOT_FOUND, "no-route", 0, message);
 }
@@ -39,8 +39,8 @@
 {
   exchange_refuse (x, MHD_HTTP_SERVICE_UNAVAILABLE, reason,
                    SETTINGS_RETRY_AFTER_MS,
-                   "this host has not received its settings yet: retry after "
-                   "the time given or use another host");
+                   "this host doesn't know its settings yet: come back after "
+                   "the time given or ask another one");
 }
 
 static void
@@ -116,7 +116,7 @@
     {
       snprintf (message, sizeof message,
                 "the request's head is larger than %u bytes: send fewer or "
-                "shorter header fields",
+                "shorter fields",
                 head_bytes);
       exchange_refuse (x, MHD_HTTP_REQUEST_HEADER_FIELDS_TOO_LARGE,
                        "head-too-large", 0, message);
@@ -144,9 +144,8 @@
   x->deadline_us = x->started_us + remaining_ms * US_PER_MS;
   if (remaining_ms > 0)
     return true;
-  exchange_refuse (
-      x, MHD_HTTP_GATEWAY_TIMEOUT, "deadline", 0,
-      "the request arrived with no time left: send it with a longer deadline");
+  exchange_refuse (x, MHD_HTTP_GATEWAY_TIMEOUT, "deadline", 0,
+                   "the request came with no time left: send it with more");
   return false;
 }
 
--- a/node/caller/exchange_ticket.c
+++ b/node/caller/exchange_ticket.c
@@ -35,17 +35,16 @@
       = ticket_issuer_status (x->context->tickets, ticket->sequence);
   if (claim == TICKET_CLAIM_DUPLICATE_ANSWERED)
     snprintf (response.message, sizeof response.message,
-              "this ticket has been run, with response status %u: don't "
+              "this ticket has been run and answered with status %u: don't "
               "send it again",
               status);
   else if (claim == TICKET_CLAIM_DUPLICATE_RUNNING)
     snprintf (response.message, sizeof response.message,
-              "this ticket is being run: wait for the response to the first "
-              "request");
+              "this ticket is being run: wait for its own answer");
   else
     snprintf (response.message, sizeof response.message,
-              "this ticket may have been run: find out before sending "
-              "the request with a new one");
+              "this ticket has perhaps been run: find out before asking for "
+              "the same with a new one");
   if (claim == TICKET_CLAIM_DUPLICATE_RUNNING)
     response.retry_after_ms = TICKET_RUNNING_RETRY_AFTER_MS;
   exchange_respond_locally (x, &response);
@@ -55,12 +54,13 @@
 refuse_ticket (struct exchange *x, enum ticket_claim claim)
 {
   if (claim == TICKET_CLAIM_FULL)
-    exchange_refuse (x, MHD_HTTP_SERVICE_UNAVAILABLE, "tickets-full",
-                     TICKETS_FULL_RETRY_AFTER_MS,
-                     "too many tickets are in use at this host: retry later");
+    exchange_refuse (
+        x, MHD_HTTP_SERVICE_UNAVAILABLE, "tickets-full",
+        TICKETS_FULL_RETRY_AFTER_MS,
+        "too many tickets are in use at this host: come back later");
   else
     exchange_refuse (x, MHD_HTTP_BAD_REQUEST, "ticket-forged", 0,
-                     "this ticket was never issued: use one from an "
+                     "this ticket was never handed out: take one from an "
                      "address answer");
 }
 
@@ -75,9 +75,9 @@
     exchange_relay (x, ticket->host, address);
   else
     respond_unknown (x, MHD_HTTP_BAD_GATEWAY, "ticket-elsewhere",
-                     "the host that issued this ticket can't be reached "
-                     "from here: find out whether it has run before sending "
-                     "the request with a new one");
+                     "the host that handed out this ticket can't be reached "
+                     "from here: find out whether it has run before asking "
+                     "for the same with a new one");
 }
 
 bool
@@ -106,7 +106,7 @@
                        claim == TICKET_CLAIM_EXPIRED ? "ticket-expired"
                                                      : "ticket-restarted",
                        "this host no longer knows the ticket: find out "
-                       "whether it has run before sending the request with a "
+                       "whether it has run before asking for the same with a "
                        "new one");
       return false;
     case TICKET_CLAIM_FORGED:
--- a/node/caller/header_list.c
+++ b/node/caller/header_list.c
@@ -63,7 +63,7 @@
   if (list->used_bytes + name_size + value_size + 2 > LIST_BYTES_MAX)
     return status_set (STATUS_LIMIT,
                        "header fields are larger than %d bytes: send fewer "
-                       "or shorter fields",
+                       "or shorter ones",
                        LIST_BYTES_MAX);
   if (list->count == list->capacity)
     {
--- a/node/caller/request_head.c
+++ b/node/caller/request_head.c
@@ -47,7 +47,7 @@
   const long long value = strtoll (text, &end, 10);
   if (!isdigit ((unsigned char)text[0]) || *end != '\0' || errno != 0)
     return status_set (STATUS_INVALID,
-                       "%s is not an integer: send digits only", name);
+                       "%s is not a whole number: send digits only", name);
   *number = value;
   return STATUS_OK;
 }
@@ -81,7 +81,7 @@
   const char *ticket = header_list_find (&head->headers, "Jaystair-Ticket");
   if (ticket != NULL && strlen (ticket) >= sizeof head->ticket)
     return status_set (STATUS_INVALID, "Jaystair-Ticket is too long: send a "
-                                       "ticket as it was issued");
+                                       "ticket as it was handed out");
   if (ticket != NULL)
     snprintf (head->ticket, sizeof head->ticket, "%s", ticket);
   head->relayed
--- a/node/caller/response_check.c
+++ b/node/caller/response_check.c
@@ -104,14 +104,14 @@
     {
       const char *echo = header_list_find (headers, interface->request_id);
       if (echo == NULL ? is_success : strcmp (echo, x->head.id) != 0)
-        return "the response belongs to another request";
+        return "the answer is another request's";
     }
   if (is_success && interface->signature != NULL
       && header_list_find (headers, interface->signature) == NULL)
-    return "the response has no signature";
+    return "the answer bears no signature";
   if (interface->rejects_content_coding
       && header_list_find (headers, "Content-Encoding") != NULL)
-    return "the response body has a content coding";
+    return "the answer's body is coded";
   return NULL;
 }
 
--- a/node/caller/route_path.c
+++ b/node/caller/route_path.c
@@ -28,7 +28,7 @@
 static enum status
 invalid_path (const char *problem)
 {
-  return status_set (STATUS_INVALID, "the path %s: send a normalized path",
+  return status_set (STATUS_INVALID, "the path %s: send it in plain form",
                      problem);
 }
 
@@ -71,16 +71,17 @@
       bool keep_escaped;
       const int c = next_char (&uri, &keep_escaped);
       if (c < 0)
-        return invalid_path ("contains a percent-encoding that targets may "
-                             "decode to another path");
+        return invalid_path (
+            "holds an escape that targets may read as another "
+            "path");
       if (c == '\\')
-        return invalid_path ("contains a backslash");
+        return invalid_path ("holds a backslash");
       if (used + 4 > size)
         return invalid_path ("is too long");
       if (c == '/' && !keep_escaped)
         {
           if (used > 0 && is_dot_segment (path, segment, used))
-            return invalid_path ("contains a dot segment");
+            return invalid_path ("holds a dot segment");
           if (used > 0 && path[used - 1] == '/')
             continue;
           path[used++] = '/';
@@ -97,7 +98,7 @@
         path[used++] = (char)c;
     }
   if (is_dot_segment (path, segment, used))
-    return invalid_path ("contains a dot segment");
+    return invalid_path ("holds a dot segment");
   path[used] = '\0';
   return STATUS_OK;
 }
--- a/node/caller/target_call.c
+++ b/node/caller/target_call.c
@@ -98,7 +98,7 @@
     return true;
   if (!read_length (call, &length))
     {
-      call->error = "the response has contradictory lengths";
+      call->error = "the answer contradicts itself on its length";
       return false;
     }
   call->head_reported = true;
@@ -142,7 +142,7 @@
     return end_of_head (call) ? total : 0;
   else if (!add_field (call, line, total))
     {
-      call->error = "the response's header fields are too large";
+      call->error = "the answer's header fields are too large";
       return 0;
     }
   return total;
