--- a/tests/harness/fleet.cc
+++ b/tests/harness/fleet.cc
@@ -162,6 +162,8 @@
       std::ofstream (folder_ + "/secret") << "a-key-for-this-fleet-only\n";
       out << "\"secret_file\": \"" << folder_ << "/secret\",\n";
     }
+  if (!options_.settings.empty ())
+    out << options_.settings << ",\n";
   out << "\"set_hosts_per_dc\": " << options_.set_hosts_per_dc << ",\n";
   out << "\"retry\": {" << options_.retry << "},\n";
   out << "\"times\": {" << options_.times << "} }\n";
@@ -216,9 +218,17 @@
 void
 Fleet::start_host (int number)
 {
+  const auto found = options_.programs.find (number);
   hosts[static_cast<size_t> (number - 1)]
       = std::make_unique<Process> (std::vector<std::string>{
-          JAYSTAIRD, "--settings", write_settings (number) });
+          found == options_.programs.end () ? JAYSTAIRD : found->second,
+          "--settings", write_settings (number) });
+}
+
+void
+Fleet::set_program (int number, const std::string &program)
+{
+  options_.programs[number] = program;
 }
 
 bool
@@ -232,12 +242,18 @@
 bool
 Fleet::declare (const std::string &service_json)
 {
-  const std::string url = platform_url ("/objects/service/holds");
+  return put_object ("service/holds", service_json);
+}
+
+bool
+Fleet::put_object (const std::string &path, const std::string &text)
+{
+  const std::string url = platform_url ("/objects/" + path);
   const HttpAnswer now = http_get (url);
   HttpRequest request;
   request.method = "PUT";
   request.url = url;
-  request.body = service_json;
+  request.body = text;
   request.headers
       = { now.status == 200
               ? "If-Match: \"" + json_at (now.body, "version") + "\""
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -54,6 +54,10 @@
    * "platform"), so that a relay can stand between. */
   std::map<std::string, std::string> through;
   bool secret = false;
+  /** Programs of hosts, by number, in place of this build's jaystaird. */
+  std::map<int, std::string> programs;
+  /** Members added to each host's settings, as JSON members. */
+  std::string settings;
 };
 
 class Fleet
@@ -66,6 +70,8 @@
    * (GET /calendar repeatable, POST /holds not), start the hosts and wait
    * until each serves it.  False with the reason on standard error. */
   bool start ();
+  /** Run PROGRAM from the host's next start on. */
+  void set_program (int number, const std::string &program);
 
   void start_platform ();
   void start_target (int number);
@@ -75,6 +81,8 @@
 
   /** Change the declared service by a write at the platform itself. */
   bool declare (const std::string &service_json);
+  /** Write an object at the platform itself, whatever version it has. */
+  bool put_object (const std::string &path, const std::string &text);
   /** The service "holds" as first declared. */
   std::string service_json () const;
 
