--- a/base/options.c
+++ b/base/options.c
@@ -47,7 +47,7 @@
                struct json_object *node)
 {
   *options = (struct options){ .file = file, .node = node };
-  snprintf (options->place, sizeof options->place, "%s", place);
+  snprintf (options->path, sizeof options->path, "%s", place);
   if (json_object_is_type (node, json_type_object))
     return;
   char found[FOUND_SIZE];
@@ -70,8 +70,8 @@
   va_start (args, format);
   vsnprintf (what, sizeof what, format, args);
   va_end (args);
-  char place[sizeof options->place];
-  join_place (place, sizeof place, options->place, key);
+  char place[sizeof options->path];
+  join_place (place, sizeof place, options->path, key);
   options->status
       = status_set (STATUS_INVALID, "%s: %s: %s", options->file, place, what);
 }
@@ -82,8 +82,8 @@
 {
   if (options->status != STATUS_OK)
     return NULL;
-  if (options->asked_count < OPTIONS_MEMBERS_MAX)
-    options->asked[options->asked_count++] = key;
+  if (options->known_count < OPTIONS_MEMBERS_MAX)
+    options->known_keys[options->known_count++] = key;
   struct json_object *node = NULL;
   json_object_object_get_ex (options->node, key, &node);
   return node;
@@ -133,8 +133,8 @@
       fail_found (parent, key, "an object { ... }", node);
       return false;
     }
-  char place[sizeof parent->place];
-  join_place (place, sizeof place, parent->place, key);
+  char place[sizeof parent->path];
+  join_place (place, sizeof place, parent->path, key);
   options_begin (child, parent->file, place, node);
   return true;
 }
@@ -165,10 +165,10 @@
                  struct json_object *array, size_t index,
                  struct options *child)
 {
-  char name[sizeof parent->place];
-  char place[sizeof parent->place];
+  char name[sizeof parent->path];
+  char place[sizeof parent->path];
   snprintf (name, sizeof name, "%s[%zu]", key, index);
-  join_place (place, sizeof place, parent->place, name);
+  join_place (place, sizeof place, parent->path, name);
   options_begin (child, parent->file, place,
                  json_object_array_get_idx (array, index));
 }
@@ -357,8 +357,8 @@
 static bool
 was_asked (const struct options *options, const char *key)
 {
-  for (size_t i = 0; i < options->asked_count; i++)
-    if (strcmp (options->asked[i], key) == 0)
+  for (size_t i = 0; i < options->known_count; i++)
+    if (strcmp (options->known_keys[i], key) == 0)
       return true;
   return false;
 }
@@ -375,9 +375,9 @@
       continue;
     char known[256] = "";
     size_t used = 0;
-    for (size_t i = 0; i < options->asked_count && used < sizeof known; i++)
+    for (size_t i = 0; i < options->known_count && used < sizeof known; i++)
       used += (size_t)snprintf (known + used, sizeof known - used, "%s%s",
-                                i > 0 ? ", " : "", options->asked[i]);
+                                i > 0 ? ", " : "", options->known_keys[i]);
     options_fail (options, key, "no such option; known here: %s", known);
     break;
   }
@@ -385,7 +385,7 @@
 }
 
 void
-options_close (struct options *parent, struct options *child)
+options_end_child (struct options *parent, struct options *child)
 {
   const enum status status = options_end (child);
   if (parent->status == STATUS_OK)
--- a/base/options.h
+++ b/base/options.h
@@ -26,10 +26,10 @@
 struct options
 {
   const char *file;         /**< what messages call the source */
-  char place[160];          /**< path of this object; "" at the top */
+  char path[160];           /**< path of this object; "" at the top */
   struct json_object *node; /**< borrowed */
-  const char *asked[OPTIONS_MEMBERS_MAX];
-  size_t asked_count;
+  const char *known_keys[OPTIONS_MEMBERS_MAX];
+  size_t known_count;
   enum status status;
 };
 
@@ -104,6 +104,6 @@
 enum status options_end (struct options *options);
 
 /** options_end() of CHILD, whose failure becomes PARENT's. */
-void options_close (struct options *parent, struct options *child);
+void options_end_child (struct options *parent, struct options *child);
 
 #endif
--- a/base/rng.c
+++ b/base/rng.c
@@ -64,7 +64,7 @@
 }
 
 void
-rng_secret (void *buffer, size_t size)
+rng_secure_bytes (void *buffer, size_t size)
 {
   if (getrandom (buffer, size, 0) != (ssize_t)size)
     abort ();
--- a/base/rng.h
+++ b/base/rng.h
@@ -1,6 +1,6 @@
 /** @file
  * A small seeded random source (xoshiro256** of Blackman and Vigna, seeded
- * by splitmix64).  Not for secrets: those come from rng_secret().
+ * by splitmix64).  Not for secrets: those come from rng_secure_bytes().
  */
 #ifndef BASE_RNG_H
 #define BASE_RNG_H
@@ -23,6 +23,6 @@
 /** Exponentially distributed with the given mean. */
 double rng_exponential (struct rng *rng, double mean);
 /** Fill SIZE bytes from the operating system's source. */
-void rng_secret (void *buffer, size_t size);
+void rng_secure_bytes (void *buffer, size_t size);
 
 #endif
--- a/base/tests/options_test.cc
+++ b/base/tests/options_test.cc
@@ -73,7 +73,7 @@
   ASSERT_TRUE (options_object (&top, "limits", true, &child));
   int64_t queue = 1;
   options_int (&child, "queue", 0, 9, &queue);
-  options_close (&top, &child);
+  options_end_child (&top, &child);
   EXPECT_EQ (options_end (&top), STATUS_INVALID);
   EXPECT_STREQ (status_message (),
                 "f.json: limits.queu: no such option; known here: queue");
--- a/bench/bench_platform.c
+++ b/bench/bench_platform.c
@@ -229,8 +229,8 @@
 }
 
 static void
-do_list (struct platform *platform, const char *kind, enum platform_age age,
-         platform_done *done, void *owner)
+do_list (struct platform *platform, const char *kind,
+         enum platform_read_mode age, platform_done *done, void *owner)
 {
   add (platform, &(struct call){ .verb = VERB_LIST,
                                  .kind = (char *)kind,
@@ -253,8 +253,8 @@
 
 static void
 do_watch (struct platform *platform, const char *kind, uint64_t revision,
-          uint32_t timeout_ms, enum platform_age age, platform_done *done,
-          void *owner)
+          uint32_t timeout_ms, enum platform_read_mode age,
+          platform_done *done, void *owner)
 {
   add (platform, &(struct call){ .verb = VERB_WATCH,
                                  .kind = (char *)kind,
--- a/bench/fleet_bench.cc
+++ b/bench/fleet_bench.cc
@@ -375,7 +375,7 @@
     doubled += run.second > 1;
   printf ("figure rolling_requests %zu requests\n", load.count ());
   printf ("figure rolling_requests_lost %zu requests\n",
-          load.count () - load.count_told (Told::ran));
+          load.count () - load.count_outcome (RequestOutcome::ran));
   printf ("figure rolling_requests_doubled %zu requests\n", doubled);
   printf ("# %s\n%s", load.summary ().c_str (), load.check ().c_str ());
 }
@@ -388,7 +388,7 @@
     fail ("the fleet didn't start");
   Load load (fleet, callers);
   const auto start = Clock::now ();
-  load.wait_more (requests_between);
+  load.wait_for_requests (requests_between);
   for (int number = 1; number <= rolling_hosts; number++)
     {
       Process &host = *fleet.hosts[static_cast<size_t> (number - 1)];
@@ -400,7 +400,7 @@
       fleet.start_host (number);
       if (!fleet.wait_serving (number))
         fail ("host " + std::to_string (number) + " doesn't serve again");
-      load.wait_more (requests_between);
+      load.wait_for_requests (requests_between);
     }
   load.stop ();
   printf ("figure rolling_ms_per_host %.0f ms\n",
--- a/bench/load_bench.c
+++ b/bench/load_bench.c
@@ -103,7 +103,7 @@
   print ("goodput_of_reference", of, 100 * (double)r->good / reference, "%");
   print ("refused", of, 100 * (double)r->refused / requests, "%");
   print ("refused_after_waiting", of,
-         100 * (double)r->refused_waiting / requests, "%");
+         100 * (double)r->refused_after_waiting / requests, "%");
   print ("failed", of, 100 * (double)r->failed / requests, "%");
   print ("failed_unrepeatable", of,
          100 * (double)r->failed_unrepeatable / requests, "%");
--- a/bench/load_run.c
+++ b/bench/load_run.c
@@ -122,7 +122,7 @@
       else
         {
           run->result.refused++;
-          run->result.refused_waiting += (uint64_t)s->waited;
+          run->result.refused_after_waiting += (uint64_t)s->waited;
         }
       break;
     }
--- a/bench/load_run.h
+++ b/bench/load_run.h
@@ -47,7 +47,7 @@
   uint64_t requests;
   uint64_t good; /**< answered well within the deadline */
   uint64_t refused;
-  uint64_t refused_waiting; /**< of them, after having waited */
+  uint64_t refused_after_waiting; /**< of them, after having waited */
   uint64_t failed;
   uint64_t failed_unrepeatable; /**< of them, sent, with no second try */
   uint64_t attempts;
--- a/bench/proxy_bench.c
+++ b/bench/proxy_bench.c
@@ -108,7 +108,7 @@
 shoot (struct bench *bench, struct way *way)
 {
   struct shot *shot = xcalloc (1, sizeof *shot);
-  CURL *easy = curl_loop_easy ();
+  CURL *easy = curl_loop_create_easy ();
   shot->bench = bench;
   shot->way = way;
   shot->started_us = clock_now_us ();
--- a/ctl/commands.c
+++ b/ctl/commands.c
@@ -5,9 +5,9 @@
 
 #include "base/xmalloc.h"
 #include "ctl/addresses.h"
-#include "ctl/explain.h"
+#include "ctl/explain_target.h"
 #include "ctl/json_member.h"
-#include "ctl/request_command.h"
+#include "ctl/explain_request.h"
 #include "ctl/show.h"
 #include "ctl/table_printer.h"
 
@@ -232,10 +232,10 @@
     {
     case STATEMENT_SHOW:
       return show_run (commands, statement);
-    case STATEMENT_EXPLAIN:
-      return explain_run (commands, statement);
+    case STATEMENT_EXPLAIN_TARGET:
+      return explain_target_run (commands, statement);
     case STATEMENT_EXPLAIN_REQUEST:
-      return request_command_run (commands, statement);
+      return explain_request_run (commands, statement);
     case STATEMENT_ADDRESSES:
       return addresses_run (commands, statement);
     case STATEMENT_COMMAND:
--- a/ctl/request_command.c
+++ b/ctl/explain_request.c
@@ -1,14 +1,14 @@
-#include "ctl/request_command.h"
+#include "ctl/explain_request.h"
 
 #include <errno.h>
 #include <string.h>
 
 #include "ctl/log_line.h"
-#include "ctl/request_story.h"
+#include "ctl/request_timeline.h"
 
 /* The host that a log is of, where its lines don't say: the file's name. */
 static void
-read_as_host (struct request_story *story, const char *path, FILE *file)
+read_as_host (struct request_timeline *story, const char *path, FILE *file)
 {
   static const char ending[] = ".log";
   const char *slash = strrchr (path, '/');
@@ -19,15 +19,15 @@
     length -= sizeof ending - 1;
   char host[LOG_LINE_WORD_SIZE];
   snprintf (host, sizeof host, "%.*s", (int)length, name);
-  request_story_read (story, host, file);
+  request_timeline_read (story, host, file);
 }
 
 static enum status
-read_file (struct request_story *story, const char *path)
+read_file (struct request_timeline *story, const char *path)
 {
   if (strcmp (path, "-") == 0)
     {
-      request_story_read (story, "input", stdin);
+      request_timeline_read (story, "input", stdin);
       return STATUS_OK;
     }
   FILE *file = fopen (path, "re");
@@ -42,7 +42,7 @@
 }
 
 static enum status
-read_all (struct request_story *story, const struct statement *statement)
+read_all (struct request_timeline *story, const struct statement *statement)
 {
   if (statement->file_count == 0)
     return read_file (story, "-");
@@ -57,15 +57,15 @@
 
 static enum exit_code
 tell (const struct commands *commands, const struct statement *statement,
-      const struct request_story *story)
+      const struct request_timeline *story)
 {
   if (commands->json)
     {
-      struct json_object *tree = request_story_json (story);
+      struct json_object *tree = request_timeline_json (story);
       commands_print_json (commands, tree);
       json_object_put (tree);
     }
-  if (!request_story_is_found (story))
+  if (!request_timeline_is_found (story))
     return commands_fail (
         commands,
         status_set (STATUS_NOT_FOUND,
@@ -73,20 +73,21 @@
                     "logs of all hosts, for the time of the request",
                     statement->request));
   if (!commands->json)
-    request_story_print (story, commands->out);
+    request_timeline_print (story, commands->out);
   return EXIT_CODE_DONE;
 }
 
 enum exit_code
-request_command_run (const struct commands *commands,
+explain_request_run (const struct commands *commands,
                      const struct statement *statement)
 {
-  struct request_story *story = request_story_create (statement->request);
+  struct request_timeline *story
+      = request_timeline_create (statement->request);
   const enum status status = read_all (story, statement);
-  request_story_finish (story);
+  request_timeline_finish (story);
   const enum exit_code code = status == STATUS_OK
                                   ? tell (commands, statement, story)
                                   : commands_fail (commands, status);
-  request_story_destroy (story);
+  request_timeline_destroy (story);
   return code;
 }
--- a/ctl/request_command.h
+++ b/ctl/explain_request.h
@@ -1,12 +1,12 @@
 /** @file
  * `explain request`: one request's story from the logs of hosts.
  */
-#ifndef CTL_REQUEST_COMMAND_H
-#define CTL_REQUEST_COMMAND_H
+#ifndef CTL_EXPLAIN_REQUEST_H
+#define CTL_EXPLAIN_REQUEST_H
 
 #include "ctl/commands.h"
 
-enum exit_code request_command_run (const struct commands *commands,
+enum exit_code explain_request_run (const struct commands *commands,
                                     const struct statement *statement);
 
 #endif
--- a/ctl/explain.c
+++ b/ctl/explain_target.c
@@ -1,4 +1,4 @@
-#include "ctl/explain.h"
+#include "ctl/explain_target.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -37,8 +37,8 @@
 {
   const struct filter filters[] = { equals ("target", statement->target),
                                     equals ("service", statement->service) };
-  return show_filter (json_member_array (reply, "rows"), filters,
-                      statement->service[0] == '\0' ? 1 : 2);
+  return show_filter_rows (json_member_array (reply, "rows"), filters,
+                           statement->service[0] == '\0' ? 1 : 2);
 }
 
 /** Rows on the target in a table that a host may lack. */
@@ -177,8 +177,8 @@
 }
 
 enum exit_code
-explain_run (const struct commands *commands,
-             const struct statement *statement)
+explain_target_run (const struct commands *commands,
+                    const struct statement *statement)
 {
   struct client_reply reply;
   enum exit_code code = commands_read_table (commands, "targets", &reply);
--- /dev/null
+++ b/ctl/explain_target.h
@@ -0,0 +1,12 @@
+/** @file
+ * `explain target`: all that a host believes of one target.
+ */
+#ifndef CTL_EXPLAIN_TARGET_H
+#define CTL_EXPLAIN_TARGET_H
+
+#include "ctl/commands.h"
+
+enum exit_code explain_target_run (const struct commands *commands,
+                                   const struct statement *statement);
+
+#endif
--- a/ctl/request_story.c
+++ b/ctl/request_timeline.c
@@ -1,4 +1,4 @@
-#include "ctl/request_story.h"
+#include "ctl/request_timeline.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -14,7 +14,7 @@
   size_t count;
 };
 
-struct request_story
+struct request_timeline
 {
   char *id;
   struct line_list own;     /**< of the request */
@@ -32,10 +32,10 @@
         "config-accepted", "serving",           "leave",
         "stale",           "log-withheld",      "log-lost" };
 
-struct request_story *
-request_story_create (const char *id)
+struct request_timeline *
+request_timeline_create (const char *id)
 {
-  struct request_story *story = xcalloc (1, sizeof *story);
+  struct request_timeline *story = xcalloc (1, sizeof *story);
   story->id = xstrdup (id);
   story->missing = json_object_new_array ();
   return story;
@@ -50,7 +50,7 @@
 }
 
 void
-request_story_destroy (struct request_story *story)
+request_timeline_destroy (struct request_timeline *story)
 {
   list_release (&story->own);
   list_release (&story->context);
@@ -78,8 +78,8 @@
 }
 
 void
-request_story_read (struct request_story *story, const char *source,
-                    FILE *file)
+request_timeline_read (struct request_timeline *story, const char *source,
+                       FILE *file)
 {
   char *text = NULL;
   size_t size = 0;
@@ -127,7 +127,7 @@
 }
 
 static bool
-is_about_targets (const struct request_story *story,
+is_about_targets (const struct request_timeline *story,
                   const struct log_line *line)
 {
   const char *target = log_line_text (line, "target");
@@ -138,7 +138,7 @@
 }
 
 static bool
-is_of_host (const struct request_story *story, const struct log_line *line)
+is_of_host (const struct request_timeline *story, const struct log_line *line)
 {
   for (size_t i = 0; i < story->own.count; i++)
     if (strcmp (story->own.lines[i].source, line->source) == 0)
@@ -153,7 +153,8 @@
 }
 
 static bool
-is_after_end (const struct request_story *story, const struct log_line *line)
+is_after_end (const struct request_timeline *story,
+              const struct log_line *line)
 {
   return story->own.count > 0
          && strcmp (line->time, story->own.lines[story->own.count - 1].time)
@@ -164,7 +165,7 @@
    is written with the next line that may pass, and that a host started anew:
    what it had under way before has no end in its log. */
 static bool
-is_told (const struct request_story *story, const struct log_line *line)
+is_told (const struct request_timeline *story, const struct log_line *line)
 {
   if (story->own.count == 0)
     return is_start (line);
@@ -192,7 +193,7 @@
 /* Of each event of a host and a target the last one before the end: it is
    what was in force.  Of starts after the end the first. */
 static void
-keep_latest (struct request_story *story)
+keep_latest (struct request_timeline *story)
 {
   struct line_list kept = { NULL, 0 };
   for (size_t i = story->context.count; i-- > 0;)
@@ -216,7 +217,7 @@
 }
 
 void
-request_story_finish (struct request_story *story)
+request_timeline_finish (struct request_timeline *story)
 {
   list_sort (&story->own);
   list_sort (&story->context);
@@ -230,7 +231,7 @@
 }
 
 bool
-request_story_is_found (const struct request_story *story)
+request_timeline_is_found (const struct request_timeline *story)
 {
   return story->own.count > 0;
 }
@@ -259,7 +260,7 @@
 }
 
 struct json_object *
-request_story_json (const struct request_story *story)
+request_timeline_json (const struct request_timeline *story)
 {
   struct json_object *tree = json_object_new_object ();
   json_object_object_add (tree, "id", json_object_new_string (story->id));
@@ -288,7 +289,7 @@
 }
 
 void
-request_story_print (const struct request_story *story, FILE *out)
+request_timeline_print (const struct request_timeline *story, FILE *out)
 {
   fprintf (out, "request %s\n", story->id);
   print_list (&story->own, out);
--- a/ctl/show.c
+++ b/ctl/show.c
@@ -15,8 +15,8 @@
 }
 
 struct json_object *
-show_filter (struct json_object *rows, const struct filter *filters,
-             size_t count)
+show_filter_rows (struct json_object *rows, const struct filter *filters,
+                  size_t count)
 {
   struct json_object *matching = json_object_new_array ();
   const size_t row_count = json_object_array_length (rows);
@@ -70,7 +70,7 @@
       goto out;
     }
   struct json_object *matching
-      = show_filter (rows, statement->filters, statement->filter_count);
+      = show_filter_rows (rows, statement->filters, statement->filter_count);
   json_object_object_add (reply.body, "rows", matching);
   if (commands->json)
     commands_print_json (commands, reply.body);
--- a/ctl/statement.c
+++ b/ctl/statement.c
@@ -246,7 +246,7 @@
 {
   if (take_keyword (cursor, "request"))
     return parse_explain_request (cursor, statement);
-  statement->kind = STATEMENT_EXPLAIN;
+  statement->kind = STATEMENT_EXPLAIN_TARGET;
   if (!take_keyword (cursor, "target"))
     return expected ("target or request", peek (cursor));
   return take_target (cursor, statement);
--- a/ctl/tests/request_story_test.cc
+++ b/ctl/tests/request_timeline_test.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include "ctl/request_story.h"
+#include "ctl/request_timeline.h"
 }
 
 namespace
@@ -17,19 +17,19 @@
 class RequestStory : public testing::Test
 {
 protected:
-  request_story *story = request_story_create ("ab12");
+  request_timeline *story = request_timeline_create ("ab12");
 
   void
   TearDown () override
   {
-    request_story_destroy (story);
+    request_timeline_destroy (story);
   }
 
   void
   read (const char *source, std::string text)
   {
     FILE *file = fmemopen (text.data (), text.size (), "r");
-    request_story_read (story, source, file);
+    request_timeline_read (story, source, file);
     fclose (file);
   }
 
@@ -39,8 +39,8 @@
     char *text = nullptr;
     size_t size = 0;
     FILE *out = open_memstream (&text, &size);
-    request_story_finish (story);
-    request_story_print (story, out);
+    request_timeline_finish (story);
+    request_timeline_print (story, out);
     fclose (out);
     const std::string result (text, size);
     free (text);
@@ -74,7 +74,7 @@
                   + "0.900Z warning caller refused id=ab12 status=503 "
                     "outcome=not-run reason=no-settings attempts=0\n");
   const std::string text = told ();
-  EXPECT_TRUE (request_story_is_found (story));
+  EXPECT_TRUE (request_timeline_is_found (story));
   EXPECT_LT (text.find ("h1 refused"), text.find ("h2 route"));
   EXPECT_LT (text.find ("h2 route"), text.find ("h2 attempt-failed"));
   EXPECT_HAS (text, "target-gone target=t9");
@@ -151,7 +151,7 @@
 {
   read ("h1", "garbage\n" + day + "2.000Z info caller route id=zz\n");
   const std::string text = told ();
-  EXPECT_FALSE (request_story_is_found (story));
+  EXPECT_FALSE (request_timeline_is_found (story));
   EXPECT_HAS (text, "missing: every line on it");
 }
 
@@ -181,8 +181,8 @@
 TEST_F (RequestStory, AsJson)
 {
   read ("h1", day + "2.000Z info caller route id=ab12 target=t9\n");
-  request_story_finish (story);
-  struct json_object *tree = request_story_json (story);
+  request_timeline_finish (story);
+  struct json_object *tree = request_timeline_json (story);
   EXPECT_STREQ (json_object_get_string (json_object_object_get (tree, "id")),
                 "ab12");
   EXPECT_EQ (json_object_array_length (json_object_object_get (tree, "lines")),
--- a/node/bus.c
+++ b/node/bus.c
@@ -61,7 +61,7 @@
       break;
     case BUS_SERVICE_REMOVED:
     case BUS_SLOT_SHARES:
-    case BUS_OUTCOME_SEEN:
+    case BUS_OUTCOME_OBSERVED:
     case BUS_OUTCOME_RECEIVED:
     case BUS_MEMBERS:
     case BUS_FRESHNESS:
--- a/node/bus.h
+++ b/node/bus.h
@@ -34,7 +34,7 @@
   BUS_SLOT_SHARES,      /**< this host's part of a service's slots changed */
   BUS_PATH_FAULTS,      /**< targets that this host should avoid changed */
   BUS_HOST_SET,         /**< the hosts to hand out for a service changed */
-  BUS_OUTCOME_SEEN,     /**< an attempt of this host ended */
+  BUS_OUTCOME_OBSERVED, /**< an attempt of this host ended */
   BUS_OUTCOME_RECEIVED, /**< an attempt of another host ended */
   BUS_MEMBERS,          /**< what is believed of the other hosts changed */
   BUS_FRESHNESS,        /**< a proof that the configuration is the newest */
@@ -75,7 +75,7 @@
 };
 
 /** One host to hand out to callers. */
-struct bus_set_host
+struct bus_host_entry
 {
   char name[SERVICE_NAME_SIZE];
   char dc[SERVICE_NAME_SIZE];
@@ -87,7 +87,7 @@
 {
   char service[SERVICE_NAME_SIZE];
   bool self; /**< this host is in the set */
-  struct bus_set_host *hosts;
+  struct bus_host_entry *hosts;
   size_t count;
   size_t fleet_count; /**< live hosts of the whole fleet */
 };
--- a/node/caller/address_answer.c
+++ b/node/caller/address_answer.c
@@ -40,16 +40,16 @@
 }
 
 /* Return the hosts of the set that may be listed as a new array of *COUNT. */
-static struct bus_set_host *
+static struct bus_host_entry *
 listable_hosts (const struct caller_context *context,
                 const struct caller_service *service, size_t *count)
 {
-  struct bus_set_host *listable
+  struct bus_host_entry *listable
       = xcalloc (service->host_count + 1, sizeof *listable);
   *count = 0;
   for (size_t i = 0; i < service->host_count; i++)
     {
-      const struct bus_set_host *host = &service->hosts[i];
+      const struct bus_host_entry *host = &service->hosts[i];
       const bool self = strcmp (host->name, context->settings->name) == 0;
       if (host->caller_address[0] != '\0' && !(self && context->leaving))
         listable[(*count)++] = *host;
@@ -66,11 +66,11 @@
 {
   const struct host_settings *settings = context->settings;
   struct address_entry entries[ADDRESSES_MAX];
-  const struct bus_set_host *chosen[ADDRESSES_MAX];
+  const struct bus_host_entry *chosen[ADDRESSES_MAX];
   struct address_selection_options options
       = { .caller_dc = caller_dc,
           .rotation = context->address_answer_count++ };
-  struct bus_set_host *listable
+  struct bus_host_entry *listable
       = listable_hosts (context, service, &options.count);
   options.hosts = listable;
   struct address_list list
--- a/node/caller/address_selection.c
+++ b/node/caller/address_selection.c
@@ -32,8 +32,8 @@
    aren't. */
 static size_t
 append_hosts (const struct address_selection_options *options, bool local,
-              size_t limit, const struct bus_set_host **selected, size_t used,
-              size_t max)
+              size_t limit, const struct bus_host_entry **selected,
+              size_t used, size_t max)
 {
   const size_t end = used + limit < max ? used + limit : max;
   for (size_t i = 0; i < options->count && used < end; i++)
@@ -47,7 +47,7 @@
 
 size_t
 address_selection_fill (const struct address_selection_options *options,
-                        const struct bus_set_host **selected, size_t max)
+                        const struct bus_host_entry **selected, size_t max)
 {
   struct address_selection_options all = *options;
   if (count_local (options) < LOCAL_HOSTS_MIN)
--- a/node/caller/address_selection.h
+++ b/node/caller/address_selection.h
@@ -18,7 +18,7 @@
 /** The candidate hosts and the caller that they are selected for. */
 struct address_selection_options
 {
-  const struct bus_set_host *hosts; /**< the set without leaving hosts */
+  const struct bus_host_entry *hosts; /**< the set without leaving hosts */
   size_t count;
   const char *caller_dc; /**< NULL: unknown */
   /** Counts responses, so that each starts with another host. */
@@ -29,7 +29,7 @@
  * hosts are selected if the caller's data centre has too few.
  * @return their number */
 size_t address_selection_fill (const struct address_selection_options *options,
-                               const struct bus_set_host **selected,
+                               const struct bus_host_entry **selected,
                                size_t max);
 
 #endif
--- a/node/caller/caller_server.c
+++ b/node/caller/caller_server.c
@@ -162,7 +162,8 @@
   const char *address_text = context->settings->caller_address;
   const char *colon = strrchr (address_text, ':');
   snprintf (context->own_address, sizeof context->own_address, "%.*s:%u",
-            (int)(colon - address_text), address_text, mhd_loop_port (daemon));
+            (int)(colon - address_text), address_text,
+            mhd_loop_bound_port (daemon));
 }
 
 struct caller_server *
@@ -170,7 +171,7 @@
 {
   const char *address_text = context->settings->caller_address;
   struct sockaddr_storage address;
-  if (mhd_loop_address (address_text, &address) == 0)
+  if (mhd_loop_parse_address (address_text, &address) == 0)
     {
       status_set (STATUS_INVALID,
                   "caller address \"%s\" is not IP:PORT: correct it",
--- a/node/caller/caller_service.h
+++ b/node/caller/caller_service.h
@@ -60,7 +60,7 @@
   struct service_policy *policy;
   struct detection_recorder *recorder;
   uint64_t own_key; /**< hash of this host's name */
-  struct bus_set_host *hosts;
+  struct bus_host_entry *hosts;
   struct fleet_host *rendezvous_hosts; /**< parallel to `hosts` */
   size_t host_count;
   bool in_set;        /**< this host is one of `hosts` */
--- a/node/caller/caller_task.c
+++ b/node/caller/caller_task.c
@@ -271,8 +271,8 @@
   struct caller_task *task = owner;
   if (address_answer_matches_uri (&task->context, path))
     return address_answer_queue (&task->context, connection, method);
-  return plain_server_reply (connection, MHD_HTTP_NOT_FOUND, "text/plain",
-                             "ask for addresses here\n");
+  return plain_server_respond (connection, MHD_HTTP_NOT_FOUND, "text/plain",
+                               "ask for addresses here\n");
 }
 
 static enum status
@@ -299,7 +299,7 @@
   task->tables = options->tables;
   task->seed = options->seed;
   if (task->seed == 0)
-    rng_secret (&task->seed, sizeof task->seed);
+    rng_secure_bytes (&task->seed, sizeof task->seed);
   init_context (&task->context, options);
   ev_timer_init (&task->leaving_check, on_leaving_check, 0.,
                  LEAVING_CHECK_INTERVAL_S);
--- a/node/caller/exchange_attempt.c
+++ b/node/caller/exchange_attempt.c
@@ -60,7 +60,7 @@
 announce_outcome (const struct exchange *x, enum attempt_end end)
 {
   struct bus_message message
-      = { .topic = BUS_OUTCOME_SEEN,
+      = { .topic = BUS_OUTCOME_OBSERVED,
           .outcome = { .target_key = x->attempt.key, .end = end } };
   memcpy (message.outcome.service, x->service->name,
           sizeof message.outcome.service);
--- a/node/caller/exchange_caller.c
+++ b/node/caller/exchange_caller.c
@@ -59,7 +59,7 @@
     return;
   x->is_suspended = false;
   MHD_resume_connection (x->connection);
-  mhd_loop_kick (x->context->mhd_loop);
+  mhd_loop_wake (x->context->mhd_loop);
 }
 
 /* Without an announced length, an HTTP/1.0 caller takes the end of the
--- a/node/caller/host_directory.c
+++ b/node/caller/host_directory.c
@@ -14,7 +14,7 @@
 
 struct entry
 {
-  struct bus_set_host host;
+  struct bus_host_entry host;
   UT_hash_handle hh;
 };
 
@@ -46,7 +46,8 @@
 }
 
 static void
-update_host (struct host_directory *directory, const struct bus_set_host *host)
+update_host (struct host_directory *directory,
+             const struct bus_host_entry *host)
 {
   struct entry *entry;
   HASH_FIND_STR (directory->entries, host->name, entry);
--- a/node/caller/target_call.c
+++ b/node/caller/target_call.c
@@ -286,7 +286,7 @@
   call->events = options->events;
   call->owner = options->owner;
   call->curl = options->curl;
-  call->easy = curl_loop_easy ();
+  call->easy = curl_loop_create_easy ();
   set_address (call, options);
   set_callbacks (call);
   set_method (call, options);
--- a/node/caller/tests/address_selection_test.cc
+++ b/node/caller/tests/address_selection_test.cc
@@ -15,10 +15,10 @@
 
 constexpr size_t CAPACITY = 64;
 
-std::vector<bus_set_host>
+std::vector<bus_host_entry>
 hosts_in (const std::vector<std::string> &dcs)
 {
-  std::vector<bus_set_host> hosts (dcs.size ());
+  std::vector<bus_host_entry> hosts (dcs.size ());
   for (size_t i = 0; i < dcs.size (); i++)
     {
       snprintf (hosts[i].name, sizeof hosts[i].name, "host-%zu", i);
@@ -28,10 +28,10 @@
 }
 
 std::vector<std::string>
-selected_names (const std::vector<bus_set_host> &hosts, const char *dc,
+selected_names (const std::vector<bus_host_entry> &hosts, const char *dc,
                 size_t rotation, size_t max = CAPACITY)
 {
-  const bus_set_host *selected[CAPACITY];
+  const bus_host_entry *selected[CAPACITY];
   const address_selection_options options
       = { hosts.data (), hosts.size (), dc, rotation };
   const size_t count = address_selection_fill (&options, selected, max);
--- a/node/caller/tests/bad_input_test.cc
+++ b/node/caller/tests/bad_input_test.cc
@@ -47,7 +47,7 @@
       exchange (bytes);
       expect_others_served ();
     }
-  EXPECT_EQ (target_server_most_runs (target), 6u);
+  EXPECT_EQ (target_server_max_runs (target), 6u);
 }
 
 TEST_F (BadInputTest, IncompleteHeadIsReleasedOnHangUp)
--- a/node/caller/tests/caller_fixture.cc
+++ b/node/caller/tests/caller_fixture.cc
@@ -189,14 +189,14 @@
 }
 
 void
-CallerTest::put_hosts (const std::vector<bus_set_host> &hosts)
+CallerTest::put_hosts (const std::vector<bus_host_entry> &hosts)
 {
   bus_message message = {};
   message.topic = BUS_HOST_SET;
   strcpy (message.host_set.service, "holds");
   message.host_set.count = hosts.size ();
-  message.host_set.hosts = static_cast<bus_set_host *> (
-      calloc (hosts.size () + 1, sizeof (bus_set_host)));
+  message.host_set.hosts = static_cast<bus_host_entry *> (
+      calloc (hosts.size () + 1, sizeof (bus_host_entry)));
   for (size_t i = 0; i < hosts.size (); i++)
     message.host_set.hosts[i] = hosts[i];
   bus_post (the_bus, &message);
@@ -293,7 +293,7 @@
 void
 CallerTest::begin (Call *call)
 {
-  call->easy = curl_loop_easy ();
+  call->easy = curl_loop_create_easy ();
   curl_easy_setopt (call->easy, CURLOPT_URL, call->url.c_str ());
   curl_easy_setopt (call->easy, CURLOPT_WRITEFUNCTION, on_answer);
   curl_easy_setopt (call->easy, CURLOPT_WRITEDATA, call);
--- a/node/caller/tests/caller_fixture.h
+++ b/node/caller/tests/caller_fixture.h
@@ -79,7 +79,7 @@
   /** Put a configuration in force whose JSON has MEMBERS, with apostrophes for
    * quotes, and whose route "/" leads to the service of put_service(). */
   void put_config (const std::string &members);
-  void put_hosts (const std::vector<bus_set_host> &hosts);
+  void put_hosts (const std::vector<bus_host_entry> &hosts);
   void start ();
 
   std::unique_ptr<Call> make (const std::string &method,
--- a/node/caller/tests/caller_service_test.cc
+++ b/node/caller/tests/caller_service_test.cc
@@ -89,7 +89,7 @@
 {
   EXPECT_FALSE (outcome_report_is_due (service, service->targets[0].key,
                                        ATTEMPT_NOT_SENT));
-  bus_set_host hosts[3] = {};
+  bus_host_entry hosts[3] = {};
   strcpy (hosts[1].name, "host-2");
   strcpy (hosts[2].name, "host-3");
   bus_host_set set = {};
--- a/node/caller/tests/caller_task_test.cc
+++ b/node/caller/tests/caller_task_test.cc
@@ -10,10 +10,10 @@
 #include "policy/detection/recorder.h"
 }
 
-static bus_set_host
+static bus_host_entry
 host (const char *name, const char *address)
 {
-  bus_set_host entry = {};
+  bus_host_entry entry = {};
   strcpy (entry.name, name);
   strcpy (entry.dc, "dc-a");
   strcpy (entry.caller_address, address);
--- a/node/caller/tests/connection_limit_test.cc
+++ b/node/caller/tests/connection_limit_test.cc
@@ -62,7 +62,7 @@
         EXPECT_TRUE (run_until ([&raw] { return raw->closed; })) << i;
     }
   EXPECT_EQ (kept.size (), 8u);
-  EXPECT_EQ (target_server_most_runs (target), 1u);
+  EXPECT_EQ (target_server_max_runs (target), 1u);
   for (auto &raw : kept)
     raw->hang_up ();
 }
--- a/node/caller/tests/slot_share_test.cc
+++ b/node/caller/tests/slot_share_test.cc
@@ -60,7 +60,7 @@
   void
   post_host_set (size_t count)
   {
-    put_hosts (std::vector<bus_set_host> (count));
+    put_hosts (std::vector<bus_host_entry> (count));
   }
 
   /** Begin calls that the target doesn't respond to. */
--- a/node/caller/tests/target_limits_test.cc
+++ b/node/caller/tests/target_limits_test.cc
@@ -85,10 +85,10 @@
   void
   put_host_set (const std::vector<std::string> &names)
   {
-    std::vector<bus_set_host> hosts;
+    std::vector<bus_host_entry> hosts;
     for (const std::string &name : names)
       {
-        bus_set_host host = {};
+        bus_host_entry host = {};
         strcpy (host.name, name.c_str ());
         strcpy (host.dc, "dc-a");
         strcpy (host.caller_address, "127.0.0.1:1");
--- a/node/caller/ticket_issuer.c
+++ b/node/caller/ticket_issuer.c
@@ -43,9 +43,9 @@
 ticket_issuer_create (const char *host, uint64_t incarnation)
 {
   struct ticket_issuer *issuer = xcalloc (1, sizeof *issuer);
-  rng_secret (issuer->key, sizeof issuer->key);
+  rng_secure_bytes (issuer->key, sizeof issuer->key);
   if (incarnation == 0)
-    rng_secret (&incarnation, sizeof incarnation);
+    rng_secure_bytes (&incarnation, sizeof incarnation);
   const struct ticket_table_options options
       = { .host = host,
           .incarnation = incarnation,
--- a/node/control/control_freshness.c
+++ b/node/control/control_freshness.c
@@ -155,7 +155,7 @@
   ask->is_waiting = true;
   ask->asked_ms = now_ms;
   platform_watch (task->options.platform, PLATFORM_KIND_CONFIG, ask->revision,
-                  NO_WAIT_MS, PLATFORM_AGE_NONE, ask_done, ask);
+                  NO_WAIT_MS, PLATFORM_READ_LATEST, ask_done, ask);
 }
 
 static void
--- a/node/control/control_hosts.c
+++ b/node/control/control_hosts.c
@@ -76,7 +76,7 @@
           .address = host->record.peer_address,
           .name = host->record.name,
           .seed = rng_next (&task->random),
-          .idle_ms = CONTROL_LINK_IDLE_MS };
+          .idle_timeout_ms = CONTROL_LINK_IDLE_MS };
   host->link = peer_link_create (&options);
   return peer_link_send (host->link, message);
 }
--- a/node/control/control_members.c
+++ b/node/control/control_members.c
@@ -33,7 +33,7 @@
 
 /* Hosts that the platform doesn't list are known by this only. */
 static void
-describe (const struct control_task *task, struct peer_verdict *verdict)
+describe (const struct control_task *task, struct peer_member_update *verdict)
 {
   const struct control_host *host
       = control_hosts_find (task, verdict->host_key);
@@ -52,7 +52,7 @@
 send_gossip (struct control_task *task, struct control_host *host)
 {
   struct member_update news[CONTROL_GOSSIP_UPDATES_MAX];
-  struct peer_verdict verdicts[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
+  struct peer_member_update verdicts[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
   const size_t count
       = membership_gossip (task->membership, news, CONTROL_GOSSIP_UPDATES_MAX);
   if (count == 0)
@@ -67,7 +67,7 @@
     }
   const struct peer_message message
       = { .type = PEER_MEMBERS,
-          .members = { .verdicts = verdicts, .count = count } };
+          .members = { .updates = verdicts, .count = count } };
   control_hosts_send (task, host, &message);
 }
 
@@ -77,7 +77,7 @@
 {
   struct peer_message message
       = heartbeat (task, PEER_HEARTBEAT, (uint64_t)now_ms);
-  message.heartbeat.return_wanted
+  message.heartbeat.return_requested
       = membership_requests_return (task->membership, host->key);
   control_hosts_send (task, host, &message);
 }
@@ -236,7 +236,7 @@
   const int64_t now_ms = clock_now_ms ();
   membership_note_heartbeat (task->membership, now_ms, source->host->key,
                              source->host->record.incarnation, beat->leaving,
-                             beat->return_wanted);
+                             beat->return_requested);
   const struct peer_message answer
       = heartbeat (task, PEER_HEARTBEAT_ACK, beat->sequence);
   control_reply (task, source, &answer);
@@ -312,8 +312,8 @@
 }
 
 static void
-handle_verdict (struct control_task *task, const struct peer_verdict *verdict,
-                int64_t now_ms)
+handle_verdict (struct control_task *task,
+                const struct peer_member_update *verdict, int64_t now_ms)
 {
   if (verdict->state > MEMBER_LEAVING
       || (verdict->state >= MEMBER_DEAD
@@ -367,7 +367,7 @@
       break;
     case PEER_MEMBERS:
       for (size_t i = 0; i < message->members.count; i++)
-        handle_verdict (task, &message->members.verdicts[i], clock_now_ms ());
+        handle_verdict (task, &message->members.updates[i], clock_now_ms ());
       break;
     default:
       break;
--- a/node/control/control_platform.c
+++ b/node/control/control_platform.c
@@ -40,7 +40,7 @@
 answered (struct control_feed *feed)
 {
   const int64_t now_ms = clock_now_ms ();
-  if (feed->age == PLATFORM_AGE_NONE)
+  if (feed->age == PLATFORM_READ_LATEST)
     feed->last_current_reply_ms = now_ms;
   if (feed->backoff_ms > 0)
     {
@@ -109,7 +109,7 @@
 note_freshness (const struct control_feed *feed,
                 const struct platform_reply *reply)
 {
-  if (feed->age != PLATFORM_AGE_NONE
+  if (feed->age != PLATFORM_READ_LATEST
       || strcmp (feed->kind, PLATFORM_KIND_CONFIG) != 0)
     return;
   if (!feed->is_listed || reply->count == 0)
@@ -226,16 +226,16 @@
    seconds old; the relays tell them sooner.  A first list may be old as well:
    the watch goes on from its revision.  After a watch was refused it may not,
    else its revision could be one that the platform has forgotten, too. */
-static enum platform_age
+static enum platform_read_mode
 list_age (const struct control_feed *feed)
 {
-  return feed->was_refused ? PLATFORM_AGE_NONE : PLATFORM_AGE_ANY;
+  return feed->was_refused ? PLATFORM_READ_LATEST : PLATFORM_READ_STALE;
 }
 
-static enum platform_age
+static enum platform_read_mode
 watch_age (const struct control_feed *feed)
 {
-  return asks_often (feed->task) ? PLATFORM_AGE_NONE : PLATFORM_AGE_ANY;
+  return asks_often (feed->task) ? PLATFORM_READ_LATEST : PLATFORM_READ_STALE;
 }
 
 /* Guards against a watch that went deaf: the platform dropped it and tells
--- a/node/control/control_poison_store.c
+++ b/node/control/control_poison_store.c
@@ -241,7 +241,7 @@
 list_blocks (struct control_poison_store *store)
 {
   platform_list (store->task->options.platform, PLATFORM_KIND_POISON,
-                 PLATFORM_AGE_NONE, list_done, store);
+                 PLATFORM_READ_LATEST, list_done, store);
 }
 
 static void
--- a/node/control/control_query.c
+++ b/node/control/control_query.c
@@ -178,8 +178,8 @@
   DL_APPEND (task->queries, ask);
   choose_hosts (ask);
   struct peer_message message
-      = { .type = PEER_IN_FORCE_ASK,
-          .in_force = { .ask_id = ask->id, .version = version } };
+      = { .type = PEER_IN_FORCE_REQUEST,
+          .in_force = { .request_id = ask->id, .version = version } };
   memcpy (message.in_force.service, ask->service, sizeof ask->service);
   for (size_t i = 0; i < ask->count; i++)
     {
@@ -195,7 +195,7 @@
                        const struct control_source *source,
                        const struct peer_message *message)
 {
-  if (message->type == PEER_IN_FORCE_ASK)
+  if (message->type == PEER_IN_FORCE_REQUEST)
     {
       struct peer_message answer = *message;
       answer.type = PEER_IN_FORCE_ANSWER;
@@ -206,7 +206,7 @@
   struct control_query *ask;
   DL_FOREACH (task->queries, ask)
   {
-    if (ask->id != message->in_force.ask_id)
+    if (ask->id != message->in_force.request_id)
       continue;
     note_answer (ask, source->host->key, message->in_force.version);
     return;
--- a/node/control/control_records.h
+++ b/node/control/control_records.h
@@ -84,8 +84,8 @@
   uint32_t watch_timeout_ms; /**< of the watch under way */
   bool is_watched_by_all;    /**< every host watches, not only relays */
   int64_t asked_ms;          /**< when the call under way was made */
-  bool was_refused;      /**< the platform didn't know the revision any more */
-  enum platform_age age; /**< that the call under way asked for */
+  bool was_refused; /**< the platform didn't know the revision any more */
+  enum platform_read_mode age;   /**< that the call under way asked for */
   int64_t last_current_reply_ms; /**< when an answer of no age came */
   int64_t recovered_ms; /**< when a call was answered after one had failed */
   uint32_t backoff_ms;
--- a/node/control/control_settings.c
+++ b/node/control/control_settings.c
@@ -171,11 +171,11 @@
   for (uint32_t i = 0; i < SETTINGS_BUCKETS; i++)
     buckets[i] = settings_index_bucket_hash (task->index, i);
   return (struct peer_message){ .type = PEER_SETTINGS_DIGEST,
-                                .digest
-                                = { .answer_wanted = answer_wanted,
-                                    .total = settings_index_hash (task->index),
-                                    .buckets = buckets,
-                                    .count = SETTINGS_BUCKETS } };
+                                .digest = { .answer_requested = answer_wanted,
+                                            .total_hash = settings_index_hash (
+                                                task->index),
+                                            .bucket_hashes = buckets,
+                                            .count = SETTINGS_BUCKETS } };
 }
 
 /* Two hosts that differ right after a change mostly have an offer under way;
@@ -254,10 +254,11 @@
   struct batch batch
       = { .task = task, .source = source, .type = PEER_SETTINGS_OFFER };
   for (uint32_t i = 0; i < SETTINGS_BUCKETS; i++)
-    if (digest->buckets[i] != settings_index_bucket_hash (task->index, i))
+    if (digest->bucket_hashes[i]
+        != settings_index_bucket_hash (task->index, i))
       offer_bucket (&batch, i);
   batch_send (&batch);
-  if (!digest->answer_wanted)
+  if (!digest->answer_requested)
     return;
   uint64_t buckets[SETTINGS_BUCKETS];
   const struct peer_message message = digest_message (task, false, buckets);
--- a/node/control/control_task.c
+++ b/node/control/control_task.c
@@ -51,14 +51,14 @@
     case PEER_SETTINGS_PUSH:
       control_settings_receive (task, source, message);
       break;
-    case PEER_IN_FORCE_ASK:
+    case PEER_IN_FORCE_REQUEST:
     case PEER_IN_FORCE_ANSWER:
       control_query_receive (task, source, message);
       break;
     case PEER_EVIDENCE:
     case PEER_DECISION:
     case PEER_DEMAND:
-    case PEER_QUOTA_ASK:
+    case PEER_QUOTA_REQUEST:
     case PEER_QUOTA_GRANT:
       control_call_handler (task, source->host->record.name, message);
       break;
@@ -84,7 +84,7 @@
 host_of (struct control_task *task, const struct peer_hello *hello)
 {
   struct host_record record
-      = { .incarnation = hello->incarnation, .capacity = hello->strength };
+      = { .incarnation = hello->incarnation, .capacity = hello->capacity };
   memcpy (record.name, hello->name, sizeof record.name);
   memcpy (record.dc, hello->dc, sizeof record.dc);
   memcpy (record.peer_address, hello->peer_address,
@@ -195,7 +195,7 @@
            const char *bound)
 {
   snprintf (address, HOST_ADDRESS_SIZE, "%s",
-            host_settings_reached_at (advertised, bound));
+            host_settings_advertised_address (advertised, bound));
 }
 
 static void
@@ -218,7 +218,7 @@
   task->self = control_hosts_update (task, &record);
   struct peer_hello *hello = &task->identity.hello;
   hello->incarnation = record.incarnation;
-  hello->strength = record.capacity;
+  hello->capacity = record.capacity;
   memcpy (hello->name, record.name, sizeof hello->name);
   memcpy (hello->dc, record.dc, sizeof hello->dc);
   memcpy (hello->caller_address, record.caller_address,
@@ -252,7 +252,7 @@
           .events = &events,
           .owner = task,
           .address = task->options.settings->peer_address,
-          .idle_ms = 2 * CONTROL_LINK_IDLE_MS };
+          .idle_timeout_ms = 2 * CONTROL_LINK_IDLE_MS };
   return peer_server_create (&options, &task->server);
 }
 
@@ -285,7 +285,7 @@
 {
   struct control_task *task = xcalloc (1, sizeof *task);
   uint64_t seed;
-  rng_secret (&seed, sizeof seed);
+  rng_secure_bytes (&seed, sizeof seed);
   rng_seed (&task->random, seed);
   task->options = *options;
   task->started_ms = clock_now_ms ();
--- a/node/control/incarnation.c
+++ b/node/control/incarnation.c
@@ -20,7 +20,7 @@
 {
   uint32_t chance;
   struct timespec now;
-  rng_secret (&chance, sizeof chance);
+  rng_secure_bytes (&chance, sizeof chance);
   clock_gettime (CLOCK_REALTIME, &now);
   const uint64_t now_ms
       = (uint64_t)now.tv_sec * 1000 + (uint64_t)now.tv_nsec / 1000000;
--- a/node/control/tests/control_cleanup_test.cc
+++ b/node/control/tests/control_cleanup_test.cc
@@ -336,7 +336,7 @@
 TEST_F (ControlCleanup, WordOfADeadHostIntroducesNobody)
 {
   start_quick (0, 2);
-  peer_verdict verdict = {};
+  peer_member_update verdict = {};
   strcpy (verdict.name, "old");
   strcpy (verdict.dc, "d0");
   strcpy (verdict.peer_address, "127.0.0.1:1");
@@ -345,7 +345,7 @@
   verdict.state = MEMBER_DEAD;
   peer_message message = {};
   message.type = PEER_MEMBERS;
-  message.members.verdicts = &verdict;
+  message.members.updates = &verdict;
   message.members.count = 1;
   const control_source source
       = { control_hosts_by_name (nodes[0]->task, "h1"), nullptr, nullptr };
@@ -396,12 +396,12 @@
   }));
   const uint64_t version = store.sequence;
   control_settings_apply (task, "host", "r0", version + 1, nullptr);
-  peer_verdict verdict = {};
+  peer_member_update verdict = {};
   verdict.host_key = key;
   verdict.incarnation = 2;
   peer_message message = {};
   message.type = PEER_MEMBERS;
-  message.members.verdicts = &verdict;
+  message.members.updates = &verdict;
   message.members.count = 1;
   const control_source source
       = { control_hosts_by_name (task, "h1"), nullptr, nullptr };
--- a/node/control/tests/control_outcomes_test.cc
+++ b/node/control/tests/control_outcomes_test.cc
@@ -68,7 +68,7 @@
   see (node &at, uint64_t target, attempt_end end)
   {
     bus_message message = {};
-    message.topic = BUS_OUTCOME_SEEN;
+    message.topic = BUS_OUTCOME_OBSERVED;
     strcpy (message.outcome.service, "holds");
     message.outcome.target_key = target;
     message.outcome.end = end;
--- a/node/control/tests/control_registry_test.cc
+++ b/node/control/tests/control_registry_test.cc
@@ -83,7 +83,7 @@
 
   /* How many ask now for a configuration of AGE. */
   long
-  askers (platform_age age) const
+  askers (platform_read_mode age) const
   {
     return std::count_if (nodes.begin (), nodes.end (), [&] (const auto &n) {
       return n->platform.has_call ("watch", "config", age);
@@ -139,7 +139,8 @@
   store.put ("config", "main", config_text (4));
   ASSERT_TRUE (until ([&] { return all_meet () && all_have_config (4); }));
   EXPECT_TRUE (until ([&] {
-    return askers (PLATFORM_AGE_NONE) == 1 && askers (PLATFORM_AGE_ANY) == 3;
+    return askers (PLATFORM_READ_LATEST) == 1
+           && askers (PLATFORM_READ_STALE) == 3;
   }));
   for (auto &n : nodes)
     {
@@ -162,7 +163,7 @@
   const double end = ev_now (loop) + 1;
   long most = 0;
   EXPECT_TRUE (until ([&] {
-    most = std::max (most, askers (PLATFORM_AGE_NONE));
+    most = std::max (most, askers (PLATFORM_READ_LATEST));
     return ev_now (loop) >= end;
   }));
   EXPECT_EQ (most, 1);
--- a/node/control/tests/fake_platform.h
+++ b/node/control/tests/fake_platform.h
@@ -72,7 +72,7 @@
     void *owner;
     double end; /* of a watch, on the loop's clock */
     bool is_deaf = false;
-    platform_age age = PLATFORM_AGE_NONE;
+    platform_read_mode age = PLATFORM_READ_LATEST;
   };
 
   std::list<call> calls;
@@ -225,7 +225,7 @@
 
   bool
   has_call (const std::string &verb, const std::string &kind,
-            platform_age age) const
+            platform_read_mode age) const
   {
     for (const auto &c : calls)
       if (c.verb == verb && c.kind == kind && c.age == age)
@@ -249,7 +249,7 @@
   {
     platform->calls++;
     ((fake_platform *)platform)->removals += c.removes;
-    if (c.verb == "list" && c.age == PLATFORM_AGE_NONE)
+    if (c.verb == "list" && c.age == PLATFORM_READ_LATEST)
       ((fake_platform *)platform)->newest_lists++;
     ((fake_platform *)platform)->calls.push_back (c);
   }
@@ -262,7 +262,7 @@
       platform_done *done, void *owner) {
     add (p, { "get", kind, name, "", false, 0, done, owner, 0 });
   },
-  [] (struct platform *p, const char *kind, platform_age age,
+  [] (struct platform *p, const char *kind, platform_read_mode age,
       platform_done *done, void *owner) {
     add (p, { "list", kind, "", "", false, 0, done, owner, 0, false, age });
   },
@@ -272,7 +272,7 @@
               value == nullptr, expected, done, owner, 0 });
   },
   [] (struct platform *p, const char *kind, uint64_t revision,
-      uint32_t timeout_ms, platform_age age, platform_done *done,
+      uint32_t timeout_ms, platform_read_mode age, platform_done *done,
       void *owner) {
     add (p, { "watch", kind, "", "", false, revision, done, owner,
               ev_now (((fake_platform *)p)->loop) + timeout_ms / 1000.0, false,
--- a/node/daemon/backend.c
+++ b/node/daemon/backend.c
@@ -190,8 +190,8 @@
     .change_service = change_service,
     .change_ejection = change_ejection,
     .clear_poison = clear_poison,
-    .ask_in_force = ask_in_force,
-    .news_age_ms = news_age_ms,
+    .query_in_force = ask_in_force,
+    .contact_age_ms = news_age_ms,
     .not_heard_from = not_heard_from,
     .cancel = cancel,
   };
--- a/node/daemon/host.c
+++ b/node/daemon/host.c
@@ -232,10 +232,10 @@
   const struct host *host = owner;
   const struct caller_interface *names = caller_names (host);
   if (strcmp (path, names->readiness_path) != 0)
-    return plain_server_reply (connection, MHD_HTTP_NOT_FOUND, "text/plain",
-                               "ask for readiness here\n");
+    return plain_server_respond (connection, MHD_HTTP_NOT_FOUND, "text/plain",
+                                 "ask for readiness here\n");
   const bool is_ready = caller_task_is_ready (host->caller);
-  return plain_server_reply (
+  return plain_server_respond (
       connection, is_ready ? MHD_HTTP_OK : MHD_HTTP_SERVICE_UNAVAILABLE,
       "text/plain", is_ready ? "ready\n" : "not ready\n");
 }
--- a/node/ejection/ejection_service.c
+++ b/node/ejection/ejection_service.c
@@ -25,7 +25,7 @@
 create_owner (const struct ejection_task *task)
 {
   uint64_t seed;
-  rng_secret (&seed, sizeof seed);
+  rng_secure_bytes (&seed, sizeof seed);
   const struct floor_owner_options options = {
     .host = task->options.settings->name,
     .incarnation = task->options.incarnation,
--- a/node/ejection/tests/ejection_fleet.h
+++ b/node/ejection/tests/ejection_fleet.h
@@ -279,7 +279,7 @@
     m.host_set.self = true;
     m.host_set.count = set_size;
     m.host_set.hosts
-        = (bus_set_host *)xcalloc (set_size, sizeof *m.host_set.hosts);
+        = (bus_host_entry *)xcalloc (set_size, sizeof *m.host_set.hosts);
     for (int k = 0; k < set_size; k++)
       snprintf (m.host_set.hosts[k].name, SERVICE_NAME_SIZE, "host-%d", k);
     bus_post (hosts[i].messages, &m);
--- a/node/host_resources.c
+++ b/node/host_resources.c
@@ -29,7 +29,7 @@
   options_uint32 (&options, "files", 0, 100000000, &resources->files);
   resources->cpu_percent = (uint32_t)(cpu_share * (double)speed * 100 + 0.5);
   resources->link_mbps = (uint32_t)(link_mbps + 0.5);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 static uint64_t
@@ -39,8 +39,8 @@
 }
 
 uint32_t
-host_resources_connections (const struct host_resources *resources,
-                            uint32_t unknown)
+host_resources_max_connections (const struct host_resources *resources,
+                                uint32_t unknown)
 {
   uint64_t most = UINT32_MAX;
   if (resources->memory_mb > 0)
--- a/node/host_resources.h
+++ b/node/host_resources.h
@@ -17,7 +17,8 @@
  * UNKNOWN where these don't say.  Too few is as bad as too many: callers whose
  * connections nobody accepts wait for nothing, and requests that lie there are
  * answered after all time for them has passed. */
-uint32_t host_resources_connections (const struct host_resources *resources,
-                                     uint32_t unknown);
+uint32_t
+host_resources_max_connections (const struct host_resources *resources,
+                                uint32_t unknown);
 
 #endif
--- a/node/host_settings.c
+++ b/node/host_settings.c
@@ -29,7 +29,7 @@
     .poison
     = { .crashes = 3, .block_ms = 60 * 1000, .block_max_ms = HOUR_MS },
     .retry = { .percent = 10, .window_ms = 10000, .reserve = 30 },
-    .access = { .quota_window_ms = 5000, .quota_over_percent = 10,
+    .access = { .quota_window_ms = 5000, .quota_overshoot_percent = 10,
                 .quota_slack = 20 },
     .limits = {
       .connections = 1000,
@@ -84,7 +84,7 @@
   double used = retry->used_percent / 100.0;
   options_double (&options, "used_targets", 0, 1, &used);
   retry->used_percent = (uint32_t)(used * 100 + 0.5);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 static void
@@ -93,7 +93,7 @@
 {
   struct options options;
   limits->connections
-      = host_resources_connections (resources, limits->connections);
+      = host_resources_max_connections (resources, limits->connections);
   if (!options_object (top, "limits", false, &options))
     return;
   options_uint32 (&options, "connections", 1, 1000000, &limits->connections);
@@ -116,7 +116,7 @@
                   "answer is held in that buffer",
                   limits->stream_buffer_bytes, limits->hold_answer_bytes);
   read_ms (&options, "keep_answer_ms", 100, HOUR_MS, &limits->keep_answer_ms);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 static void
@@ -128,11 +128,11 @@
   read_ms (&options, "revoke_ms", 0, HOUR_MS, &access->revoke_ms);
   read_ms (&options, "quota_window_ms", 100, HOUR_MS,
            &access->quota_window_ms);
-  double over = access->quota_over_percent / 100.0;
+  double over = access->quota_overshoot_percent / 100.0;
   options_double (&options, "quota_overshoot", 0, 1, &over);
-  access->quota_over_percent = (uint32_t)(over * 100 + 0.5);
+  access->quota_overshoot_percent = (uint32_t)(over * 100 + 0.5);
   options_uint32 (&options, "quota_slack", 0, 1000000, &access->quota_slack);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 static void
@@ -149,7 +149,7 @@
     options_fail (&options, "block_max_ms",
                   "expected at least block_ms (%u), found %u; raise it",
                   poison->block_ms, poison->block_max_ms);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 /* Times that contradict one another would break a promise later and quietly,
@@ -212,7 +212,7 @@
     read_ms (&options, members[i].key, 10, HOUR_MS, members[i].value);
   read_ms (&options, "outage_hold_ms", 1000, DAY_MS, &times->outage_hold_ms);
   check_times (&options, times);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 static void
@@ -230,7 +230,7 @@
                   &settings->log_repeats_per_second);
   options_uint32 (&options, "warnings_per_second", 0, 1000000,
                   &settings->log_warnings_per_second);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 /* Read the array KEY of addresses into rows of HOST_ADDRESS_SIZE. */
@@ -248,12 +248,12 @@
       struct json_object *holder = json_object_new_object ();
       json_object_object_add (holder, "address", json_object_get (item));
       char place[96];
-      snprintf (place, sizeof place, "%s%s%s[%zu]", options->place,
-                options->place[0] == '\0' ? "" : ".", key, i);
+      snprintf (place, sizeof place, "%s%s%s[%zu]", options->path,
+                options->path[0] == '\0' ? "" : ".", key, i);
       struct options element;
       options_begin (&element, options->file, place, holder);
       options_address (&element, "address", true, rows[i], HOST_ADDRESS_SIZE);
-      options_close (options, &element);
+      options_end_child (options, &element);
       json_object_put (holder);
     }
   return count;
@@ -278,7 +278,7 @@
                   has_file ? "both" : "neither");
   options_string (&options, "interface", false, settings->interface,
                   sizeof settings->interface);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 static void
@@ -297,7 +297,7 @@
                    sizeof settings->directory_address);
   options_address (&options, "readiness", false, settings->readiness_address,
                    sizeof settings->readiness_address);
-  options_close (top, &options);
+  options_end_child (top, &options);
 }
 
 /* Guards against a host that tells others an address nobody can connect to:
@@ -335,7 +335,7 @@
       for (size_t i = 0; i < count; i++)
         options_address (&options, members[i].key, false,
                          members[i].advertised, HOST_ADDRESS_SIZE);
-      options_close (top, &options);
+      options_end_child (top, &options);
     }
   for (size_t i = 0; i < count; i++)
     check_reachable (top, members[i].key, members[i].bound,
@@ -352,7 +352,7 @@
 }
 
 const char *
-host_settings_reached_at (const char *advertised, const char *bound)
+host_settings_advertised_address (const char *advertised, const char *bound)
 {
   return advertised[0] != '\0' ? advertised : bound;
 }
--- a/node/host_settings.h
+++ b/node/host_settings.h
@@ -99,7 +99,7 @@
   /** In any window of quota_window_ms a workspace's requests pass its quota by
    * no more than this part of it and quota_slack requests. */
   uint32_t quota_window_ms;
-  uint32_t quota_over_percent;
+  uint32_t quota_overshoot_percent;
   uint32_t quota_slack;
 };
 
@@ -153,8 +153,8 @@
 uint32_t host_settings_keep_answer_ms (const struct host_settings *settings);
 
 /** The address to tell others: ADVERTISED, or BOUND when that is "". */
-const char *host_settings_reached_at (const char *advertised,
-                                      const char *bound);
+const char *host_settings_advertised_address (const char *advertised,
+                                              const char *bound);
 
 /** Read and check PATH.  On failure the message gives file, place, what was
  * expected and the remedy. */
--- a/node/mhd_loop.c
+++ b/node/mhd_loop.c
@@ -92,13 +92,13 @@
 }
 
 void
-mhd_loop_kick (struct mhd_loop *mhd_loop)
+mhd_loop_wake (struct mhd_loop *mhd_loop)
 {
   ev_feed_event (mhd_loop->loop, &mhd_loop->io, EV_READ);
 }
 
 uint16_t
-mhd_loop_port (struct MHD_Daemon *daemon)
+mhd_loop_bound_port (struct MHD_Daemon *daemon)
 {
   const union MHD_DaemonInfo *info
       = MHD_get_daemon_info (daemon, MHD_DAEMON_INFO_BIND_PORT);
@@ -124,7 +124,7 @@
 }
 
 socklen_t
-mhd_loop_address (const char *address, struct sockaddr_storage *storage)
+mhd_loop_parse_address (const char *address, struct sockaddr_storage *storage)
 {
   char ip[ADDRESS_SIZE];
   memset (storage, 0, sizeof *storage);
--- a/node/mhd_loop.h
+++ b/node/mhd_loop.h
@@ -31,14 +31,14 @@
 /** Let the daemon go on after MHD_resume_connection() or a response queued
  * outside its callbacks.  Runs it from the loop, never from here, so it may be
  * called within the daemon's callbacks. */
-void mhd_loop_kick (struct mhd_loop *mhd_loop);
+void mhd_loop_wake (struct mhd_loop *mhd_loop);
 
 /** The port that DAEMON listens on, for one bound to port 0; 0 on failure. */
-uint16_t mhd_loop_port (struct MHD_Daemon *daemon);
+uint16_t mhd_loop_bound_port (struct MHD_Daemon *daemon);
 
 /** The numeric ADDRESS (`IP:PORT` or `[IP6]:PORT`) as a socket address.
  * @return its size in bytes; 0 when it can't be understood. */
-socklen_t mhd_loop_address (const char *address,
-                            struct sockaddr_storage *storage);
+socklen_t mhd_loop_parse_address (const char *address,
+                                  struct sockaddr_storage *storage);
 
 #endif
--- a/node/operator/operator_guard.c
+++ b/node/operator/operator_auth.c
@@ -1,5 +1,5 @@
 #define LOG_MODULE "operator"
-#include "node/operator/operator_guard.h"
+#include "node/operator/operator_auth.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -24,7 +24,7 @@
 }
 
 enum status
-operator_guard_load (struct operator_guard *guard, const char *path)
+operator_auth_load (struct operator_auth *guard, const char *path)
 {
   memset (guard, 0, sizeof *guard);
   if (path[0] == '\0')
@@ -77,8 +77,8 @@
 }
 
 enum status
-operator_guard_check (const struct operator_guard *guard,
-                      const char *authorization, const struct sockaddr *peer)
+operator_auth_check (const struct operator_auth *guard,
+                     const char *authorization, const struct sockaddr *peer)
 {
   if (guard->secret[0] == '\0')
     {
--- a/node/operator/operator_guard.h
+++ b/node/operator/operator_auth.h
@@ -2,8 +2,8 @@
  * Who may command: holders of the shared secret, or, where none is
  * configured, processes on this machine.
  */
-#ifndef NODE_OPERATOR_OPERATOR_GUARD_H
-#define NODE_OPERATOR_OPERATOR_GUARD_H
+#ifndef NODE_OPERATOR_OPERATOR_AUTH_H
+#define NODE_OPERATOR_OPERATOR_AUTH_H
 
 #include <stddef.h>
 #include <sys/socket.h>
@@ -16,19 +16,18 @@
   OPERATOR_SECRET_MIN_BYTES = 16, /**< a shorter one can be guessed */
 };
 
-struct operator_guard
+struct operator_auth
 {
   char secret[OPERATOR_SECRET_SIZE]; /**< "" is none */
 };
 
 /** Read the secret of PATH, its first line; "" means that there is none. */
-enum status operator_guard_load (struct operator_guard *guard,
-                                 const char *path);
+enum status operator_auth_load (struct operator_auth *guard, const char *path);
 
 /** May the sender at PEER with this Authorization header (or NULL) command?
  * STATUS_REFUSED with the remedy in the message otherwise. */
-enum status operator_guard_check (const struct operator_guard *guard,
-                                  const char *authorization,
-                                  const struct sockaddr *peer);
+enum status operator_auth_check (const struct operator_auth *guard,
+                                 const char *authorization,
+                                 const struct sockaddr *peer);
 
 #endif
--- a/node/operator/operator_backend.h
+++ b/node/operator/operator_backend.h
@@ -93,12 +93,12 @@
                         const struct operator_command *command);
   /** Ask the other hosts whether they have what COMMAND wrote as VERSION, or
    * a later one, for at most WITHIN_MS. */
-  void (*ask_in_force) (struct operator_backend *backend,
-                        const struct operator_command *command,
-                        uint64_t version, uint32_t within_ms,
-                        operator_in_force_done *done, void *owner);
+  void (*query_in_force) (struct operator_backend *backend,
+                          const struct operator_command *command,
+                          uint64_t version, uint32_t within_ms,
+                          operator_in_force_done *done, void *owner);
   /** How old this host's news from the platform or its relays is. */
-  int64_t (*news_age_ms) (struct operator_backend *backend);
+  int64_t (*contact_age_ms) (struct operator_backend *backend);
   /** The names of hosts believed live and not heard from lately, as a new
    * JSON array. */
   struct json_object *(*not_heard_from) (struct operator_backend *backend);
--- a/node/operator/operator_exchange.c
+++ b/node/operator/operator_exchange.c
@@ -16,8 +16,8 @@
 };
 
 void
-operator_exchange_add_body (struct operator_exchange *exchange,
-                            const char *data, size_t size)
+operator_exchange_append_body (struct operator_exchange *exchange,
+                               const char *data, size_t size)
 {
   const size_t room = sizeof exchange->body - exchange->body_size;
   if (size > room)
@@ -30,8 +30,9 @@
 }
 
 void
-operator_exchange_answer (struct operator_exchange *exchange,
-                          unsigned int http_code, struct json_object *answer)
+operator_exchange_set_answer (struct operator_exchange *exchange,
+                              unsigned int http_code,
+                              struct json_object *answer)
 {
   exchange->http_code = http_code;
   exchange->answer = answer;
@@ -40,7 +41,7 @@
 void
 operator_exchange_fail (struct operator_exchange *exchange, enum status status)
 {
-  operator_exchange_answer (
+  operator_exchange_set_answer (
       exchange, operator_answer_http_code (status),
       operator_answer_failure (status_name (status), status_message ()));
 }
@@ -50,7 +51,7 @@
 {
   exchange->waiting = false;
   MHD_resume_connection (exchange->connection);
-  mhd_loop_kick (exchange->mhd_loop);
+  mhd_loop_wake (exchange->mhd_loop);
 }
 
 static void
@@ -72,21 +73,21 @@
             LOG_STR ("status", status_name (result->status)),
             LOG_INT ("acted_on_version", result->acted_on_version),
             LOG_INT ("version", result->version));
-  operator_exchange_answer (exchange,
-                            operator_answer_http_code (result->status),
-                            operator_answer_command (command, result));
+  operator_exchange_set_answer (exchange,
+                                operator_answer_http_code (result->status),
+                                operator_answer_command (command, result));
   if (result->status != STATUS_OK)
     {
       wake (exchange);
       return;
     }
-  exchange->backend->ops->ask_in_force (exchange->backend, command,
-                                        result->version, IN_FORCE_WITHIN_MS,
-                                        on_in_force, exchange);
+  exchange->backend->ops->query_in_force (exchange->backend, command,
+                                          result->version, IN_FORCE_WITHIN_MS,
+                                          on_in_force, exchange);
 }
 
 void
-operator_exchange_command (struct operator_exchange *exchange)
+operator_exchange_start_command (struct operator_exchange *exchange)
 {
   const struct operator_backend_ops *ops = exchange->backend->ops;
   exchange->waiting = true;
@@ -127,7 +128,7 @@
   json_row_text (answer, "command", "clear-poison");
   json_row_text (answer, "fingerprint", text);
   json_row_flag (answer, "accepted", true);
-  operator_exchange_answer (exchange, MHD_HTTP_OK, answer);
+  operator_exchange_set_answer (exchange, MHD_HTTP_OK, answer);
 }
 
 /* Guards against telling an operator "not done" of a command that was: the
--- a/node/operator/operator_exchange.h
+++ b/node/operator/operator_exchange.h
@@ -36,13 +36,13 @@
 };
 
 /** Take in SIZE bytes of the body; what is past the bound is dropped. */
-void operator_exchange_add_body (struct operator_exchange *exchange,
-                                 const char *data, size_t size);
+void operator_exchange_append_body (struct operator_exchange *exchange,
+                                    const char *data, size_t size);
 
 /** Answer with ANSWER, which is taken over. */
-void operator_exchange_answer (struct operator_exchange *exchange,
-                               unsigned int http_code,
-                               struct json_object *answer);
+void operator_exchange_set_answer (struct operator_exchange *exchange,
+                                   unsigned int http_code,
+                                   struct json_object *answer);
 
 /** Answer with a failure and the last status message. */
 void operator_exchange_fail (struct operator_exchange *exchange,
@@ -50,7 +50,7 @@
 
 /** Have the backend carry out the exchange's command; the connection sleeps
  * until that has ended. */
-void operator_exchange_command (struct operator_exchange *exchange);
+void operator_exchange_start_command (struct operator_exchange *exchange);
 
 /** Run OPERATOR_CLEAR_POISON and answer synchronously. */
 void operator_exchange_clear_poison (struct operator_exchange *exchange);
--- a/node/operator/operator_request.c
+++ b/node/operator/operator_request.c
@@ -116,8 +116,8 @@
 }
 
 enum status
-operator_request_resolve (struct json_object *rows,
-                          struct operator_command *command)
+operator_request_resolve_service (struct json_object *rows,
+                                  struct operator_command *command)
 {
   if (command->service[0] != '\0')
     return STATUS_OK;
--- a/node/operator/operator_request.h
+++ b/node/operator/operator_request.h
@@ -34,7 +34,8 @@
 /** Find the service of COMMAND's target in ROWS, the table "targets", where
  * the request named none.  Refused when several services have such a target,
  * not found when none has. */
-enum status operator_request_resolve (struct json_object *rows,
-                                      struct operator_command *command);
+enum status
+operator_request_resolve_service (struct json_object *rows,
+                                  struct operator_command *command);
 
 #endif
--- a/node/operator/operator_task.c
+++ b/node/operator/operator_task.c
@@ -15,7 +15,7 @@
 #include "node/operator/counter_rows.h"
 #include "node/operator/operator_answer.h"
 #include "node/operator/operator_exchange.h"
-#include "node/operator/operator_guard.h"
+#include "node/operator/operator_auth.h"
 #include "node/operator/operator_request.h"
 
 enum
@@ -35,7 +35,7 @@
 struct operator_task
 {
   struct operator_task_options options;
-  struct operator_guard guard;
+  struct operator_auth guard;
   struct MHD_Daemon *daemon;
   struct mhd_loop *mhd_loop;
   struct counter_family *requests;
@@ -81,10 +81,10 @@
       = { .host = task->options.settings->name,
           .table = name,
           .rows = rows,
-          .age_ms = backend->ops->news_age_ms (backend),
+          .age_ms = backend->ops->contact_age_ms (backend),
           .not_heard_from = backend->ops->not_heard_from (backend) };
-  operator_exchange_answer (exchange, MHD_HTTP_OK,
-                            operator_answer_table (&answer));
+  operator_exchange_set_answer (exchange, MHD_HTTP_OK,
+                                operator_answer_table (&answer));
 }
 
 static enum MHD_Result
@@ -114,12 +114,12 @@
       exchange->connection, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
   const char *authorization = MHD_lookup_connection_value (
       exchange->connection, MHD_HEADER_KIND, MHD_HTTP_HEADER_AUTHORIZATION);
-  if (operator_guard_check (&task->guard, authorization,
-                            info == NULL ? NULL : info->client_addr)
+  if (operator_auth_check (&task->guard, authorization,
+                           info == NULL ? NULL : info->client_addr)
       == STATUS_OK)
     return true;
   LOG_WARN ("command-not-authorised", LOG_STR ("why", status_message ()));
-  operator_exchange_answer (
+  operator_exchange_set_answer (
       exchange, MHD_HTTP_UNAUTHORIZED,
       operator_answer_failure ("not-authorised", status_message ()));
   return false;
@@ -159,7 +159,7 @@
     return status;
   struct json_object *rows = tables_read (task->options.tables, "targets");
   const enum status found
-      = operator_request_resolve (rows, &exchange->command);
+      = operator_request_resolve_service (rows, &exchange->command);
   json_object_put (rows);
   return found;
 }
@@ -175,7 +175,7 @@
   else if (exchange->command.verb == OPERATOR_CLEAR_POISON)
     operator_exchange_clear_poison (exchange);
   else
-    operator_exchange_command (exchange);
+    operator_exchange_start_command (exchange);
 }
 
 static void
@@ -185,7 +185,7 @@
               "%.64s doesn't take this method: GET a table, "
               "POST %s",
               url, command_path);
-  operator_exchange_answer (
+  operator_exchange_set_answer (
       exchange, MHD_HTTP_METHOD_NOT_ALLOWED,
       operator_answer_failure (status_name (STATUS_INVALID),
                                status_message ()));
@@ -238,7 +238,7 @@
     }
   if (*upload_data_size > 0)
     {
-      operator_exchange_add_body (exchange, upload_data, *upload_data_size);
+      operator_exchange_append_body (exchange, upload_data, *upload_data_size);
       *upload_data_size = 0;
       return MHD_YES;
     }
@@ -275,7 +275,7 @@
 listen_on (struct operator_task *task, const char *address)
 {
   struct sockaddr_storage storage;
-  if (mhd_loop_address (address, &storage) == 0)
+  if (mhd_loop_parse_address (address, &storage) == 0)
     return status_set (STATUS_INVALID,
                        "operator_address \"%s\": expected IP:PORT by number",
                        address);
@@ -311,7 +311,7 @@
   task->options = *options;
   task->requests = counters_family (options->counters, &requests);
   enum status status
-      = operator_guard_load (&task->guard, settings->secret_file);
+      = operator_auth_load (&task->guard, settings->secret_file);
   if (status == STATUS_OK)
     status = listen_on (task, settings->operator_address);
   if (status != STATUS_OK)
@@ -320,7 +320,7 @@
       return status;
     }
   LOG_INFO ("listening", LOG_STR ("address", settings->operator_address),
-            LOG_INT ("port", mhd_loop_port (task->daemon)));
+            LOG_INT ("port", mhd_loop_bound_port (task->daemon)));
   tables_register (options->tables, "counters", counter_rows,
                    options->counters);
   *created = task;
@@ -349,5 +349,5 @@
 uint16_t
 operator_task_port (const struct operator_task *task)
 {
-  return mhd_loop_port (task->daemon);
+  return mhd_loop_bound_port (task->daemon);
 }
--- a/node/operator/service_command.c
+++ b/node/operator/service_command.c
@@ -118,8 +118,8 @@
 }
 
 enum status
-service_command_edit (struct service_spec *spec,
-                      const struct operator_command *command, bool *changed)
+service_command_apply (struct service_spec *spec,
+                       const struct operator_command *command, bool *changed)
 {
   const bool pause = command->verb == OPERATOR_PAUSE_EJECTION;
   *changed = false;
@@ -310,7 +310,7 @@
 write_changed (struct service_command *sc, struct service_spec *after)
 {
   uint64_t random[2];
-  rng_secret (random, sizeof random);
+  rng_secure_bytes (random, sizeof random);
   snprintf (sc->write_id, sizeof sc->write_id, "%016" PRIx64 "%016" PRIx64,
             random[0], random[1]);
   memcpy (after->write_id, sc->write_id, sizeof after->write_id);
@@ -363,7 +363,7 @@
     }
   struct service_spec *after = service_spec_copy (sc->before);
   const enum status status
-      = service_command_edit (after, &sc->command, &changed);
+      = service_command_apply (after, &sc->command, &changed);
   if (status != STATUS_OK)
     finish_failed (sc, status, "%s", status_message ());
   else if (!changed)
--- a/node/operator/service_command.h
+++ b/node/operator/service_command.h
@@ -47,8 +47,8 @@
  * difference.
  * @return STATUS_NOT_FOUND for a target that the service doesn't have,
  * STATUS_INVALID for a command that doesn't change a service. */
-enum status service_command_edit (struct service_spec *spec,
-                                  const struct operator_command *command,
-                                  bool *changed);
+enum status service_command_apply (struct service_spec *spec,
+                                   const struct operator_command *command,
+                                   bool *changed);
 
 #endif
--- a/node/operator/tests/operator_guard_test.cc
+++ b/node/operator/tests/operator_auth_test.cc
@@ -9,7 +9,7 @@
 
 extern "C"
 {
-#include "node/operator/operator_guard.h"
+#include "node/operator/operator_auth.h"
 }
 
 static std::string
@@ -32,30 +32,30 @@
 }
 
 static enum status
-check (const struct operator_guard *guard, const char *authorization,
+check (const struct operator_auth *guard, const char *authorization,
        const char *ip)
 {
   const struct sockaddr_in in = peer_at (ip);
-  return operator_guard_check (
-      guard, authorization, reinterpret_cast<const struct sockaddr *> (&in));
+  return operator_auth_check (guard, authorization,
+                              reinterpret_cast<const struct sockaddr *> (&in));
 }
 
 TEST (OperatorGuard, WithoutSecretOnlyThisMachineCommands)
 {
-  struct operator_guard guard;
-  ASSERT_EQ (operator_guard_load (&guard, ""), STATUS_OK);
+  struct operator_auth guard;
+  ASSERT_EQ (operator_auth_load (&guard, ""), STATUS_OK);
   EXPECT_EQ (check (&guard, nullptr, "127.0.0.1"), STATUS_OK);
   EXPECT_EQ (check (&guard, nullptr, "127.8.0.9"), STATUS_OK);
   EXPECT_EQ (check (&guard, nullptr, "10.0.0.1"), STATUS_REFUSED);
   EXPECT_EQ (check (&guard, "Bearer ", "10.0.0.1"), STATUS_REFUSED);
-  EXPECT_EQ (operator_guard_check (&guard, nullptr, nullptr), STATUS_REFUSED);
+  EXPECT_EQ (operator_auth_check (&guard, nullptr, nullptr), STATUS_REFUSED);
 }
 
 TEST (OperatorGuard, WithSecretEveryoneNeedsIt)
 {
   const std::string path = write_secret ("0123456789abcdef\n");
-  struct operator_guard guard;
-  ASSERT_EQ (operator_guard_load (&guard, path.c_str ()), STATUS_OK);
+  struct operator_auth guard;
+  ASSERT_EQ (operator_auth_load (&guard, path.c_str ()), STATUS_OK);
   EXPECT_EQ (check (&guard, "Bearer 0123456789abcdef", "10.0.0.1"), STATUS_OK);
   const char *const wrong[] = { nullptr,
                                 "",
@@ -75,14 +75,14 @@
 
 TEST (OperatorGuard, RefusesSecretsThatGuardNothing)
 {
-  struct operator_guard guard;
+  struct operator_auth guard;
   for (const char *text : { "", "\n", "short\n", "\n0123456789abcdef" })
     {
       const std::string path = write_secret (text);
-      EXPECT_EQ (operator_guard_load (&guard, path.c_str ()), STATUS_INVALID);
+      EXPECT_EQ (operator_auth_load (&guard, path.c_str ()), STATUS_INVALID);
       EXPECT_NE (std::string (status_message ()).find ("openssl rand"),
                  std::string::npos);
       unlink (path.c_str ());
     }
-  EXPECT_EQ (operator_guard_load (&guard, "/nowhere/secret"), STATUS_SYSTEM);
+  EXPECT_EQ (operator_auth_load (&guard, "/nowhere/secret"), STATUS_SYSTEM);
 }
--- a/node/operator/tests/operator_request_test.cc
+++ b/node/operator/tests/operator_request_test.cc
@@ -109,13 +109,16 @@
   struct operator_command command;
   ASSERT_EQ (parse ("{\"command\":\"drain\",\"target\":\"one\"}", &command),
              STATUS_OK);
-  EXPECT_EQ (operator_request_resolve (rows, &command), STATUS_OK);
+  EXPECT_EQ (operator_request_resolve_service (rows, &command), STATUS_OK);
   EXPECT_STREQ (command.service, "a");
   parse ("{\"command\":\"drain\",\"target\":\"both\"}", &command);
-  EXPECT_EQ (operator_request_resolve (rows, &command), STATUS_INVALID);
+  EXPECT_EQ (operator_request_resolve_service (rows, &command),
+             STATUS_INVALID);
   parse ("{\"command\":\"drain\",\"target\":\"none\"}", &command);
-  EXPECT_EQ (operator_request_resolve (rows, &command), STATUS_NOT_FOUND);
+  EXPECT_EQ (operator_request_resolve_service (rows, &command),
+             STATUS_NOT_FOUND);
   parse ("{\"command\":\"drain\",\"target\":\"none\"}", &command);
-  EXPECT_EQ (operator_request_resolve (nullptr, &command), STATUS_NOT_FOUND);
+  EXPECT_EQ (operator_request_resolve_service (nullptr, &command),
+             STATUS_NOT_FOUND);
   json_object_put (rows);
 }
--- a/node/plain_server.c
+++ b/node/plain_server.c
@@ -62,7 +62,7 @@
 {
   struct sockaddr_storage address;
   *created = NULL;
-  if (mhd_loop_address (options->address, &address) == 0)
+  if (mhd_loop_parse_address (options->address, &address) == 0)
     return status_set (STATUS_INVALID,
                        "%s address \"%s\": expected IP:PORT by number",
                        options->what, options->address);
@@ -97,8 +97,8 @@
 }
 
 enum MHD_Result
-plain_server_reply (struct MHD_Connection *connection, unsigned int status,
-                    const char *content_type, const char *text)
+plain_server_respond (struct MHD_Connection *connection, unsigned int status,
+                      const char *content_type, const char *text)
 {
   struct MHD_Response *response = MHD_create_response_from_buffer (
       strlen (text), (void *)(uintptr_t)text, MHD_RESPMEM_MUST_COPY);
--- a/node/plain_server.h
+++ b/node/plain_server.h
@@ -13,17 +13,16 @@
 struct plain_server;
 
 /** Answer a question: queue a response to CONNECTION. */
-typedef enum MHD_Result plain_server_answer (void *owner,
-                                             struct MHD_Connection *connection,
-                                             const char *path,
-                                             const char *method);
+typedef enum MHD_Result
+plain_server_handler (void *owner, struct MHD_Connection *connection,
+                      const char *path, const char *method);
 
 struct plain_server_options
 {
   struct ev_loop *loop;
   const char *address; /**< IP:PORT */
   const char *what;    /**< what listens there, for messages */
-  plain_server_answer *answer;
+  plain_server_handler *answer;
   void *owner;
 };
 
@@ -33,9 +32,9 @@
 void plain_server_destroy (struct plain_server *server);
 
 /** Queue TEXT as the whole answer. */
-enum MHD_Result plain_server_reply (struct MHD_Connection *connection,
-                                    unsigned int status,
-                                    const char *content_type,
-                                    const char *text);
+enum MHD_Result plain_server_respond (struct MHD_Connection *connection,
+                                      unsigned int status,
+                                      const char *content_type,
+                                      const char *text);
 
 #endif
--- a/node/quota/control_quota.c
+++ b/node/quota/control_quota.c
@@ -51,6 +51,6 @@
 control_quota_deliver (struct control_quota *transport,
                        struct quota_task *task)
 {
-  control_subscribe (transport->control, PEER_QUOTA_ASK, receive, task);
+  control_subscribe (transport->control, PEER_QUOTA_REQUEST, receive, task);
   control_subscribe (transport->control, PEER_QUOTA_GRANT, receive, task);
 }
--- a/node/quota/quota_messages.h
+++ b/node/quota/quota_messages.h
@@ -1,6 +1,6 @@
 /** @file
  * What holders and keepers of quotas tell each other: reports of type
- * PEER_QUOTA_ASK and PEER_QUOTA_GRANT (peer_message.h).
+ * PEER_QUOTA_REQUEST and PEER_QUOTA_GRANT (peer_message.h).
  *
  * `sequence` is a stamp of the sender's (policy/quota/quota_stamp.h), `epoch`
  * the last one that it had from the receiver; 0: none.  The first row tells of
--- a/node/quota/quota_requester.c
+++ b/node/quota/quota_requester.c
@@ -93,7 +93,7 @@
   add_wanted (task);
   if (peer->unanswered_since_ms == 0)
     peer->unanswered_since_ms = now_ms;
-  quota_task_send_report (task, coordinator, PEER_QUOTA_ASK);
+  quota_task_send_report (task, coordinator, PEER_QUOTA_REQUEST);
 }
 
 /* Ask for what requests here want; RENEW: also when that is nothing. */
--- a/node/quota/quota_task.c
+++ b/node/quota/quota_task.c
@@ -157,7 +157,7 @@
     }
   entry->generation = task->generation;
   entry->limit = (struct quota_limit){
-    .rate_per_s = (double)workspace->quota.rate_millis / WORKSPACE_RATE_UNIT,
+    .rate_per_s = (double)workspace->quota.rate_millis / WORKSPACE_RATE_SCALE,
     .burst = workspace->quota.burst,
   };
 }
@@ -185,7 +185,7 @@
       if (report->hosts > 0)
         quota_shares_note_host_count (task->shares, clock_now_ms (),
                                       report->hosts);
-      if (message->type == PEER_QUOTA_ASK)
+      if (message->type == PEER_QUOTA_REQUEST)
         quota_coordinator_receive (task, from, report);
       else
         quota_requester_receive (task, from, report);
@@ -225,9 +225,9 @@
   task->tolerance
       = (struct quota_tolerance){ .window_ms = access->quota_window_ms,
                                   .overshoot_percent
-                                  = access->quota_over_percent,
+                                  = access->quota_overshoot_percent,
                                   .slack = access->quota_slack };
-  rng_secret (&task->process_nonce, sizeof task->process_nonce);
+  rng_secure_bytes (&task->process_nonce, sizeof task->process_nonce);
   quota_lease_init (&task->lease, now_ms, &task->tolerance);
   task->shares = quota_shares_create (now_ms, task->lease.expires_ms);
   task->pool = quota_pool_create (task->shares, &task->tolerance);
--- a/node/quota/tests/quota_messages_test.cc
+++ b/node/quota/tests/quota_messages_test.cc
@@ -36,7 +36,7 @@
   sent->rows[1] = { 1, 0, 0, 0, 0 };
   Values held;
   const peer_message message
-      = quota_report_message (PEER_QUOTA_ASK, sent.get (), &held.values);
+      = quota_report_message (PEER_QUOTA_REQUEST, sent.get (), &held.values);
   size_t size;
   char *bytes = peer_message_encode (&message, &size);
   peer_message decoded;
@@ -61,7 +61,7 @@
   const auto read = std::make_unique<quota_report> ();
   int64_t values[12] = {};
   peer_message message = {};
-  message.type = PEER_QUOTA_ASK;
+  message.type = PEER_QUOTA_REQUEST;
   message.report.values = values;
   for (const uint32_t columns : { 0u, 1u, 4u, 6u })
     {
--- a/node/tests/bus_test.cc
+++ b/node/tests/bus_test.cc
@@ -80,7 +80,7 @@
   bus_message message{};
   message.topic = BUS_HOST_SET;
   message.host_set.hosts
-      = static_cast<bus_set_host *> (calloc (3, sizeof (bus_set_host)));
+      = static_cast<bus_host_entry *> (calloc (3, sizeof (bus_host_entry)));
   bus_post (own_bus, &message);
   ev_run (loop, EVRUN_NOWAIT);
 }
--- a/node/tests/host_settings_test.cc
+++ b/node/tests/host_settings_test.cc
@@ -150,11 +150,11 @@
   EXPECT_EQ (load (any + ",\"advertise\":{\"caller\":\"192.0.2.7:80\"}}"),
              STATUS_OK)
       << status_message ();
-  EXPECT_STREQ (host_settings_reached_at (settings.caller_advertised,
-                                          settings.caller_address),
+  EXPECT_STREQ (host_settings_advertised_address (settings.caller_advertised,
+                                                  settings.caller_address),
                 "192.0.2.7:80");
-  EXPECT_STREQ (host_settings_reached_at (settings.peer_advertised,
-                                          settings.peer_address),
+  EXPECT_STREQ (host_settings_advertised_address (settings.peer_advertised,
+                                                  settings.peer_address),
                 "127.0.0.1:2");
 }
 
--- a/node/tests/mhd_loop_test.cc
+++ b/node/tests/mhd_loop_test.cc
@@ -15,12 +15,12 @@
 TEST (MhdLoop, AddressesAreNumeric)
 {
   struct sockaddr_storage storage;
-  ASSERT_EQ (mhd_loop_address ("127.0.0.2:8080", &storage),
+  ASSERT_EQ (mhd_loop_parse_address ("127.0.0.2:8080", &storage),
              sizeof (struct sockaddr_in));
   const auto *in = reinterpret_cast<struct sockaddr_in *> (&storage);
   EXPECT_EQ (ntohs (in->sin_port), 8080);
   EXPECT_EQ (ntohl (in->sin_addr.s_addr), 0x7f000002u);
-  ASSERT_EQ (mhd_loop_address ("[::1]:9", &storage),
+  ASSERT_EQ (mhd_loop_parse_address ("[::1]:9", &storage),
              sizeof (struct sockaddr_in6));
   EXPECT_EQ (storage.ss_family, AF_INET6);
   const std::string too_long = std::string (100, '1') + ":80";
@@ -28,7 +28,7 @@
        { "", ":", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:-1",
          "127.0.0.1:65536", "127.0.0.1:80 ", "localhost:80", "::1:80", "[::1]",
          "[127.0.0.1]:80", "[]:80", ":80", too_long.c_str () })
-    EXPECT_EQ (mhd_loop_address (text, &storage), 0u) << text;
+    EXPECT_EQ (mhd_loop_parse_address (text, &storage), 0u) << text;
 }
 
 static enum MHD_Result
@@ -101,7 +101,7 @@
 {
   struct held held = {};
   struct sockaddr_storage storage;
-  mhd_loop_address ("127.0.0.1:0", &storage);
+  mhd_loop_parse_address ("127.0.0.1:0", &storage);
   held.loop = ev_loop_new (EVFLAG_AUTO);
   struct MHD_Daemon *daemon = MHD_start_daemon (
       MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, nullptr, nullptr, hold,
@@ -110,7 +110,7 @@
   held.mhd_loop = mhd_loop_create (held.loop, daemon);
   ASSERT_NE (held.mhd_loop, nullptr);
   auto *in = reinterpret_cast<struct sockaddr_in *> (&storage);
-  in->sin_port = htons (mhd_loop_port (daemon));
+  in->sin_port = htons (mhd_loop_bound_port (daemon));
   const int fd = socket (AF_INET, SOCK_STREAM, 0);
   ASSERT_EQ (
       connect (fd, reinterpret_cast<struct sockaddr *> (in), sizeof *in), 0);
@@ -122,7 +122,7 @@
 
   held.over = true;
   MHD_resume_connection (held.connection);
-  mhd_loop_kick (held.mhd_loop);
+  mhd_loop_wake (held.mhd_loop);
   ev_io answer;
   ev_io_init (&answer, on_answer, fd, EV_READ);
   ev_io_start (held.loop, &answer);
--- a/tests/compat/mixed_builds.cc
+++ b/tests/compat/mixed_builds.cc
@@ -79,7 +79,8 @@
   bool
   set_fault (int target, const std::string &how)
   {
-    return fleet->control (fleet->target_url (target, "/control/set?" + how));
+    return fleet->post_control (
+        fleet->target_url (target, "/control/set?" + how));
   }
 
   std::string
@@ -187,27 +188,27 @@
   {
     expect_members ();
     Load load (*fleet, callers);
-    ASSERT_TRUE (load.wait_more (some));
+    ASSERT_TRUE (load.wait_for_requests (some));
     ASSERT_TRUE (set_fault (4, "limit=1"));
     ASSERT_TRUE (set_fault (2, "fail=100"));
     expect_ejected (2);
-    ASSERT_TRUE (load.wait_more (some));
+    ASSERT_TRUE (load.wait_for_requests (some));
     fleet->targets[7]->kill ();
-    ASSERT_TRUE (load.wait_more (some));
+    ASSERT_TRUE (load.wait_for_requests (some));
     int code = -1;
     fleet->jaystair (1, { "drain", "target-3" }, &code);
     EXPECT_EQ (code, 0);
     expect_drained (3);
-    ASSERT_TRUE (load.wait_more (some));
+    ASSERT_TRUE (load.wait_for_requests (some));
     fleet->jaystair (3, { "undrain", "target-3" }, &code);
     EXPECT_EQ (code, 0);
-    ASSERT_TRUE (load.wait_more (some));
+    ASSERT_TRUE (load.wait_for_requests (some));
     EXPECT_TRUE (on_all ([&] (int host) {
       return json_at (target_row (host, 4), "rows.0.limit_millis") == "1000";
     })) << target_row (1, 4);
     load.stop ();
     EXPECT_EQ (load.check (), "") << fleet->logs ();
-    EXPECT_EQ (load.count_told (Told::wrong), 0u);
+    EXPECT_EQ (load.count_outcome (RequestOutcome::wrong), 0u);
     std::cout << load.summary ();
     expect_members ();
     fleet->start_target (8);
@@ -236,7 +237,7 @@
       options.programs[host] = from;
     start ({});
     Load load (*fleet, callers);
-    ASSERT_TRUE (load.wait_more (some));
+    ASSERT_TRUE (load.wait_for_requests (some));
     int code = -1;
     /* Refused until the service has an owner. */
     EXPECT_TRUE (wait_until ([&] {
@@ -322,14 +323,15 @@
         for (int i = 0; elapsed () < window_s; i++)
           {
             const int host = 1 + (sender + i) % hosts;
-            const Record record = send_and_judge (
+            const Record record = send_and_classify (
                 fleet->caller_url (host, ""),
                 "q" + std::to_string (sender) + "-" + std::to_string (i),
                 false, { "Authorization: Bearer " + key });
             const std::lock_guard<std::mutex> lock (mutex);
-            served[host] += record.told == Told::ran;
-            refused += record.told == Told::not_run;
-            rest += record.told != Told::ran && record.told != Told::not_run;
+            served[host] += record.outcome == RequestOutcome::ran;
+            refused += record.outcome == RequestOutcome::not_run;
+            rest += record.outcome != RequestOutcome::ran
+                    && record.outcome != RequestOutcome::not_run;
           }
       });
     for (std::thread &sender : senders)
--- a/tests/demo/demo.cc
+++ b/tests/demo/demo.cc
@@ -31,7 +31,7 @@
 part (Load &load, const std::string &what)
 {
   std::cout << "* " << what << std::endl;
-  const bool moved = load.wait_more (requests_a_part);
+  const bool moved = load.wait_for_requests (requests_a_part);
   std::cout << "  so far " << load.summary () << std::endl;
   return moved;
 }
@@ -70,7 +70,8 @@
   load.stop ();
   const std::string broken = load.check ();
   std::cout << "\n* " << load.summary () << "\n";
-  if (!moved || !broken.empty () || load.count_told (Told::ran) == 0)
+  if (!moved || !broken.empty ()
+      || load.count_outcome (RequestOutcome::ran) == 0)
     {
       std::cout << "* NOT in order\n" << broken << fleet.logs ();
       return 1;
--- a/tests/fleet/cut_test.cc
+++ b/tests/fleet/cut_test.cc
@@ -23,7 +23,7 @@
   CutTarget ()
   {
     FleetOptions options;
-    options.through["target-1"] = between.at (5, 9100);
+    options.address_overrides["target-1"] = between.at (5, 9100);
     fleet = std::make_unique<Fleet> (options);
     relay = std::make_unique<Relay> (
         between.at (5, 9100),
@@ -45,13 +45,13 @@
   Relay &relay = *cut.relay;
   ASSERT_TRUE (fleet.start ());
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   const size_t runs = fleet.targets[0]->lines_with ("run ").size ();
-  relay.cut_back = true;
+  relay.drop_backward = true;
   EXPECT_TRUE (wait_until ([&] {
     return fleet.targets[0]->lines_with ("run ").size () > runs;
   })) << load.summary ();
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet.logs ();
 }
@@ -65,16 +65,16 @@
   AddressBlock between;
   FleetOptions options;
   options.dcs = 3;
-  options.through["host-2.peer"] = between.at (5, 8081);
+  options.address_overrides["host-2.peer"] = between.at (5, 8081);
   options.times = "\"heartbeat_ms\":100,\"suspect_after_ms\":400,"
                   "\"dead_after_ms\":1000";
   Fleet fleet (options);
   Relay relay (between.at (5, 8081), fleet.peer_address (2));
   ASSERT_TRUE (fleet.start ());
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   size_t from = fleet.hosts[0]->line_count ();
-  relay.cut_back = true;
+  relay.drop_backward = true;
   EXPECT_TRUE (
       fleet.hosts[0]->wait_line ({ "\"member\"", "\"host-2\"" }, &from))
       << fleet.logs ();
@@ -82,8 +82,8 @@
   changed.replace (changed.find ("\"floor_capacity\":4"), 18,
                    "\"floor_capacity\":5");
   ASSERT_TRUE (fleet.declare (changed));
-  ASSERT_TRUE (load.wait_more (some));
-  relay.cut_back = false;
+  ASSERT_TRUE (load.wait_for_requests (some));
+  relay.drop_backward = false;
   for (int number = 1; number <= 3; number++)
     EXPECT_TRUE (wait_until ([&] {
       const std::string hosts
@@ -96,7 +96,8 @@
     })) << fleet.logs ();
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet.logs ();
-  EXPECT_EQ (load.count_told (Told::ran), load.count ()) << load.summary ();
+  EXPECT_EQ (load.count_outcome (RequestOutcome::ran), load.count ())
+      << load.summary ();
 }
 
 /* A couple looks at the calendar while one target is heard one way only.  Each
@@ -109,7 +110,7 @@
   Relay &relay = *cut.relay;
   ASSERT_TRUE (fleet.start ());
   const size_t runs = fleet.targets[0]->lines_with ("run ").size ();
-  relay.cut_back = true;
+  relay.drop_backward = true;
   /* Several at a time: one after the other may all go to the target that
      answered first, and then nobody meets the cut. */
   std::vector<std::thread> readers;
@@ -118,9 +119,9 @@
       for (int number = first; number <= pages; number += readers_at_once)
         {
           const Record record
-              = send_and_judge (fleet.caller_url (1 + number % 3, ""),
-                                "page-" + std::to_string (number), false);
-          EXPECT_EQ (record.told, Told::ran)
+              = send_and_classify (fleet.caller_url (1 + number % 3, ""),
+                                   "page-" + std::to_string (number), false);
+          EXPECT_EQ (record.outcome, RequestOutcome::ran)
               << number << ": " << record.detail;
         }
     });
@@ -137,18 +138,18 @@
 {
   AddressBlock between;
   FleetOptions options;
-  options.through["platform"] = between.at (5, 9000);
+  options.address_overrides["platform"] = between.at (5, 9000);
   options.times = "\"platform_timeout_ms\":300,\"watch_ms\":500";
   Fleet fleet (options);
   Relay relay (between.at (5, 9000),
                fleet.platform_url ("").substr (strlen ("http://")));
   ASSERT_TRUE (fleet.start ());
-  relay.cut_back = true;
+  relay.drop_backward = true;
   std::string changed = fleet.service_json ();
   changed.replace (changed.find ("\"floor_capacity\":4"), 18,
                    "\"floor_capacity\":5");
   ASSERT_TRUE (fleet.declare (changed));
-  relay.cut_back = false;
+  relay.drop_backward = false;
   for (int number = 1; number <= 3; number++)
     EXPECT_TRUE (wait_until ([&] {
       return fleet
--- a/tests/fleet/daemon_test.cc
+++ b/tests/fleet/daemon_test.cc
@@ -98,8 +98,10 @@
   void
   expect_serving (const std::string &id)
   {
-    const Record record = send_and_judge (fleet.caller_url (1, ""), id, true);
-    EXPECT_EQ (record.told, Told::ran) << record.detail << host ().tail ();
+    const Record record
+        = send_and_classify (fleet.caller_url (1, ""), id, true);
+    EXPECT_EQ (record.outcome, RequestOutcome::ran)
+        << record.detail << host ().tail ();
   }
 };
 
@@ -151,10 +153,11 @@
    end soon, and the couple must be told the truth: nobody knows. */
 TEST_F (RunningHost, SecondSignalEndsAndAnswersWhatHangs)
 {
-  ASSERT_TRUE (fleet.control (fleet.target_url (1, "/control/set?hang=100")));
+  ASSERT_TRUE (
+      fleet.post_control (fleet.target_url (1, "/control/set?hang=100")));
   Record record;
   std::thread caller ([&] {
-    record = send_and_judge (fleet.caller_url (1, ""), "hangs", true);
+    record = send_and_classify (fleet.caller_url (1, ""), "hangs", true);
   });
   ASSERT_TRUE (wait_until ([&] { return fleet.runs_of ("hangs") == 1; }));
   host ().signal (SIGTERM);
@@ -162,7 +165,7 @@
   host ().signal (SIGTERM);
   EXPECT_EQ (host ().wait (), 0) << host ().tail ();
   caller.join ();
-  EXPECT_EQ (record.told, Told::unknown) << record.detail;
+  EXPECT_EQ (record.outcome, RequestOutcome::unknown) << record.detail;
   EXPECT_NE (record.detail.find ("unknown"), std::string::npos)
       << record.detail;
 }
--- a/tests/fleet/ejection_test.cc
+++ b/tests/fleet/ejection_test.cc
@@ -29,7 +29,8 @@
   bool
   turn_gray (int target, const std::string &how = "fail=100")
   {
-    return fleet->control (fleet->target_url (target, "/control/set?" + how));
+    return fleet->post_control (
+        fleet->target_url (target, "/control/set?" + how));
   }
 
   /* The host's view: is the target out of work by ejection? */
@@ -71,7 +72,7 @@
 {
   start (5, 12);
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   ASSERT_TRUE (turn_gray (2));
   for (int host = 1; host <= 3; host++)
     EXPECT_TRUE (wait_until ([&] { return is_ejected (host, 2); }))
@@ -86,12 +87,12 @@
 {
   start (5, 16);
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   ASSERT_TRUE (turn_gray (2));
   ASSERT_TRUE (wait_until ([&] { return is_ejected (1, 2); }))
       << fleet->logs ();
   ASSERT_TRUE (turn_gray (3));
-  ASSERT_TRUE (load.wait_more (5 * some));
+  ASSERT_TRUE (load.wait_for_requests (5 * some));
   for (int host = 1; host <= 3; host++)
     EXPECT_FALSE (is_ejected (host, 2) && is_ejected (host, 3))
         << fleet->logs ();
@@ -104,9 +105,9 @@
 {
   start (5, 12);
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   ASSERT_TRUE (wait_until ([&] { return owner () != 0; })) << fleet->logs ();
-  ASSERT_TRUE (fleet->control (fleet->platform_url ("/control?down=1")));
+  ASSERT_TRUE (fleet->post_control (fleet->platform_url ("/control?down=1")));
   ASSERT_TRUE (turn_gray (4));
   for (int host = 1; host <= 3; host++)
     EXPECT_TRUE (wait_until ([&] { return is_ejected (host, 4); }))
@@ -122,7 +123,7 @@
 {
   start (5, 16);
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   ASSERT_TRUE (wait_until ([&] { return owner () != 0; })) << fleet->logs ();
   const int first = owner ();
   Process &frozen = *fleet->hosts[static_cast<size_t> (first - 1)];
@@ -139,7 +140,7 @@
   ASSERT_TRUE (turn_gray (2));
   ASSERT_TRUE (turn_gray (3));
   frozen.signal (SIGCONT);
-  ASSERT_TRUE (load.wait_more (5 * some));
+  ASSERT_TRUE (load.wait_for_requests (5 * some));
   for (int host = 1; host <= 3; host++)
     EXPECT_FALSE (is_ejected (host, 2) && is_ejected (host, 3))
         << fleet->logs ();
--- a/tests/fleet/kill_test.cc
+++ b/tests/fleet/kill_test.cc
@@ -27,7 +27,8 @@
   {
     load.stop ();
     EXPECT_EQ (load.check (), "") << fleet.logs ();
-    EXPECT_GT (load.count_told (Told::ran), some) << load.summary ();
+    EXPECT_GT (load.count_outcome (RequestOutcome::ran), some)
+        << load.summary ();
   }
 };
 
@@ -37,9 +38,9 @@
 TEST_F (Kill, HostKilledUnderLoad)
 {
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   fleet.hosts[0]->kill ();
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   expect_promises_kept (load);
 }
 
@@ -48,24 +49,24 @@
 TEST_F (Kill, TargetKilledUnderLoad)
 {
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   fleet.targets[0]->kill ();
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   fleet.start_target (1);
   ASSERT_TRUE (fleet.targets[0]->wait_line ({ "listening" }));
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   load.stop ();
-  EXPECT_EQ (load.count_told (Told::wrong), 0u) << load.check ();
+  EXPECT_EQ (load.count_outcome (RequestOutcome::wrong), 0u) << load.check ();
 }
 
 /* A host and a target go at the same moment. */
 TEST_F (Kill, HostAndTargetTogether)
 {
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   fleet.hosts[1]->kill ();
   fleet.targets[2]->kill ();
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   expect_promises_kept (load);
 }
 
@@ -75,13 +76,13 @@
 TEST_F (Kill, HostFrozenAndThawedUnderLoad)
 {
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   size_t from = fleet.hosts[1]->line_count ();
   fleet.hosts[0]->signal (SIGSTOP);
   EXPECT_TRUE (fleet.hosts[1]->wait_line ({ "\"host-1\"", "dead" }, &from))
       << fleet.hosts[1]->tail ();
   fleet.hosts[0]->signal (SIGCONT);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   expect_promises_kept (load);
 }
 
--- a/tests/fleet/leave_test.cc
+++ b/tests/fleet/leave_test.cc
@@ -18,7 +18,7 @@
   Fleet fleet;
   ASSERT_TRUE (fleet.start ());
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   for (int number = 1; number <= 3; number++)
     {
       Process &host = *fleet.hosts[static_cast<size_t> (number - 1)];
@@ -26,11 +26,11 @@
       EXPECT_EQ (host.wait (), 0) << host.tail ();
       fleet.start_host (number);
       ASSERT_TRUE (fleet.wait_serving (number)) << fleet.logs ();
-      ASSERT_TRUE (load.wait_more (some));
+      ASSERT_TRUE (load.wait_for_requests (some));
     }
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet.logs ();
-  EXPECT_EQ (load.count_told (Told::ran), load.count ())
+  EXPECT_EQ (load.count_outcome (RequestOutcome::ran), load.count ())
       << load.summary () << fleet.logs ();
 }
 
@@ -41,7 +41,7 @@
   Fleet fleet;
   ASSERT_TRUE (fleet.start ());
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   int code = -1;
   const std::string answer
       = fleet.jaystair (1, { "drain", "target-2" }, &code);
@@ -53,13 +53,14 @@
       return rows.find ("drained") != std::string::npos;
     })) << fleet.logs ();
   const size_t runs = fleet.targets[1]->lines_with ("run ").size ();
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   /* Whatever was sent before the last host heard of it has ended by now. */
   EXPECT_LE (fleet.targets[1]->lines_with ("run ").size (), runs + callers)
       << answer;
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet.logs ();
-  EXPECT_EQ (load.count_told (Told::ran), load.count ()) << load.summary ();
+  EXPECT_EQ (load.count_outcome (RequestOutcome::ran), load.count ())
+      << load.summary ();
 }
 
 /* Two operators act at one moment on what they both saw.  One command takes
--- a/tests/fleet/limit_fleet_test.cc
+++ b/tests/fleet/limit_fleet_test.cc
@@ -23,9 +23,10 @@
   Fleet fleet (options);
   ASSERT_TRUE (fleet.start ());
   for (int target = 1; target <= 3; target++)
-    ASSERT_TRUE (
-        fleet.control (fleet.target_url (target, "/control/set?delay_ms=5")));
-  ASSERT_TRUE (fleet.control (fleet.target_url (1, "/control/set?limit=1")));
+    ASSERT_TRUE (fleet.post_control (
+        fleet.target_url (target, "/control/set?delay_ms=5")));
+  ASSERT_TRUE (
+      fleet.post_control (fleet.target_url (1, "/control/set?limit=1")));
   const auto send = [&] (int host, int number) {
     HttpRequest request;
     request.url = fleet.caller_url (host, "/calendar/june");
--- a/tests/fleet/platform_outage_test.cc
+++ b/tests/fleet/platform_outage_test.cc
@@ -26,7 +26,7 @@
   bool
   platform_control (const std::string &what)
   {
-    return fleet->control (fleet->platform_url ("/control?" + what));
+    return fleet->post_control (fleet->platform_url ("/control?" + what));
   }
 };
 
@@ -37,9 +37,9 @@
 {
   start ();
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   ASSERT_TRUE (platform_control ("down=1"));
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   int code = -1;
   const std::string answer
       = fleet->jaystair (1, { "drain", "target-1" }, &code);
@@ -48,7 +48,8 @@
   ASSERT_TRUE (platform_control ("down=0"));
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet->logs ();
-  EXPECT_EQ (load.count_told (Told::ran), load.count ()) << load.summary ();
+  EXPECT_EQ (load.count_outcome (RequestOutcome::ran), load.count ())
+      << load.summary ();
 }
 
 /* The platform answers, but takes longer than a call may take, and then loses
@@ -58,12 +59,12 @@
 {
   start ();
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   ASSERT_TRUE (platform_control ("slow_ms=1000"));
   ASSERT_TRUE (platform_control ("lose_answers=5"));
   size_t from = 0;
   EXPECT_TRUE (fleet->hosts[0]->wait_line ({ "platform-failed" }, &from));
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   ASSERT_TRUE (platform_control ("slow_ms=0"));
   ASSERT_TRUE (platform_control ("lose_answers=0"));
   ASSERT_TRUE (fleet->declare (fleet->service_json ()));
@@ -72,7 +73,8 @@
   })) << fleet->logs ();
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet->logs ();
-  EXPECT_EQ (load.count_told (Told::ran), load.count ()) << load.summary ();
+  EXPECT_EQ (load.count_outcome (RequestOutcome::ran), load.count ())
+      << load.summary ();
 }
 
 /* A host is restarted while the platform is down.  It must come back with
@@ -85,7 +87,7 @@
   fleet->start_host (1);
   EXPECT_TRUE (fleet->wait_serving (1)) << fleet->logs ();
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_more (some));
+  ASSERT_TRUE (load.wait_for_requests (some));
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet->logs ();
 }
--- a/tests/fleet/poison_fleet_test.cc
+++ b/tests/fleet/poison_fleet_test.cc
@@ -41,8 +41,8 @@
       return true;
     }));
     for (int target = 1; target <= targets; target++)
-      ASSERT_TRUE (
-          fleet.control (fleet.target_url (target, "/control/set?crash=1")));
+      ASSERT_TRUE (fleet.post_control (
+          fleet.target_url (target, "/control/set?crash=1")));
   }
 
   long
--- a/tests/harness/caller.cc
+++ b/tests/harness/caller.cc
@@ -9,30 +9,31 @@
 constexpr long request_limit_ms = 30000;
 constexpr int unserved_shown = 10;
 
-Told
-judge (const HttpAnswer &answer, const std::string &id)
+RequestOutcome
+judge (const HttpResponse &answer, const std::string &id)
 {
   const std::string outcome = answer.header ("jaystair-outcome");
-  if (!answer.whole)
-    return Told::unknown;
+  if (!answer.complete)
+    return RequestOutcome::unknown;
   if (outcome == "not-run")
-    return Told::not_run;
+    return RequestOutcome::not_run;
   if (outcome == "unknown")
-    return Told::unknown;
+    return RequestOutcome::unknown;
   if (outcome != "ran")
-    return Told::wrong;
+    return RequestOutcome::wrong;
   if (answer.status != 200)
-    return Told::failed;
+    return RequestOutcome::failed;
   /* The stand-in answers "NAME ID HASH BYTES". */
-  return answer.body.find (" " + id + " ") != std::string::npos ? Told::ran
-                                                                : Told::wrong;
+  return answer.body.find (" " + id + " ") != std::string::npos
+             ? RequestOutcome::ran
+             : RequestOutcome::wrong;
 }
 
 } // namespace
 
 Record
-send_and_judge (const std::string &base_url, const std::string &id,
-                bool unrepeatable, const std::vector<std::string> &headers)
+send_and_classify (const std::string &base_url, const std::string &id,
+                   bool unrepeatable, const std::vector<std::string> &headers)
 {
   HttpRequest request;
   request.method = unrepeatable ? "POST" : "GET";
@@ -42,7 +43,7 @@
   request.timeout_ms = request_limit_ms;
   if (unrepeatable)
     request.body = "hold for " + id;
-  const HttpAnswer answer = http (request);
+  const HttpResponse answer = http (request);
   return { unrepeatable, judge (answer, id),
            std::to_string (answer.status) + " " + answer.error + " "
                + answer.body.substr (0, 200) };
@@ -69,7 +70,7 @@
 }
 
 std::vector<std::string>
-Load::ask_addresses (int thread)
+Load::fetch_addresses (int thread)
 {
   std::vector<std::string> list;
   const int hosts = static_cast<int> (fleet_.hosts.size ());
@@ -80,7 +81,7 @@
           1 + (thread + i) % hosts,
           "/.well-known/jaystair/addresses?service=holds");
       request.timeout_ms = 2000;
-      const HttpAnswer answer = http (request);
+      const HttpResponse answer = http (request);
       const size_t count
           = answer.status == 200 ? json_length (answer.body, "addresses") : 0;
       for (size_t n = 0; n < count; n++)
@@ -105,33 +106,33 @@
   const std::string name
       = "r" + std::to_string (thread) + "-" + std::to_string (number);
   const bool unrepeatable = number % holds_every == 0;
-  Record record{ unrepeatable, Told::not_run, "no host answered" };
+  Record record{ unrepeatable, RequestOutcome::not_run, "no host answered" };
   std::string id = name;
   int sendings = 0;
-  for (const std::string &address : ask_addresses (thread))
+  for (const std::string &address : fetch_addresses (thread))
     {
       if (sendings > 0)
         {
-          note (id, record);
+          add_record (id, record);
           id = name + "." + std::to_string (sendings);
         }
       sendings++;
-      record = send_and_judge ("http://" + address, id, unrepeatable);
+      record = send_and_classify ("http://" + address, id, unrepeatable);
       const bool no_connection
           = record.detail.find ("connect to server") != std::string::npos;
-      if (record.told != Told::unknown)
+      if (record.outcome != RequestOutcome::unknown)
         break;
       if (no_connection)
-        record.told = Told::not_run;
+        record.outcome = RequestOutcome::not_run;
       else if (unrepeatable)
         break;
     }
-  note (id, record);
-  lines_grew ();
+  add_record (id, record);
+  notify_output ();
 }
 
 void
-Load::note (const std::string &id, const Record &record)
+Load::add_record (const std::string &id, const Record &record)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   records_[id] = record;
@@ -145,17 +146,17 @@
 }
 
 size_t
-Load::count_told (Told told)
+Load::count_outcome (RequestOutcome told)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   size_t count = 0;
   for (const auto &entry : records_)
-    count += entry.second.told == told;
+    count += entry.second.outcome == told;
   return count;
 }
 
 bool
-Load::wait_more (size_t more)
+Load::wait_for_requests (size_t more)
 {
   const size_t goal = count () + more;
   return wait_until ([&] { return count () >= goal; }, 120);
@@ -184,13 +185,13 @@
       const int count = found == runs.end () ? 0 : found->second;
       const std::string about = id + " (" + record.detail + ") ran "
                                 + std::to_string (count) + " times\n";
-      if (record.told == Told::wrong)
+      if (record.outcome == RequestOutcome::wrong)
         broken += "not its own whole answer: " + about;
       if (record.unrepeatable && count > 1)
         broken += "unrepeatable but run twice: " + about;
-      if (record.told == Told::not_run && count > 0)
+      if (record.outcome == RequestOutcome::not_run && count > 0)
         broken += "told not run: " + about;
-      if (record.told == Told::ran && count == 0)
+      if (record.outcome == RequestOutcome::ran && count == 0)
         broken += "told run: " + about;
     }
   return broken;
@@ -200,12 +201,15 @@
 Load::summary ()
 {
   return std::to_string (count ())
-         + " requests: " + std::to_string (count_told (Told::ran))
-         + " answered whole, " + std::to_string (count_told (Told::failed))
+         + " requests: " + std::to_string (count_outcome (RequestOutcome::ran))
+         + " answered whole, "
+         + std::to_string (count_outcome (RequestOutcome::failed))
          + " answered with a failure, "
-         + std::to_string (count_told (Told::not_run)) + " not run, "
-         + std::to_string (count_told (Told::unknown)) + " unknown, "
-         + std::to_string (count_told (Told::wrong)) + " wrong\n"
+         + std::to_string (count_outcome (RequestOutcome::not_run))
+         + " not run, "
+         + std::to_string (count_outcome (RequestOutcome::unknown))
+         + " unknown, "
+         + std::to_string (count_outcome (RequestOutcome::wrong)) + " wrong\n"
          + first_unserved ();
 }
 
@@ -216,7 +220,7 @@
   std::string lines;
   int left = unserved_shown;
   for (const auto &[id, record] : records_)
-    if (record.told != Told::ran && left-- > 0)
+    if (record.outcome != RequestOutcome::ran && left-- > 0)
       lines += id + ": " + record.detail + "\n";
   return lines;
 }
--- a/tests/harness/caller.h
+++ b/tests/harness/caller.h
@@ -14,7 +14,7 @@
 #include "tests/harness/fleet.h"
 
 /** What a caller was told about one request. */
-enum class Told
+enum class RequestOutcome
 {
   ran,     /**< the whole right answer */
   failed,  /**< a whole answer of the target that says failure */
@@ -26,7 +26,7 @@
 struct Record
 {
   bool unrepeatable;
-  Told told;
+  RequestOutcome outcome;
   std::string detail;
 };
 
@@ -40,10 +40,10 @@
   ~Load ();
 
   /** Wait until COUNT more requests have ended. */
-  bool wait_more (size_t count);
+  bool wait_for_requests (size_t count);
   void stop ();
   size_t count ();
-  size_t count_told (Told told);
+  size_t count_outcome (RequestOutcome told);
   /** Every promise the users are given, against the targets' own account;
    * "" when all are kept, else what broke.  After stop(). */
   std::string check ();
@@ -57,8 +57,8 @@
   std::string first_unserved ();
   void run (int thread);
   void send_one (int thread, int number);
-  void note (const std::string &id, const Record &record);
-  std::vector<std::string> ask_addresses (int thread);
+  void add_record (const std::string &id, const Record &record);
+  std::vector<std::string> fetch_addresses (int thread);
 
   Fleet &fleet_;
   std::atomic<bool> stopping_{ false };
@@ -68,8 +68,8 @@
 };
 
 /** Send one request through the host at CALLER_URL and judge the answer. */
-Record send_and_judge (const std::string &base_url, const std::string &id,
-                       bool unrepeatable,
-                       const std::vector<std::string> &headers = {});
+Record send_and_classify (const std::string &base_url, const std::string &id,
+                          bool unrepeatable,
+                          const std::vector<std::string> &headers = {});
 
 #endif
--- a/tests/harness/fleet.cc
+++ b/tests/harness/fleet.cc
@@ -42,20 +42,20 @@
 AddressBlock::AddressBlock ()
 {
   const int start = getpid ();
-  for (int i = 0; claim_ < 0 && i < 30000; i++)
+  for (int i = 0; lock_fd_ < 0 && i < 30000; i++)
     {
       const int block = (start + i) % 30000;
       prefix_ = "127." + std::to_string (1 + block / 250) + "."
                 + std::to_string (1 + block % 250) + ".";
-      claim_ = try_claim (prefix_ + "1");
+      lock_fd_ = try_claim (prefix_ + "1");
     }
-  if (claim_ < 0)
+  if (lock_fd_ < 0)
     abort ();
 }
 
 AddressBlock::~AddressBlock ()
 {
-  close (claim_);
+  close (lock_fd_);
 }
 
 std::string
@@ -92,8 +92,8 @@
 std::string
 Fleet::address_of (const std::string &name, const std::string &real) const
 {
-  const auto found = options_.through.find (name);
-  return found == options_.through.end () ? real : found->second;
+  const auto found = options_.address_overrides.find (name);
+  return found == options_.address_overrides.end () ? real : found->second;
 }
 
 std::string
@@ -249,7 +249,7 @@
 Fleet::put_object (const std::string &path, const std::string &text)
 {
   const std::string url = platform_url ("/objects/" + path);
-  const HttpAnswer now = http_get (url);
+  const HttpResponse now = http_get (url);
   HttpRequest request;
   request.method = "PUT";
   request.url = url;
@@ -281,7 +281,7 @@
 }
 
 bool
-Fleet::control (const std::string &url)
+Fleet::post_control (const std::string &url)
 {
   HttpRequest request;
   request.method = "POST";
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -25,7 +25,7 @@
   std::string at (int last, int port) const;
 
 private:
-  int claim_ = -1;
+  int lock_fd_ = -1;
   std::string prefix_;
 };
 
@@ -52,7 +52,7 @@
   std::string retry;
   /** Addresses put in place of the real ones ("host-1.peer", "target-2",
    * "platform"), so that a relay can stand between. */
-  std::map<std::string, std::string> through;
+  std::map<std::string, std::string> address_overrides;
   bool secret = false;
   /** Programs of hosts, by number, in place of this build's jaystaird. */
   std::map<int, std::string> programs;
@@ -96,7 +96,7 @@
   std::string platform_url (const std::string &path) const;
 
   /** POST to a control endpoint of a stand-in. */
-  bool control (const std::string &url);
+  bool post_control (const std::string &url);
   /** How often each request was run, by id, over all targets, by the lines
    * they wrote: those of a killed target count too. */
   std::map<std::string, int> all_runs ();
--- a/tests/harness/http.cc
+++ b/tests/harness/http.cc
@@ -52,16 +52,16 @@
 } // namespace
 
 std::string
-HttpAnswer::header (const std::string &name) const
+HttpResponse::header (const std::string &name) const
 {
   const auto found = headers.find (name);
   return found == headers.end () ? "" : found->second;
 }
 
-HttpAnswer
+HttpResponse
 http (const HttpRequest &request)
 {
-  HttpAnswer answer;
+  HttpResponse answer;
   CURL *easy = curl_easy_init ();
   curl_slist *headers = curl_slist_append (nullptr, "Expect:");
   for (const std::string &header : request.headers)
@@ -84,14 +84,14 @@
     }
   const CURLcode code = curl_easy_perform (easy);
   curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &answer.status);
-  answer.whole = code == CURLE_OK;
+  answer.complete = code == CURLE_OK;
   answer.error = curl_easy_strerror (code);
   curl_slist_free_all (headers);
   curl_easy_cleanup (easy);
   return answer;
 }
 
-HttpAnswer
+HttpResponse
 http_get (const std::string &url)
 {
   HttpRequest request;
--- a/tests/harness/http.h
+++ b/tests/harness/http.h
@@ -19,9 +19,9 @@
   long timeout_ms = 60000;
 };
 
-struct HttpAnswer
+struct HttpResponse
 {
-  bool whole = false; /**< a complete answer came */
+  bool complete = false; /**< a complete answer came */
   long status = 0;
   std::map<std::string, std::string> headers; /**< names in lower case */
   std::string body;
@@ -30,8 +30,8 @@
   std::string header (const std::string &name) const;
 };
 
-HttpAnswer http (const HttpRequest &request);
-HttpAnswer http_get (const std::string &url);
+HttpResponse http (const HttpRequest &request);
+HttpResponse http_get (const std::string &url);
 
 /** The member AT of a JSON text, dotted ("rows.0.name"), as text; "" when
  * there is none. */
--- a/tests/harness/process.cc
+++ b/tests/harness/process.cc
@@ -48,7 +48,7 @@
 } // namespace
 
 void
-lines_grew ()
+notify_output ()
 {
   growth.notify_all ();
 }
@@ -95,14 +95,14 @@
     {
       std::lock_guard<std::mutex> lock (mutex_);
       lines_.emplace_back (line, static_cast<size_t> (n));
-      grown_.notify_all ();
-      lines_grew ();
+      output_cond_.notify_all ();
+      notify_output ();
     }
   free (line);
   fclose (in);
   std::lock_guard<std::mutex> lock (mutex_);
   ended_ = true;
-  grown_.notify_all ();
+  output_cond_.notify_all ();
 }
 
 bool
@@ -120,7 +120,8 @@
               *from = at + 1;
             return true;
           }
-      if (ended_ || grown_.wait_until (lock, end) == std::cv_status::timeout)
+      if (ended_
+          || output_cond_.wait_until (lock, end) == std::cv_status::timeout)
         return false;
     }
 }
--- a/tests/harness/process.h
+++ b/tests/harness/process.h
@@ -59,13 +59,13 @@
   int exit_code_ = 0;
   std::thread reader_;
   std::mutex mutex_;
-  std::condition_variable grown_;
+  std::condition_variable output_cond_;
   std::vector<std::string> lines_;
   bool ended_ = false;
 };
 
 /** Called whenever any process wrote a line; lets wait_until() look again. */
-void lines_grew ();
+void notify_output ();
 
 /** Look at CONDITION whenever some process writes a line (and now and then
  * besides) until it holds; false after a generous limit. */
--- a/tests/harness/relay.cc
+++ b/tests/harness/relay.cc
@@ -50,8 +50,8 @@
   std::unique_lock<std::mutex> lock (mutex_);
   for (const auto &link : links_)
     {
-      shutdown (link->near, SHUT_RDWR);
-      shutdown (link->far, SHUT_RDWR);
+      shutdown (link->client_fd, SHUT_RDWR);
+      shutdown (link->server_fd, SHUT_RDWR);
     }
   ended_.wait (lock, [this] { return links_.empty (); });
   close (listener_);
@@ -66,8 +66,8 @@
   std::lock_guard<std::mutex> lock (mutex_);
   for (const auto &link : links_)
     {
-      connect (link->near, &none, sizeof none);
-      connect (link->far, &none, sizeof none);
+      connect (link->client_fd, &none, sizeof none);
+      connect (link->server_fd, &none, sizeof none);
     }
 }
 
@@ -93,25 +93,25 @@
       links_.push_back (std::make_unique<Link> (Link{ near, far }));
       Link *link = links_.back ().get ();
       std::thread ([=] {
-        pump (near, far, cut_forward);
-        leave (link);
+        pump (near, far, drop_forward);
+        release (link);
       }).detach ();
       std::thread ([=] {
-        pump (far, near, cut_back);
-        leave (link);
+        pump (far, near, drop_backward);
+        release (link);
       }).detach ();
     }
 }
 
 /* The second of a connection's two pumps closes it. */
 void
-Relay::leave (Link *link)
+Relay::release (Link *link)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   if (--link->pumps > 0)
     return;
-  close (link->near);
-  close (link->far);
+  close (link->client_fd);
+  close (link->server_fd);
   links_.remove_if ([=] (const auto &one) { return one.get () == link; });
   ended_.notify_all ();
 }
--- a/tests/harness/relay.h
+++ b/tests/harness/relay.h
@@ -25,9 +25,9 @@
   Relay &operator= (const Relay &) = delete;
 
   /** Drop what the connecting side sends. */
-  std::atomic<bool> cut_forward{ false };
+  std::atomic<bool> drop_forward{ false };
   /** Drop what the forwarded-to side sends back. */
-  std::atomic<bool> cut_back{ false };
+  std::atomic<bool> drop_backward{ false };
   /** Hold up each block for so long. */
   std::atomic<int> delay_ms{ 0 };
 
@@ -38,13 +38,13 @@
   /** One connection, with the sockets on both sides of the relay. */
   struct Link
   {
-    int near;
-    int far;
+    int client_fd;
+    int server_fd;
     int pumps = 2; /**< that still run */
   };
 
   void accept_loop ();
-  void leave (Link *link);
+  void release (Link *link);
   void pump (int from, int to, const std::atomic<bool> &cut);
 
   std::string forward_;
--- a/tests/soak/soak_world.cc
+++ b/tests/soak/soak_fleet.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/soak_world.h"
+#include "tests/soak/soak_fleet.h"
 
 #include <csignal>
 #include <cstring>
@@ -40,7 +40,7 @@
 
 } // namespace
 
-SoakWorld::SoakWorld (int hosts, int targets, int dcs)
+SoakFleet::SoakFleet (int hosts, int targets, int dcs)
     : lifetimes_ (static_cast<size_t> (hosts), 1), floor_ (least_floor)
 {
   FleetOptions options;
@@ -52,12 +52,13 @@
   options.times = short_times;
   options.retry = "\"share\": 0.1, \"reserve\": 10";
   for (int n = 1; n <= targets; n++)
-    options.through["target-" + std::to_string (n)]
+    options.address_overrides["target-" + std::to_string (n)]
         = between_.at (paths_from + n, relay_port);
   for (int n = 1; n <= hosts; n++)
-    options.through["host-" + std::to_string (n) + ".peer"]
+    options.address_overrides["host-" + std::to_string (n) + ".peer"]
         = between_.at (peers_from + n, relay_port);
-  options.through["platform"] = between_.at (platform_last, relay_port);
+  options.address_overrides["platform"]
+      = between_.at (platform_last, relay_port);
   fleet_ = std::make_unique<Fleet> (options);
   for (int n = 1; n <= targets; n++)
     paths_.push_back (
@@ -72,20 +73,20 @@
 }
 
 bool
-SoakWorld::start ()
+SoakFleet::start ()
 {
   return fleet_->start ();
 }
 
 int
-SoakWorld::lifetime (int number)
+SoakFleet::lifetime (int number)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   return lifetimes_[static_cast<size_t> (number - 1)];
 }
 
 void
-SoakWorld::stop_host (int number, int signal)
+SoakFleet::stop_host (int number, int signal)
 {
   Process &host = *fleet_->hosts[static_cast<size_t> (number - 1)];
   if (host.running ())
@@ -95,14 +96,14 @@
 /* A process that is not yet the program ends at the signal, and no program can
    keep it from that: a host counts as one from its first line on. */
 void
-SoakWorld::reload_host (int number)
+SoakFleet::reload_host (int number)
 {
   if (fleet_->hosts[static_cast<size_t> (number - 1)]->line_count () > 0)
     stop_host (number, SIGHUP);
 }
 
 void
-SoakWorld::restart_host (int number)
+SoakFleet::restart_host (int number)
 {
   fleet_->hosts[static_cast<size_t> (number - 1)]->wait ();
   {
@@ -113,19 +114,19 @@
 }
 
 void
-SoakWorld::set_faults (int target, const std::string &query)
+SoakFleet::set_faults (int target, const std::string &query)
 {
   post (fleet_->target_url (target, "/control/set?" + query));
 }
 
 void
-SoakWorld::set_platform (const std::string &query)
+SoakFleet::set_platform (const std::string &query)
 {
   post (fleet_->platform_url ("/control?" + query));
 }
 
 void
-SoakWorld::change_settings ()
+SoakFleet::change_settings ()
 {
   const std::string member = "\"floor_capacity\":";
   std::string service = fleet_->service_json ();
@@ -136,7 +137,7 @@
 }
 
 void
-SoakWorld::begin (const SoakEvent &event)
+SoakFleet::begin (const SoakEvent &event)
 {
   const size_t at = static_cast<size_t> (event.which - 1);
   const bool is_odd = event.variant % 2 != 0;
@@ -157,7 +158,7 @@
     case SoakKind::target_fault:
       return set_faults (event.which, wrong_answers[event.variant]);
     case SoakKind::path_cut:
-      (is_odd ? paths_[at]->cut_forward : paths_[at]->cut_back) = true;
+      (is_odd ? paths_[at]->drop_forward : paths_[at]->drop_backward) = true;
       return;
     case SoakKind::path_delay:
       paths_[at]->delay_ms = delay_ms;
@@ -165,7 +166,7 @@
     case SoakKind::path_reset:
       return paths_[at]->reset ();
     case SoakKind::peer_cut:
-      (is_odd ? peers_[at]->cut_forward : peers_[at]->cut_back) = true;
+      (is_odd ? peers_[at]->drop_forward : peers_[at]->drop_backward) = true;
       return;
     case SoakKind::peer_delay:
       peers_[at]->delay_ms = delay_ms;
@@ -179,7 +180,7 @@
     case SoakKind::platform_lost:
       return set_platform ("lose_answers=3");
     case SoakKind::platform_cut:
-      (is_odd ? platform_->cut_forward : platform_->cut_back) = true;
+      (is_odd ? platform_->drop_forward : platform_->drop_backward) = true;
       return;
     case SoakKind::settings:
       return change_settings ();
@@ -189,7 +190,7 @@
 }
 
 void
-SoakWorld::end (const SoakEvent &event)
+SoakFleet::end (const SoakEvent &event)
 {
   const size_t at = static_cast<size_t> (event.which - 1);
   switch (event.kind)
@@ -208,15 +209,15 @@
     case SoakKind::target_fault:
       return set_faults (event.which, right_answers);
     case SoakKind::path_cut:
-      paths_[at]->cut_forward = false;
-      paths_[at]->cut_back = false;
+      paths_[at]->drop_forward = false;
+      paths_[at]->drop_backward = false;
       return paths_[at]->reset ();
     case SoakKind::path_delay:
       paths_[at]->delay_ms = 0;
       return;
     case SoakKind::peer_cut:
-      peers_[at]->cut_forward = false;
-      peers_[at]->cut_back = false;
+      peers_[at]->drop_forward = false;
+      peers_[at]->drop_backward = false;
       return peers_[at]->reset ();
     case SoakKind::peer_delay:
       peers_[at]->delay_ms = 0;
@@ -228,8 +229,8 @@
     case SoakKind::platform_lost:
       return set_platform ("lose_answers=0");
     case SoakKind::platform_cut:
-      platform_->cut_forward = false;
-      platform_->cut_back = false;
+      platform_->drop_forward = false;
+      platform_->drop_backward = false;
       return platform_->reset ();
     case SoakKind::host_hup:
     case SoakKind::path_reset:
@@ -241,7 +242,7 @@
 }
 
 bool
-SoakWorld::wait_healed ()
+SoakFleet::wait_recovered ()
 {
   for (int number = 1; number <= hosts (); number++)
     if (!fleet_->wait_serving (number))
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_fleet.h
@@ -2,8 +2,8 @@
  * The fleet of a soak, with a relay before each target, each host's peer
  * address and the platform, and what each event does to it.
  */
-#ifndef TESTS_SOAK_SOAK_WORLD_H
-#define TESTS_SOAK_SOAK_WORLD_H
+#ifndef TESTS_SOAK_SOAK_FLEET_H
+#define TESTS_SOAK_SOAK_FLEET_H
 
 #include <memory>
 #include <mutex>
@@ -14,16 +14,16 @@
 #include "tests/harness/relay.h"
 #include "tests/soak/soak_plan.h"
 
-class SoakWorld
+class SoakFleet
 {
 public:
-  SoakWorld (int hosts, int targets, int dcs);
+  SoakFleet (int hosts, int targets, int dcs);
 
   bool start ();
   void begin (const SoakEvent &event);
   void end (const SoakEvent &event);
   /** Wait until every host serves again; false after a generous limit. */
-  bool wait_healed ();
+  bool wait_recovered ();
 
   Fleet &
   fleet ()
@@ -36,7 +36,7 @@
     return static_cast<int> (fleet_->hosts.size ());
   }
   /** How often host NUMBER has been started: its lifetime. */
-  int lifetime (int number);
+  int start_count (int number);
 
 private:
   void stop_host (int number, int signal);
@@ -46,13 +46,13 @@
   void set_platform (const std::string &query);
   void change_settings ();
 
-  AddressBlock between_;
-  std::vector<std::unique_ptr<Relay>> paths_; /**< to targets */
-  std::vector<std::unique_ptr<Relay>> peers_;
-  std::unique_ptr<Relay> platform_;
+  AddressBlock relay_addresses_;
+  std::vector<std::unique_ptr<Relay>> target_relays_; /**< to targets */
+  std::vector<std::unique_ptr<Relay>> peer_relays_;
+  std::unique_ptr<Relay> platform_relay_;
   std::unique_ptr<Fleet> fleet_;
   std::mutex mutex_;
-  std::vector<int> lifetimes_;
+  std::vector<int> start_counts_;
   int floor_;
 };
 
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -8,8 +8,8 @@
 
 #include "tests/harness/caller.h"
 #include "tests/soak/soak_plan.h"
-#include "tests/soak/soak_watch.h"
-#include "tests/soak/soak_world.h"
+#include "tests/soak/version_monitor.h"
+#include "tests/soak/soak_fleet.h"
 
 namespace
 {
@@ -44,11 +44,11 @@
     ASSERT_TRUE (world_.start ());
     const auto begun = std::chrono::steady_clock::now ();
     Load load (world_.fleet (), callers);
-    SoakWatch watch (world_);
-    ASSERT_TRUE (load.wait_more (some));
+    VersionMonitor watch (world_);
+    ASSERT_TRUE (load.wait_for_requests (some));
     for (int now = 0; now <= steps; now++)
       carry_out (load, now);
-    ASSERT_TRUE (world_.wait_healed ()) << about ();
+    ASSERT_TRUE (world_.wait_recovered ()) << about ();
     expect_recovered (load);
     expect_drained (load, watch);
     EXPECT_EQ (watch.stop (), "") << about ();
@@ -85,18 +85,19 @@
   expect_recovered (Load &load)
   {
     EXPECT_TRUE (wait_until ([&] {
-      const size_t before = load.count_told (Told::ran);
+      const size_t before = load.count_outcome (RequestOutcome::ran);
       const size_t all = load.count ();
-      if (!load.wait_more (some))
+      if (!load.wait_for_requests (some))
         return false;
-      return 4 * (load.count_told (Told::ran) - before) >= load.count () - all;
+      return 4 * (load.count_outcome (RequestOutcome::ran) - before)
+             >= load.count () - all;
     })) << load.summary ()
         << about ();
   }
 
   /* A target that is drained on all hosts gets nothing more. */
   void
-  expect_drained (Load &load, SoakWatch &watch)
+  expect_drained (Load &load, VersionMonitor &watch)
   {
     int code = -1;
     EXPECT_TRUE (wait_until ([&] {
@@ -116,10 +117,10 @@
           << number << "\n"
           << about ();
     /* What had been sent before is finished. */
-    ASSERT_TRUE (load.wait_more (some));
+    ASSERT_TRUE (load.wait_for_requests (some));
     Process &target = *world_.fleet ().targets[0];
     const size_t runs = target.lines_with ("run ").size ();
-    ASSERT_TRUE (load.wait_more (some));
+    ASSERT_TRUE (load.wait_for_requests (some));
     EXPECT_EQ (target.lines_with ("run ").size (), runs) << about ();
   }
 
@@ -134,7 +135,7 @@
   }
 
   std::vector<SoakEvent> plan_;
-  SoakWorld world_;
+  SoakFleet world_;
 };
 
 class SoakSeeds : public testing::TestWithParam<uint64_t>
--- a/tests/soak/soak_watch.cc
+++ b/tests/soak/version_monitor.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/soak_watch.h"
+#include "tests/soak/version_monitor.h"
 
 #include <chrono>
 #include <cstdlib>
@@ -12,18 +12,18 @@
 
 } // namespace
 
-SoakWatch::SoakWatch (SoakWorld &world)
+VersionMonitor::VersionMonitor (SoakFleet &world)
     : world_ (world), thread_ ([this] { run (); })
 {
 }
 
-SoakWatch::~SoakWatch ()
+VersionMonitor::~VersionMonitor ()
 {
   stop ();
 }
 
 std::string
-SoakWatch::stop ()
+VersionMonitor::stop ()
 {
   {
     std::lock_guard<std::mutex> lock (mutex_);
@@ -36,27 +36,27 @@
 }
 
 bool
-SoakWatch::wait_stop ()
+VersionMonitor::wait_stop ()
 {
   std::unique_lock<std::mutex> lock (mutex_);
   return stop_.wait_for (lock, between_rounds, [this] { return stopping_; });
 }
 
 long
-SoakWatch::version (int number)
+VersionMonitor::version (int number)
 {
   HttpRequest request;
   request.url = world_.fleet ().operator_url (number, "/v1/services");
   request.timeout_ms = ask_ms;
-  const HttpAnswer answer = http (request);
-  if (!answer.whole || answer.status != 200)
+  const HttpResponse answer = http (request);
+  if (!answer.complete || answer.status != 200)
     return 0;
   return atol (json_at (answer.body, "rows.0.version").c_str ());
 }
 
 /* An answer counts only if the host wasn't started anew meanwhile. */
 void
-SoakWatch::run ()
+VersionMonitor::run ()
 {
   const size_t hosts = static_cast<size_t> (world_.hosts ());
   std::vector<long> highest (hosts, 0);
--- a/tests/soak/soak_watch.h
+++ b/tests/soak/version_monitor.h
@@ -2,21 +2,21 @@
  * Asks every host again and again which version of the service it has in
  * force: within one lifetime it must never go back.
  */
-#ifndef TESTS_SOAK_SOAK_WATCH_H
-#define TESTS_SOAK_SOAK_WATCH_H
+#ifndef TESTS_SOAK_VERSION_MONITOR_H
+#define TESTS_SOAK_VERSION_MONITOR_H
 
 #include <condition_variable>
 #include <mutex>
 #include <string>
 #include <thread>
 
-#include "tests/soak/soak_world.h"
+#include "tests/soak/soak_fleet.h"
 
-class SoakWatch
+class VersionMonitor
 {
 public:
-  explicit SoakWatch (SoakWorld &world);
-  ~SoakWatch ();
+  explicit VersionMonitor (SoakFleet &world);
+  ~VersionMonitor ();
 
   /** Stop asking; what went back, "" if nothing did. */
   std::string stop ();
@@ -28,11 +28,11 @@
   /** Wait for the stop until the next round is due; was there one? */
   bool wait_stop ();
 
-  SoakWorld &world_;
+  SoakFleet &world_;
   std::mutex mutex_;
   std::condition_variable stop_;
   bool stopping_ = false;
-  std::string broken_;
+  std::string violations_;
   std::thread thread_;
 };
 
--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -406,7 +406,7 @@
 start_daemon (const char *address)
 {
   struct sockaddr_storage storage;
-  if (mhd_loop_address (address, &storage) == 0)
+  if (mhd_loop_parse_address (address, &storage) == 0)
     return NULL;
   return MHD_start_daemon (
       MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_THREAD_PER_CONNECTION
@@ -428,7 +428,7 @@
       exit (EXIT_FAILURE);
     }
   snprintf (actual, ADDRESS_SIZE, "%.*s:%u", (int)(colon - address), address,
-            (unsigned)mhd_loop_port (daemon));
+            (unsigned)mhd_loop_bound_port (daemon));
   printf ("%s %s\n", label, actual);
   return daemon;
 }
--- a/tests/standins/run_book.c
+++ b/tests/standins/run_counts.c
@@ -1,4 +1,4 @@
-#include "tests/standins/run_book.h"
+#include "tests/standins/run_counts.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -14,19 +14,19 @@
   UT_hash_handle hh;
 };
 
-struct run_book
+struct run_counts
 {
   struct run *runs;
 };
 
-struct run_book *
-run_book_create (void)
+struct run_counts *
+run_counts_create (void)
 {
-  return xcalloc (1, sizeof (struct run_book));
+  return xcalloc (1, sizeof (struct run_counts));
 }
 
 void
-run_book_destroy (struct run_book *book)
+run_counts_destroy (struct run_counts *book)
 {
   struct run *run = book->runs;
   HASH_CLEAR (hh, book->runs);
@@ -41,7 +41,7 @@
 }
 
 void
-run_book_note (struct run_book *book, const char *id)
+run_counts_add (struct run_counts *book, const char *id)
 {
   struct run *run;
   HASH_FIND_STR (book->runs, id, run);
@@ -55,7 +55,7 @@
 }
 
 uint32_t
-run_book_times (const struct run_book *book, const char *id)
+run_counts_get (const struct run_counts *book, const char *id)
 {
   const struct run *run;
   HASH_FIND_STR (book->runs, id, run);
@@ -63,7 +63,7 @@
 }
 
 uint32_t
-run_book_most (const struct run_book *book)
+run_counts_max (const struct run_counts *book)
 {
   uint32_t most = 0;
   for (const struct run *run = book->runs; run != NULL; run = run->hh.next)
@@ -72,7 +72,7 @@
 }
 
 struct json_object *
-run_book_json (const struct run_book *book)
+run_counts_json (const struct run_counts *book)
 {
   struct json_object *body = json_object_new_object ();
   for (const struct run *run = book->runs; run != NULL; run = run->hh.next)
--- a/tests/standins/target_faults.c
+++ b/tests/standins/target_faults.c
@@ -36,7 +36,7 @@
     uint64_t value;
   } members[] = { { "runs", counts->runs },
                   { "cancelled", counts->cancelled },
-                  { "cut_uploads", counts->cut_uploads },
+                  { "cut_uploads", counts->truncated_uploads },
                   { "connections", counts->connections } };
   for (size_t i = 0; i < sizeof members / sizeof members[0]; i++)
     json_object_object_add (body, members[i].name,
--- a/tests/standins/target_faults.h
+++ b/tests/standins/target_faults.h
@@ -40,7 +40,7 @@
 {
   uint64_t runs;
   uint64_t cancelled; /**< the other side closed before the answer */
-  uint64_t cut_uploads;
+  uint64_t truncated_uploads;
   uint64_t connections;
 };
 
--- a/tests/standins/target_server.c
+++ b/tests/standins/target_server.c
@@ -13,7 +13,7 @@
 #include "base/xmalloc.h"
 #include "node/caller/hangup_watch.h"
 #include "node/mhd_loop.h"
-#include "tests/standins/run_book.h"
+#include "tests/standins/run_counts.h"
 #include "tests/standins/target_body.h"
 
 enum
@@ -57,7 +57,7 @@
   char address[ADDRESS_SIZE];
   struct target_faults faults;
   struct target_counts counts;
-  struct run_book *runs;
+  struct run_counts *runs;
   struct request *requests;
   struct rng rng;
   FILE *run_log;
@@ -83,7 +83,7 @@
 {
   struct target_server *server = request->server;
   const char *id = field (request, "X-Request-Id");
-  run_book_note (server->runs, id);
+  run_counts_add (server->runs, id);
   server->counts.runs++;
   if (server->run_log == NULL)
     return;
@@ -209,7 +209,7 @@
     return;
   request->suspended = false;
   MHD_resume_connection (request->connection);
-  mhd_loop_kick (request->server->mhd_loop);
+  mhd_loop_wake (request->server->mhd_loop);
 }
 
 static void
@@ -318,7 +318,7 @@
                                set_fault, &server->faults);
   if (strcmp (request->url, "/control/runs") == 0)
     {
-      body = run_book_json (server->runs);
+      body = run_counts_json (server->runs);
       /* Behind this line no run that came before is still to be read. */
       if (server->run_log != NULL)
         {
@@ -406,7 +406,7 @@
   if (request->gone)
     server->counts.cancelled++;
   if (!request->complete && !request->answered)
-    server->counts.cut_uploads++;
+    server->counts.truncated_uploads++;
   DL_DELETE (server->requests, request);
   free (request->body);
   free (request->url);
@@ -457,7 +457,7 @@
                       const char *name)
 {
   struct sockaddr_storage storage;
-  if (mhd_loop_address (address, &storage) == 0)
+  if (mhd_loop_parse_address (address, &storage) == 0)
     return NULL;
   struct target_server *server = xcalloc (1, sizeof *server);
   server->loop = loop;
@@ -473,14 +473,14 @@
       free (server);
       return NULL;
     }
-  server->runs = run_book_create ();
+  server->runs = run_counts_create ();
   server->mhd_loop = mhd_loop_create (loop, server->daemon);
   server->hangup = hangup_watch_create (loop, on_gone);
   ev_timer_init (&server->crash_timer, on_crash, 0., 0.);
   server->crash_timer.data = server;
   snprintf (server->address, sizeof server->address, "%.*s:%u",
             (int)(strrchr (address, ':') - address), address,
-            mhd_loop_port (server->daemon));
+            mhd_loop_bound_port (server->daemon));
   return server;
 }
 
@@ -491,7 +491,7 @@
     return;
   stop (server);
   hangup_watch_destroy (server->hangup);
-  run_book_destroy (server->runs);
+  run_counts_destroy (server->runs);
   free (server);
 }
 
@@ -516,11 +516,11 @@
 uint32_t
 target_server_runs (const struct target_server *server, const char *id)
 {
-  return run_book_times (server->runs, id);
+  return run_counts_get (server->runs, id);
 }
 
 uint32_t
-target_server_most_runs (const struct target_server *server)
+target_server_max_runs (const struct target_server *server)
 {
-  return run_book_most (server->runs);
+  return run_counts_max (server->runs);
 }
--- a/tests/standins/target_server.h
+++ b/tests/standins/target_server.h
@@ -40,6 +40,6 @@
 uint32_t target_server_runs (const struct target_server *server,
                              const char *id);
 /** The most any one request ran. */
-uint32_t target_server_most_runs (const struct target_server *server);
+uint32_t target_server_max_runs (const struct target_server *server);
 
 #endif
--- a/wire/curl_loop.c
+++ b/wire/curl_loop.c
@@ -280,7 +280,7 @@
 }
 
 CURL *
-curl_loop_easy (void)
+curl_loop_create_easy (void)
 {
   CURL *easy = curl_easy_init ();
   if (easy == NULL)
--- a/wire/curl_loop.h
+++ b/wire/curl_loop.h
@@ -44,7 +44,7 @@
 /** A new handle set up for jaystair: HTTP/1.1 only, no signals, no proxy from
  * the environment, no redirects followed.  `Expect: 100-continue` is turned
  * off by the member "Expect:" in the caller's header list. */
-CURL *curl_loop_easy (void);
+CURL *curl_loop_create_easy (void);
 
 /** Start EASY.  CURLOPT_PRIVATE is taken by the loop until `done`. */
 void curl_loop_start (struct curl_loop *cl, CURL *easy, curl_loop_done *done,
--- a/wire/fleet_config.c
+++ b/wire/fleet_config.c
@@ -53,7 +53,7 @@
       struct options child;
       options_element (options, "parts", array, i, &child);
       read_part (&child, &route->parts[i]);
-      options_close (options, &child);
+      options_end_child (options, &child);
       weights += route->parts[i].weight;
       route->part_count++;
     }
@@ -92,7 +92,7 @@
       options_element (top, "routes", array, i, &child);
       config->route_count++;
       read_route (&child, &config->routes[i]);
-      options_close (top, &child);
+      options_end_child (top, &child);
     }
 }
 
@@ -120,7 +120,7 @@
       struct options child;
       options_element (top, "services", array, i, &child);
       read_service (&child, &config->services[i]);
-      options_close (top, &child);
+      options_end_child (top, &child);
       config->service_count++;
     }
 }
@@ -139,7 +139,7 @@
       options_element (top, "workspaces", array, i, &child);
       config->workspace_count++;
       fleet_workspace_read (&child, &config->workspaces[i]);
-      options_close (top, &child);
+      options_end_child (top, &child);
     }
 }
 
@@ -200,7 +200,7 @@
                   &limits->header_timeout_ms);
   options_uint32 (&child, "idle_timeout_ms", 1, HOUR_MS,
                   &limits->idle_timeout_ms);
-  options_close (top, &child);
+  options_end_child (top, &child);
 }
 
 /* A route to a service that isn't declared could never be served. */
--- a/wire/fleet_workspace.c
+++ b/wire/fleet_workspace.c
@@ -45,7 +45,7 @@
 {
   double rate = 0;
   options_double (options, "rate_per_s", 0, RATE_MAX, &rate);
-  quota->rate_millis = (uint64_t)(rate * WORKSPACE_RATE_UNIT + 0.5);
+  quota->rate_millis = (uint64_t)(rate * WORKSPACE_RATE_SCALE + 0.5);
   options_uint32 (options, "burst", 0, BURST_MAX, &quota->burst);
 }
 
@@ -80,7 +80,7 @@
       json_object_array_add (keys, json_object_new_string (text));
     }
   const double rate
-      = (double)workspace->quota.rate_millis / WORKSPACE_RATE_UNIT;
+      = (double)workspace->quota.rate_millis / WORKSPACE_RATE_SCALE;
   json_object_object_add (node, "name",
                           json_object_new_string (workspace->name));
   json_object_object_add (node, "keys", keys);
--- a/wire/fleet_workspace.h
+++ b/wire/fleet_workspace.h
@@ -29,7 +29,7 @@
 {
   WORKSPACE_KEYS_MAX = 64,
   /** Thousandths of a request a second in one. */
-  WORKSPACE_RATE_UNIT = 1000,
+  WORKSPACE_RATE_SCALE = 1000,
 };
 
 /** How many requests a workspace may send, over all hosts together. */
--- a/wire/peer/frame.h
+++ b/wire/peer/frame.h
@@ -13,19 +13,19 @@
 
 enum frame_size
 {
-  FRAME_HEAD_BYTES = 4,
+  FRAME_HEADER_BYTES = 4,
   /** Largest message: one value of the platform and its names. */
-  FRAME_MAX_BYTES = 1024 * 1024 + 4096,
+  FRAME_PAYLOAD_MAX_BYTES = 1024 * 1024 + 4096,
 };
 
 /** Add SIZE bytes of DATA as one frame. */
-void frame_add (struct peer_buffer *buffer, const char *data, size_t size);
+void frame_append (struct peer_buffer *buffer, const char *data, size_t size);
 
 /** The whole frame at the front of BUFFER, if there is one; skip
- * FRAME_HEAD_BYTES + *SIZE when it is done with.
+ * FRAME_HEADER_BYTES + *SIZE when it is done with.
  * @return STATUS_OK, STATUS_NOT_FOUND (more bytes are needed) or
- * STATUS_INVALID (longer than FRAME_MAX_BYTES or empty: close). */
-enum status frame_front (const struct peer_buffer *buffer,
-                         const char **payload, size_t *size);
+ * STATUS_INVALID (longer than FRAME_PAYLOAD_MAX_BYTES or empty: close). */
+enum status frame_peek (const struct peer_buffer *buffer, const char **payload,
+                        size_t *size);
 
 #endif
--- a/wire/peer/peer_bounds.c
+++ b/wire/peer/msgpack_check.c
@@ -1,4 +1,4 @@
-#include "wire/peer/peer_bounds.h"
+#include "wire/peer/msgpack_check.h"
 
 #include <stdint.h>
 
@@ -72,7 +72,7 @@
    that swells by gigabytes when something else than a peer connects.  An
    element takes a byte at least, so a claim beyond what follows is false. */
 bool
-peer_bounds_hold (const char *data, size_t size)
+msgpack_sizes_valid (const char *data, size_t size)
 {
   const uint8_t *bytes = (const uint8_t *)data;
   size_t at = 0;
--- a/wire/peer/peer_auth.c
+++ b/wire/peer/peer_auth.c
@@ -55,9 +55,10 @@
 }
 
 void
-peer_auth_prove (const struct peer_secret *secret, bool is_client,
-                 const struct peer_hello *own, const struct peer_hello *other,
-                 struct peer_proof *proof)
+peer_auth_compute_proof (const struct peer_secret *secret, bool is_client,
+                         const struct peer_hello *own,
+                         const struct peer_hello *other,
+                         struct peer_proof *proof)
 {
   memset (proof, 0, sizeof *proof);
   if (secret->size == 0)
@@ -72,12 +73,13 @@
 }
 
 enum status
-peer_auth_check (const struct peer_secret *secret, bool is_client_other,
-                 const struct peer_hello *other, const struct peer_hello *own,
-                 const struct peer_proof *proof)
+peer_auth_verify_proof (const struct peer_secret *secret, bool is_client_other,
+                        const struct peer_hello *other,
+                        const struct peer_hello *own,
+                        const struct peer_proof *proof)
 {
   struct peer_proof expected;
-  peer_auth_prove (secret, is_client_other, other, own, &expected);
+  peer_auth_compute_proof (secret, is_client_other, other, own, &expected);
   if (CRYPTO_memcmp (expected.mac, proof->mac, sizeof expected.mac) == 0)
     return STATUS_OK;
   return status_set (STATUS_REFUSED,
--- a/wire/peer/peer_auth.h
+++ b/wire/peer/peer_auth.h
@@ -33,16 +33,16 @@
 
 /** The proof of the side that sent OWN and received OTHER.  Without a secret
  * it is all zeros. */
-void peer_auth_prove (const struct peer_secret *secret, bool is_client,
-                      const struct peer_hello *own,
-                      const struct peer_hello *other,
-                      struct peer_proof *proof);
+void peer_auth_compute_proof (const struct peer_secret *secret, bool is_client,
+                              const struct peer_hello *own,
+                              const struct peer_hello *other,
+                              struct peer_proof *proof);
 
 /** Is PROOF that of the other side?  STATUS_REFUSED with a remedy if not. */
-enum status peer_auth_check (const struct peer_secret *secret,
-                             bool is_client_other,
-                             const struct peer_hello *other,
-                             const struct peer_hello *own,
-                             const struct peer_proof *proof);
+enum status peer_auth_verify_proof (const struct peer_secret *secret,
+                                    bool is_client_other,
+                                    const struct peer_hello *other,
+                                    const struct peer_hello *own,
+                                    const struct peer_proof *proof);
 
 #endif
--- a/wire/peer/peer_buffer.c
+++ b/wire/peer/peer_buffer.c
@@ -16,40 +16,40 @@
 static void
 compact (struct peer_buffer *buffer)
 {
-  if (buffer->start == 0)
+  if (buffer->begin == 0)
     return;
-  buffer->used -= buffer->start;
-  memmove (buffer->bytes, buffer->bytes + buffer->start, buffer->used);
-  buffer->start = 0;
+  buffer->end -= buffer->begin;
+  memmove (buffer->bytes, buffer->bytes + buffer->begin, buffer->end);
+  buffer->begin = 0;
 }
 
 void
-peer_buffer_add (struct peer_buffer *buffer, const void *data, size_t size)
+peer_buffer_append (struct peer_buffer *buffer, const void *data, size_t size)
 {
   compact (buffer);
-  size_t room = buffer->room == 0 ? FIRST_ROOM_BYTES : buffer->room;
-  while (room < buffer->used + size)
+  size_t room = buffer->capacity == 0 ? FIRST_ROOM_BYTES : buffer->capacity;
+  while (room < buffer->end + size)
     room *= 2;
-  if (room != buffer->room)
+  if (room != buffer->capacity)
     {
       buffer->bytes = xreallocarray (buffer->bytes, room, 1);
-      buffer->room = room;
+      buffer->capacity = room;
     }
   if (size > 0)
-    memcpy (buffer->bytes + buffer->used, data, size);
-  buffer->used += size;
+    memcpy (buffer->bytes + buffer->end, data, size);
+  buffer->end += size;
 }
 
 void
-peer_buffer_skip (struct peer_buffer *buffer, size_t size)
+peer_buffer_consume (struct peer_buffer *buffer, size_t size)
 {
   assert (size <= peer_buffer_size (buffer));
-  buffer->start += size;
-  if (buffer->start < buffer->used)
+  buffer->begin += size;
+  if (buffer->begin < buffer->end)
     return;
-  buffer->start = 0;
-  buffer->used = 0;
-  if (buffer->room > KEEP_ROOM_BYTES)
+  buffer->begin = 0;
+  buffer->end = 0;
+  if (buffer->capacity > KEEP_ROOM_BYTES)
     peer_buffer_release (buffer);
 }
 
--- a/wire/peer/peer_buffer.h
+++ b/wire/peer/peer_buffer.h
@@ -10,22 +10,22 @@
 struct peer_buffer
 {
   char *bytes;
-  size_t start;
-  size_t used;
-  size_t room;
+  size_t begin;
+  size_t end;
+  size_t capacity;
 };
 
 /** How many bytes wait. */
 static inline size_t
 peer_buffer_size (const struct peer_buffer *buffer)
 {
-  return buffer->used - buffer->start;
+  return buffer->end - buffer->begin;
 }
 
-void peer_buffer_add (struct peer_buffer *buffer, const void *data,
-                      size_t size);
+void peer_buffer_append (struct peer_buffer *buffer, const void *data,
+                         size_t size);
 /** The first SIZE bytes were written. */
-void peer_buffer_skip (struct peer_buffer *buffer, size_t size);
+void peer_buffer_consume (struct peer_buffer *buffer, size_t size);
 void peer_buffer_release (struct peer_buffer *buffer);
 
 #endif
--- a/wire/peer/peer_conn.c
+++ b/wire/peer/peer_conn.c
@@ -107,7 +107,7 @@
   while (peer_buffer_size (out) > 0)
     {
       const ssize_t sent
-          = send (conn->options.fd, out->bytes + out->start,
+          = send (conn->options.fd, out->bytes + out->begin,
                   peer_buffer_size (out), MSG_NOSIGNAL | MSG_DONTWAIT);
       if (sent < 0 && errno == EINTR)
         continue;
@@ -120,7 +120,7 @@
           return;
         }
       conn->options.identity->traffic.bytes_out += sent;
-      peer_buffer_skip (out, (size_t)sent);
+      peer_buffer_consume (out, (size_t)sent);
     }
   if (peer_buffer_size (out) > 0)
     ev_io_start (conn->options.loop, &conn->writer);
@@ -134,7 +134,7 @@
 {
   size_t size;
   char *bytes = peer_message_encode (message, &size);
-  frame_add (buffer, bytes, size);
+  frame_append (buffer, bytes, size);
   free (bytes);
   conn->options.identity->traffic.frames_out++;
 }
@@ -164,8 +164,9 @@
   conn->other = *hello;
   conn->stage = STAGE_PROOF;
   struct peer_message message = { .type = PEER_PROOF };
-  peer_auth_prove (&conn->options.identity->secret, conn->options.is_client,
-                   &conn->own, &conn->other, &message.proof);
+  peer_auth_compute_proof (&conn->options.identity->secret,
+                           conn->options.is_client, &conn->own, &conn->other,
+                           &message.proof);
   queue (conn, &conn->out, &message);
   ev_io_start (conn->options.loop, &conn->writer);
 }
@@ -173,18 +174,18 @@
 static void
 restart_idle (struct peer_conn *conn)
 {
-  if (conn->options.idle_ms == 0)
+  if (conn->options.idle_timeout_ms == 0)
     return;
-  conn->deadline.repeat = conn->options.idle_ms / 1000.0;
+  conn->deadline.repeat = conn->options.idle_timeout_ms / 1000.0;
   ev_timer_again (conn->options.loop, &conn->deadline);
 }
 
 static void
 handle_proof (struct peer_conn *conn, const struct peer_proof *proof)
 {
-  if (peer_auth_check (&conn->options.identity->secret,
-                       !conn->options.is_client, &conn->other, &conn->own,
-                       proof)
+  if (peer_auth_verify_proof (&conn->options.identity->secret,
+                              !conn->options.is_client, &conn->other,
+                              &conn->own, proof)
       != STATUS_OK)
     {
       refuse (conn);
@@ -195,8 +196,9 @@
   restart_idle (conn);
   if (peer_buffer_size (&conn->waiting) > 0)
     {
-      peer_buffer_add (&conn->out, conn->waiting.bytes + conn->waiting.start,
-                       peer_buffer_size (&conn->waiting));
+      peer_buffer_append (&conn->out,
+                          conn->waiting.bytes + conn->waiting.begin,
+                          peer_buffer_size (&conn->waiting));
       peer_buffer_release (&conn->waiting);
       ev_io_start (conn->options.loop, &conn->writer);
     }
@@ -232,7 +234,7 @@
   size_t size;
   while (conn->stage != STAGE_CLOSED)
     {
-      const enum status status = frame_front (&conn->in, &payload, &size);
+      const enum status status = frame_peek (&conn->in, &payload, &size);
       if (status == STATUS_NOT_FOUND)
         return;
       struct peer_message message;
@@ -243,7 +245,7 @@
           return;
         }
       conn->options.identity->traffic.frames_in++;
-      peer_buffer_skip (&conn->in, FRAME_HEAD_BYTES + size);
+      peer_buffer_consume (&conn->in, FRAME_HEADER_BYTES + size);
       dispatch (conn, &message);
       peer_message_release (&message);
     }
@@ -270,7 +272,7 @@
       return false;
     }
   conn->options.identity->traffic.bytes_in += got;
-  peer_buffer_add (&conn->in, bytes, (size_t)got);
+  peer_buffer_append (&conn->in, bytes, (size_t)got);
   handle_frames (conn);
   return conn->stage != STAGE_CLOSED && (size_t)got == sizeof bytes;
 }
@@ -321,10 +323,11 @@
   struct peer_conn *conn = xcalloc (1, sizeof *conn);
   conn->options = *options;
   conn->own = options->identity->hello;
-  rng_secret (conn->own.nonce, sizeof conn->own.nonce);
+  rng_secure_bytes (conn->own.nonce, sizeof conn->own.nonce);
   ev_io_init (&conn->reader, read_cb, options->fd, EV_READ);
   ev_io_init (&conn->writer, write_cb, options->fd, EV_WRITE);
-  ev_timer_init (&conn->deadline, deadline_cb, PEER_HANDSHAKE_MS / 1000.0, 0);
+  ev_timer_init (&conn->deadline, deadline_cb,
+                 PEER_HANDSHAKE_TIMEOUT_MS / 1000.0, 0);
   conn->reader.data = conn;
   conn->writer.data = conn;
   conn->deadline.data = conn;
--- a/wire/peer/peer_conn.h
+++ b/wire/peer/peer_conn.h
@@ -19,7 +19,7 @@
 {
   /** Most bytes queued on one connection. */
   PEER_QUEUE_MAX_BYTES = 4 * 1024 * 1024,
-  PEER_HANDSHAKE_MS = 5000,
+  PEER_HANDSHAKE_TIMEOUT_MS = 5000,
 };
 
 /** Bytes and frames over all connections of a host. */
@@ -59,9 +59,10 @@
   struct peer_identity *identity;
   const struct peer_conn_events *events;
   void *owner;
-  int fd;           /**< non-blocking; becomes the connection's */
-  bool is_client;   /**< opened by this side */
-  uint32_t idle_ms; /**< closed after so long without a frame; 0: never */
+  int fd;         /**< non-blocking; becomes the connection's */
+  bool is_client; /**< opened by this side */
+  uint32_t
+      idle_timeout_ms; /**< closed after so long without a frame; 0: never */
 };
 
 struct peer_conn *peer_conn_create (const struct peer_conn_options *options);
--- a/wire/peer/peer_decode.c
+++ b/wire/peer/peer_decode.c
@@ -6,7 +6,7 @@
 #include <msgpack.h>
 
 #include "base/xmalloc.h"
-#include "wire/peer/peer_bounds.h"
+#include "wire/peer/msgpack_check.h"
 
 enum
 {
@@ -34,13 +34,13 @@
   [PEER_SETTINGS_OFFER] = "settings-offer",
   [PEER_SETTINGS_PULL] = "settings-pull",
   [PEER_SETTINGS_PUSH] = "settings-push",
-  [PEER_IN_FORCE_ASK] = "in-force-ask",
+  [PEER_IN_FORCE_REQUEST] = "in-force-ask",
   [PEER_IN_FORCE_ANSWER] = "in-force-answer",
   [PEER_EVIDENCE] = "evidence",
   [PEER_DECISION] = "decision",
   [PEER_DEMAND] = "demand",
   [PEER_OUTCOMES] = "outcomes",
-  [PEER_QUOTA_ASK] = "quota-ask",
+  [PEER_QUOTA_REQUEST] = "quota-ask",
   [PEER_QUOTA_GRANT] = "quota-grant",
   [PEER_POISON] = "poison",
   [PEER_LIMITS] = "limits",
@@ -164,7 +164,7 @@
   take_text (fields, hello->caller_address, sizeof hello->caller_address);
   take_text (fields, hello->operator_address, sizeof hello->operator_address);
   hello->incarnation = take_number (fields, UINT64_MAX);
-  hello->strength = (uint32_t)take_number (fields, UINT32_MAX);
+  hello->capacity = (uint32_t)take_number (fields, UINT32_MAX);
   take_bytes (fields, hello->nonce, sizeof hello->nonce);
   if (hello->name[0] == '\0')
     fields->is_bad = true;
@@ -176,14 +176,14 @@
   heartbeat->sequence = take_number (fields, UINT64_MAX);
   heartbeat->relay_age_ms = (uint32_t)take_number (fields, UINT32_MAX);
   heartbeat->leaving = take_bool (fields);
-  heartbeat->return_wanted = take_bool (fields);
+  heartbeat->return_requested = take_bool (fields);
   heartbeat->settings_hash = take_number (fields, UINT64_MAX);
   heartbeat->config_version = take_number (fields, UINT64_MAX);
   heartbeat->config_age_ms = (uint32_t)take_number (fields, UINT32_MAX);
 }
 
 static void
-get_verdict (struct fields *fields, struct peer_verdict *verdict)
+get_verdict (struct fields *fields, struct peer_member_update *verdict)
 {
   struct fields inner = take_array (fields, VERDICT_FIELDS);
   verdict->host_key = take_number (&inner, UINT64_MAX);
@@ -200,24 +200,24 @@
 static void
 get_members (struct fields *fields, struct peer_members *members)
 {
-  struct fields inner = take_array (fields, PEER_VERDICTS_MAX);
+  struct fields inner = take_array (fields, PEER_MEMBER_UPDATES_MAX);
   members->count = inner.left;
-  members->verdicts = xcalloc (inner.left, sizeof *members->verdicts);
+  members->updates = xcalloc (inner.left, sizeof *members->updates);
   for (size_t i = 0; i < members->count && !inner.is_bad; i++)
-    get_verdict (&inner, &members->verdicts[i]);
+    get_verdict (&inner, &members->updates[i]);
   close_array (fields, &inner);
 }
 
 static void
 get_digest (struct fields *fields, struct peer_settings_digest *digest)
 {
-  digest->answer_wanted = take_bool (fields);
-  digest->total = take_number (fields, UINT64_MAX);
+  digest->answer_requested = take_bool (fields);
+  digest->total_hash = take_number (fields, UINT64_MAX);
   struct fields inner = take_array (fields, PEER_BUCKETS_MAX);
   digest->count = inner.left;
-  digest->buckets = xcalloc (inner.left, sizeof *digest->buckets);
+  digest->bucket_hashes = xcalloc (inner.left, sizeof *digest->bucket_hashes);
   for (size_t i = 0; i < digest->count; i++)
-    digest->buckets[i] = take_number (&inner, UINT64_MAX);
+    digest->bucket_hashes[i] = take_number (&inner, UINT64_MAX);
   if (digest->count != 0 && digest->count != PEER_BUCKETS_MAX)
     fields->is_bad = true;
   close_array (fields, &inner);
@@ -267,7 +267,7 @@
 static void
 get_in_force (struct fields *fields, struct peer_in_force *in_force)
 {
-  in_force->ask_id = take_number (fields, UINT64_MAX);
+  in_force->request_id = take_number (fields, UINT64_MAX);
   take_text (fields, in_force->service, sizeof in_force->service);
   in_force->version = take_number (fields, UINT64_MAX);
 }
@@ -329,7 +329,7 @@
     case PEER_SETTINGS_PUSH:
       get_push (fields, &message->push);
       break;
-    case PEER_IN_FORCE_ASK:
+    case PEER_IN_FORCE_REQUEST:
     case PEER_IN_FORCE_ANSWER:
       get_in_force (fields, &message->in_force);
       break;
@@ -337,7 +337,7 @@
     case PEER_DECISION:
     case PEER_DEMAND:
     case PEER_OUTCOMES:
-    case PEER_QUOTA_ASK:
+    case PEER_QUOTA_REQUEST:
     case PEER_QUOTA_GRANT:
     case PEER_POISON:
     case PEER_LIMITS:
@@ -378,7 +378,7 @@
   msgpack_unpacked_init (&unpacked);
   size_t offset = 0;
   struct fields fields = { .is_bad = false };
-  if (!peer_bounds_hold (data, size)
+  if (!msgpack_sizes_valid (data, size)
       || msgpack_unpack_next (&unpacked, data, size, &offset)
              != MSGPACK_UNPACK_SUCCESS)
     fields.is_bad = true;
@@ -401,10 +401,10 @@
   switch (message->type)
     {
     case PEER_MEMBERS:
-      free (message->members.verdicts);
+      free (message->members.updates);
       break;
     case PEER_SETTINGS_DIGEST:
-      free (message->digest.buckets);
+      free (message->digest.bucket_hashes);
       break;
     case PEER_SETTINGS_OFFER:
     case PEER_SETTINGS_PULL:
@@ -417,7 +417,7 @@
     case PEER_DECISION:
     case PEER_DEMAND:
     case PEER_OUTCOMES:
-    case PEER_QUOTA_ASK:
+    case PEER_QUOTA_REQUEST:
     case PEER_QUOTA_GRANT:
     case PEER_POISON:
     case PEER_LIMITS:
--- a/wire/peer/peer_encode.c
+++ b/wire/peer/peer_encode.c
@@ -29,7 +29,7 @@
   put_string (packer, hello->caller_address);
   put_string (packer, hello->operator_address);
   msgpack_pack_uint64 (packer, hello->incarnation);
-  msgpack_pack_uint32 (packer, hello->strength);
+  msgpack_pack_uint32 (packer, hello->capacity);
   msgpack_pack_bin_with_body (packer, hello->nonce, sizeof hello->nonce);
 }
 
@@ -39,7 +39,7 @@
   msgpack_pack_uint64 (packer, heartbeat->sequence);
   msgpack_pack_uint32 (packer, heartbeat->relay_age_ms);
   put_bool (packer, heartbeat->leaving);
-  put_bool (packer, heartbeat->return_wanted);
+  put_bool (packer, heartbeat->return_requested);
   msgpack_pack_uint64 (packer, heartbeat->settings_hash);
   msgpack_pack_uint64 (packer, heartbeat->config_version);
   msgpack_pack_uint32 (packer, heartbeat->config_age_ms);
@@ -58,7 +58,7 @@
   msgpack_pack_array (packer, members->count);
   for (size_t i = 0; i < members->count; i++)
     {
-      const struct peer_verdict *verdict = &members->verdicts[i];
+      const struct peer_member_update *verdict = &members->updates[i];
       msgpack_pack_array (packer, 8);
       msgpack_pack_uint64 (packer, verdict->host_key);
       msgpack_pack_uint64 (packer, verdict->incarnation);
@@ -74,11 +74,11 @@
 static void
 put_digest (msgpack_packer *packer, const struct peer_settings_digest *digest)
 {
-  put_bool (packer, digest->answer_wanted);
-  msgpack_pack_uint64 (packer, digest->total);
+  put_bool (packer, digest->answer_requested);
+  msgpack_pack_uint64 (packer, digest->total_hash);
   msgpack_pack_array (packer, digest->count);
   for (size_t i = 0; i < digest->count; i++)
-    msgpack_pack_uint64 (packer, digest->buckets[i]);
+    msgpack_pack_uint64 (packer, digest->bucket_hashes[i]);
 }
 
 static void
@@ -109,7 +109,7 @@
 static void
 put_in_force (msgpack_packer *packer, const struct peer_in_force *in_force)
 {
-  msgpack_pack_uint64 (packer, in_force->ask_id);
+  msgpack_pack_uint64 (packer, in_force->request_id);
   put_string (packer, in_force->service);
   msgpack_pack_uint64 (packer, in_force->version);
 }
@@ -151,14 +151,14 @@
     case PEER_INDIRECT_RESULT:
       return 3;
     case PEER_SETTINGS_DIGEST:
-    case PEER_IN_FORCE_ASK:
+    case PEER_IN_FORCE_REQUEST:
     case PEER_IN_FORCE_ANSWER:
       return 4;
     case PEER_EVIDENCE:
     case PEER_DECISION:
     case PEER_DEMAND:
     case PEER_OUTCOMES:
-    case PEER_QUOTA_ASK:
+    case PEER_QUOTA_REQUEST:
     case PEER_QUOTA_GRANT:
     case PEER_POISON:
     case PEER_LIMITS:
@@ -203,7 +203,7 @@
     case PEER_SETTINGS_PUSH:
       put_push (packer, &message->push);
       break;
-    case PEER_IN_FORCE_ASK:
+    case PEER_IN_FORCE_REQUEST:
     case PEER_IN_FORCE_ANSWER:
       put_in_force (packer, &message->in_force);
       break;
@@ -211,7 +211,7 @@
     case PEER_DECISION:
     case PEER_DEMAND:
     case PEER_OUTCOMES:
-    case PEER_QUOTA_ASK:
+    case PEER_QUOTA_REQUEST:
     case PEER_QUOTA_GRANT:
     case PEER_POISON:
     case PEER_LIMITS:
--- a/wire/peer/peer_link.c
+++ b/wire/peer/peer_link.c
@@ -130,7 +130,7 @@
           .owner = link,
           .fd = fd,
           .is_client = true,
-          .idle_ms = link->options.idle_ms };
+          .idle_timeout_ms = link->options.idle_timeout_ms };
   link->conn = peer_conn_create (&options);
 }
 
--- a/wire/peer/peer_link.h
+++ b/wire/peer/peer_link.h
@@ -31,7 +31,7 @@
   /** Who must answer there; "" for a seed, where anybody may. Copied. */
   const char *name;
   uint64_t seed; /**< spreads reconnections */
-  uint32_t idle_ms;
+  uint32_t idle_timeout_ms;
 };
 
 /** Starts to connect at once. */
--- a/wire/peer/peer_message.h
+++ b/wire/peer/peer_message.h
@@ -24,7 +24,7 @@
 /** Bounds of one message; decoding refuses more. */
 enum peer_limit
 {
-  PEER_VERDICTS_MAX = 64,
+  PEER_MEMBER_UPDATES_MAX = 64,
   PEER_BUCKETS_MAX = 256,
   PEER_ENTRIES_MAX = 4096,
   PEER_REPORT_VALUES_MAX = 65536,
@@ -46,16 +46,16 @@
   PEER_SETTINGS_OFFER = 9,
   PEER_SETTINGS_PULL = 10,
   PEER_SETTINGS_PUSH = 11,
-  PEER_IN_FORCE_ASK = 12,
+  PEER_IN_FORCE_REQUEST = 12,
   PEER_IN_FORCE_ANSWER = 13,
-  PEER_EVIDENCE = 14,    /**< from an observing host to a service's owner */
-  PEER_DECISION = 15,    /**< from a service's owner to the observing hosts */
-  PEER_DEMAND = 16,      /**< slots a host asks of a service's owner */
-  PEER_OUTCOMES = 17,    /**< how attempts ended, to the hosts of a set */
-  PEER_QUOTA_ASK = 18,   /**< tokens a host wants, and its share lent */
-  PEER_QUOTA_GRANT = 19, /**< a keeper's answer */
-  PEER_POISON = 20,      /**< requests that crash targets */
-  PEER_LIMITS = 21,      /**< rate limits of targets */
+  PEER_EVIDENCE = 14, /**< from an observing host to a service's owner */
+  PEER_DECISION = 15, /**< from a service's owner to the observing hosts */
+  PEER_DEMAND = 16,   /**< slots a host asks of a service's owner */
+  PEER_OUTCOMES = 17, /**< how attempts ended, to the hosts of a set */
+  PEER_QUOTA_REQUEST = 18, /**< tokens a host wants, and its share lent */
+  PEER_QUOTA_GRANT = 19,   /**< a keeper's answer */
+  PEER_POISON = 20,        /**< requests that crash targets */
+  PEER_LIMITS = 21,        /**< rate limits of targets */
   PEER_TYPE_END
 };
 
@@ -68,7 +68,7 @@
   char caller_address[PEER_ADDRESS_SIZE];
   char operator_address[PEER_ADDRESS_SIZE];
   uint64_t incarnation; /**< random at each start, growing in its high part */
-  uint32_t strength;    /**< requests a second it can carry */
+  uint32_t capacity;    /**< requests a second it can carry */
   uint8_t nonce[PEER_NONCE_SIZE];
 };
 
@@ -84,7 +84,7 @@
   uint64_t sequence;
   uint32_t relay_age_ms; /**< since the sender heard platform or relay */
   bool leaving;
-  bool return_wanted;     /**< the sender watches the receiver by itself */
+  bool return_requested;  /**< the sender watches the receiver by itself */
   uint64_t settings_hash; /**< of all settings the sender holds */
   /** The sender's proof that the fleet's configuration in force there was the
    * newest; see policy/access/freshness.h. */
@@ -101,7 +101,7 @@
 
 /** What the sender believes of one host.  Address fields are empty unless
  * the platform's list doesn't show this host. */
-struct peer_verdict
+struct peer_member_update
 {
   uint64_t host_key;
   uint64_t incarnation;
@@ -115,16 +115,16 @@
 
 struct peer_members
 {
-  struct peer_verdict *verdicts;
+  struct peer_member_update *updates;
   size_t count;
 };
 
 /** Hash of all settings, or of each bucket of them. */
 struct peer_settings_digest
 {
-  bool answer_wanted; /**< send the digest of your buckets back */
-  uint64_t total;
-  uint64_t *buckets; /**< none, or one hash a bucket */
+  bool answer_requested; /**< send the digest of your buckets back */
+  uint64_t total_hash;
+  uint64_t *bucket_hashes; /**< none, or one hash a bucket */
   size_t count;
 };
 
@@ -154,7 +154,7 @@
 /** "Is this version of a service in force at your host?" */
 struct peer_in_force
 {
-  uint64_t ask_id;
+  uint64_t request_id;
   char service[PEER_NAME_SIZE];
   uint64_t version; /**< asked for; in the answer: the one in force */
 };
--- a/wire/peer/peer_server.c
+++ b/wire/peer/peer_server.c
@@ -99,7 +99,7 @@
           .events = &conn_events,
           .owner = accepted,
           .fd = fd,
-          .idle_ms = server->options.idle_ms };
+          .idle_timeout_ms = server->options.idle_timeout_ms };
   accepted->conn = peer_conn_create (&options);
   DL_APPEND (server->accepted, accepted);
   server->count++;
--- a/wire/peer/peer_server.h
+++ b/wire/peer/peer_server.h
@@ -27,7 +27,7 @@
   const struct peer_conn_events *events;
   void *owner;
   const char *address; /**< IP:PORT to listen on */
-  uint32_t idle_ms;
+  uint32_t idle_timeout_ms;
 };
 
 enum status peer_server_create (const struct peer_server_options *options,
--- a/wire/peer/tests/peer_link_test.cc
+++ b/wire/peer/tests/peer_link_test.cc
@@ -200,7 +200,7 @@
 {
   size_t size;
   char *bytes = peer_message_encode (&message, &size);
-  frame_add (buffer, bytes, size);
+  frame_append (buffer, bytes, size);
   free (bytes);
 }
 }
@@ -221,8 +221,8 @@
   add_message (&buffer, proof);
   add_message (&buffer, heartbeat);
   const int fd = connect_raw (p);
-  ASSERT_EQ (send (fd, buffer.bytes, buffer.used, MSG_NOSIGNAL),
-             (ssize_t)buffer.used);
+  ASSERT_EQ (send (fd, buffer.bytes, buffer.end, MSG_NOSIGNAL),
+             (ssize_t)buffer.end);
   EXPECT_TRUE (
       p.run_until ([&] { return p.server_identity.traffic.refused == 1; }));
   EXPECT_EQ (p.received, 0u);
--- a/wire/peer/tests/peer_message_test.cc
+++ b/wire/peer/tests/peer_message_test.cc
@@ -10,7 +10,7 @@
 {
 #include "base/rng.h"
 #include "wire/peer/frame.h"
-#include "wire/peer/peer_bounds.h"
+#include "wire/peer/msgpack_check.h"
 #include "wire/peer/peer_message.h"
 }
 
@@ -47,7 +47,7 @@
         strcpy (m.hello.dc, "north-a");
         strcpy (m.hello.peer_address, "127.0.0.1:7000");
         m.hello.incarnation = 1ull << 63;
-        m.hello.strength = 1250;
+        m.hello.capacity = 1250;
         memset (m.hello.nonce, 7, sizeof m.hello.nonce);
         break;
       case PEER_PROOF:
@@ -80,9 +80,9 @@
         m.push.version = 12;
         m.push.value = value;
         break;
-      case PEER_IN_FORCE_ASK:
+      case PEER_IN_FORCE_REQUEST:
       case PEER_IN_FORCE_ANSWER:
-        m.in_force.ask_id = 4;
+        m.in_force.request_id = 4;
         strcpy (m.in_force.service, "holds");
         m.in_force.version = 8;
         break;
@@ -98,7 +98,7 @@
     return m;
   }
 
-  peer_verdict verdict = {};
+  peer_member_update verdict = {};
   uint64_t buckets[PEER_BUCKETS_MAX] = { 1, 2, 3 };
   peer_settings_entry entries[2] = { { 1, 2 }, { 1ull << 63, 4 } };
   char value[12] = "{\"a\": true}";
@@ -177,12 +177,12 @@
       = { "\xdd\xff\xff\xff\xf0", "\xdf\x10\xff\xff\xff",
           "\x91\xdd\x01\xff\xff\xff", "\xc6\xff\xff\xff\xff" };
   for (const auto &claim : claims)
-    EXPECT_FALSE (peer_bounds_hold (claim, strlen (claim)));
+    EXPECT_FALSE (msgpack_sizes_valid (claim, strlen (claim)));
   samples s;
   for (const auto &message : s.all)
     {
       const std::string bytes = encode (message);
-      EXPECT_TRUE (peer_bounds_hold (bytes.data (), bytes.size ()));
+      EXPECT_TRUE (msgpack_sizes_valid (bytes.data (), bytes.size ()));
     }
 }
 
@@ -209,21 +209,21 @@
         {
           texts.push_back (
               std::string (1 + rng_below (&random, 3000), 'a' + i));
-          frame_add (&sent, texts.back ().data (), texts.back ().size ());
+          frame_append (&sent, texts.back ().data (), texts.back ().size ());
         }
       size_t next = 0;
       while (peer_buffer_size (&sent) > 0)
         {
           const size_t piece = std::min<size_t> (1 + rng_below (&random, 900),
                                                  peer_buffer_size (&sent));
-          peer_buffer_add (&received, sent.bytes + sent.start, piece);
-          peer_buffer_skip (&sent, piece);
+          peer_buffer_append (&received, sent.bytes + sent.begin, piece);
+          peer_buffer_consume (&sent, piece);
           const char *payload;
           size_t size;
-          while (frame_front (&received, &payload, &size) == STATUS_OK)
+          while (frame_peek (&received, &payload, &size) == STATUS_OK)
             {
               ASSERT_EQ (std::string (payload, size), texts[next++]);
-              peer_buffer_skip (&received, FRAME_HEAD_BYTES + size);
+              peer_buffer_consume (&received, FRAME_HEADER_BYTES + size);
             }
         }
       ASSERT_EQ (next, texts.size ());
@@ -240,8 +240,8 @@
       peer_buffer buffer = {};
       const char *payload;
       size_t size;
-      peer_buffer_add (&buffer, head, FRAME_HEAD_BYTES);
-      EXPECT_EQ (frame_front (&buffer, &payload, &size), STATUS_INVALID);
+      peer_buffer_append (&buffer, head, FRAME_HEADER_BYTES);
+      EXPECT_EQ (frame_peek (&buffer, &payload, &size), STATUS_INVALID);
       peer_buffer_release (&buffer);
     }
 }
--- a/wire/platform.h
+++ b/wire/platform.h
@@ -65,12 +65,12 @@
 };
 
 /** How old an answer may be that is read. */
-enum platform_age
+enum platform_read_mode
 {
   /** All that the platform acknowledged before the call. */
-  PLATFORM_AGE_NONE,
+  PLATFORM_READ_LATEST,
   /** Seconds old, whole in itself; cheaper where the platform offers that. */
-  PLATFORM_AGE_ANY
+  PLATFORM_READ_STALE
 };
 
 typedef void platform_done (void *owner, const struct platform_reply *reply);
@@ -84,7 +84,7 @@
                platform_done *done, void *owner);
   /** All objects of KIND, with the revision to watch from. */
   void (*list) (struct platform *platform, const char *kind,
-                enum platform_age age, platform_done *done, void *owner);
+                enum platform_read_mode age, platform_done *done, void *owner);
   /** Write VALUE if the object's version is EXPECTED_VERSION; a VALUE of NULL
    * removes the object.  Versions of a kind come from one sequence, so a name
    * that is used again never gets an old version. */
@@ -95,8 +95,9 @@
    * none after TIMEOUT_MS, or with STATUS_REFUSED when the platform no
    * longer knows that revision (list again). */
   void (*watch) (struct platform *platform, const char *kind,
-                 uint64_t revision, uint32_t timeout_ms, enum platform_age age,
-                 platform_done *done, void *owner);
+                 uint64_t revision, uint32_t timeout_ms,
+                 enum platform_read_mode age, platform_done *done,
+                 void *owner);
   /** End every call of OWNER without calling back.  A write under way may
    * still take effect. */
   void (*cancel) (struct platform *platform, void *owner);
@@ -120,7 +121,7 @@
 
 static inline void
 platform_list (struct platform *platform, const char *kind,
-               enum platform_age age, platform_done *done, void *owner)
+               enum platform_read_mode age, platform_done *done, void *owner)
 {
   platform->ops->list (platform, kind, age, done, owner);
 }
@@ -136,7 +137,7 @@
 
 static inline void
 platform_watch (struct platform *platform, const char *kind, uint64_t revision,
-                uint32_t timeout_ms, enum platform_age age,
+                uint32_t timeout_ms, enum platform_read_mode age,
                 platform_done *done, void *owner)
 {
   platform->ops->watch (platform, kind, revision, timeout_ms, age, done,
--- a/wire/platform_file.c
+++ b/wire/platform_file.c
@@ -254,7 +254,7 @@
 }
 
 static void
-list (struct platform *platform, const char *kind, enum platform_age age,
+list (struct platform *platform, const char *kind, enum platform_read_mode age,
       platform_done *done, void *owner)
 {
   start (platform, CALL_LIST, kind, done, owner);
@@ -273,7 +273,7 @@
 
 static void
 watch (struct platform *platform, const char *kind, uint64_t revision,
-       uint32_t timeout_ms, enum platform_age age, platform_done *done,
+       uint32_t timeout_ms, enum platform_read_mode age, platform_done *done,
        void *owner)
 {
   struct file_call *call = start (platform, CALL_WATCH, kind, done, owner);
--- a/wire/platform_http.c
+++ b/wire/platform_http.c
@@ -25,19 +25,19 @@
 }
 
 static void
-list (struct platform *platform, const char *kind, enum platform_age age,
+list (struct platform *platform, const char *kind, enum platform_read_mode age,
       platform_done *done, void *owner)
 {
   struct http_call *call
       = platform_http_call_create (platform, CALL_LIST, kind, done, owner);
-  call->age = age;
+  call->read_mode = age;
   call->path = call->http->dialect->list_path (kind, "", age);
   platform_http_call_begin (call);
 }
 
 static void
 watch (struct platform *platform, const char *kind, uint64_t revision,
-       uint32_t timeout_ms, enum platform_age age, platform_done *done,
+       uint32_t timeout_ms, enum platform_read_mode age, platform_done *done,
        void *owner)
 {
   struct http_call *call
@@ -51,7 +51,7 @@
 static void
 set_body (struct http_call *call, char *body)
 {
-  call->request = body;
+  call->request_body = body;
   if (body == NULL)
     return;
   call->headers
@@ -110,7 +110,7 @@
     call->done = NULL;
   }
   curl_loop_destroy (http->cl);
-  for (size_t i = 0; i < http->count; i++)
+  for (size_t i = 0; i < http->address_count; i++)
     free (http->addresses[i]);
   free (http);
 }
@@ -138,9 +138,9 @@
   http->cl
       = curl_loop_create (options->loop, &(struct curl_loop_options){ 0 });
   http->dialect = options->dialect != NULL ? options->dialect
-                                           : &platform_http_dialect_own;
-  http->count = options->count;
-  for (size_t i = 0; i < http->count; i++)
+                                           : &platform_http_dialect_native;
+  http->address_count = options->count;
+  for (size_t i = 0; i < http->address_count; i++)
     http->addresses[i] = xstrdup (options->addresses[i]);
   http->timeout_ms
       = options->timeout_ms > 0 ? options->timeout_ms : TIMEOUT_DEFAULT_MS;
--- a/wire/platform_http_call.c
+++ b/wire/platform_http_call.c
@@ -27,9 +27,9 @@
   free (call->pages);
   free (call->path);
   free (call->object_kind);
-  free (call->request);
+  free (call->request_body);
   free (call->value);
-  free (call->body);
+  free (call->response_body);
   free (call);
 }
 
@@ -38,12 +38,13 @@
 {
   struct http_call *call = owner;
   const size_t more = size * count;
-  if (call->body_bytes + more > RESPONSE_MAX_BYTES)
+  if (call->response_bytes + more > RESPONSE_MAX_BYTES)
     return 0;
-  call->body = xreallocarray (call->body, call->body_bytes + more + 1, 1);
-  memcpy (call->body + call->body_bytes, data, more);
-  call->body_bytes += more;
-  call->body[call->body_bytes] = '\0';
+  call->response_body = xreallocarray (call->response_body,
+                                       call->response_bytes + more + 1, 1);
+  memcpy (call->response_body + call->response_bytes, data, more);
+  call->response_bytes += more;
+  call->response_body[call->response_bytes] = '\0';
   return more;
 }
 
@@ -64,12 +65,13 @@
   struct platform_http *http = call->http;
   const bool unsent = surely_not_sent (call, code)
                       || (code == CURLE_OK && http_code == HTTP_UNAVAILABLE
-                          && http->dialect->unavailable_is_undone);
-  if (http->preferred == call->address)
-    http->preferred = (call->address + 1) % http->count;
-  if ((unsent || call->kind != CALL_PUT) && call->attempts < http->count)
+                          && http->dialect->unavailable_has_no_effect);
+  if (http->preferred_address == call->address)
+    http->preferred_address = (call->address + 1) % http->address_count;
+  if ((unsent || call->kind != CALL_PUT)
+      && call->attempts < http->address_count)
     {
-      call->address = (call->address + 1) % http->count;
+      call->address = (call->address + 1) % http->address_count;
       platform_http_call_send (call);
       return;
     }
@@ -101,9 +103,9 @@
   if (code != CURLE_OK || http_code >= HTTP_SERVER_ERROR)
     fail_over (call, code, http_code);
   else if (http_code != HTTP_OK)
-    platform_http_end_refused (call, http_code);
+    platform_http_end_error_status (call, http_code);
   else
-    platform_http_end_answered (call);
+    platform_http_end_ok (call);
 }
 
 void
@@ -114,9 +116,9 @@
       = xasprintf ("http://%s%s", http->addresses[call->address], call->path);
   curl_easy_setopt (call->easy, CURLOPT_URL, url);
   free (url);
-  free (call->body);
-  call->body = xstrdup ("");
-  call->body_bytes = 0;
+  free (call->response_body);
+  call->response_body = xstrdup ("");
+  call->response_bytes = 0;
   call->attempts++;
   http->platform.calls++;
   curl_loop_start (http->cl, call->easy, on_done, call);
@@ -132,11 +134,11 @@
   call->http = http;
   call->kind = kind;
   call->object_kind = xstrdup (object_kind);
-  call->address = http->preferred;
+  call->address = http->preferred_address;
   call->timeout_ms = http->timeout_ms;
   call->done = done;
   call->owner = owner;
-  call->easy = curl_loop_easy ();
+  call->easy = curl_loop_create_easy ();
   DL_APPEND (http->calls, call);
   return call;
 }
--- a/wire/platform_http_call.h
+++ b/wire/platform_http_call.h
@@ -26,8 +26,8 @@
   const struct platform_http_dialect *dialect;
   struct curl_loop *cl;
   char *addresses[PLATFORM_HTTP_ADDRESSES_MAX];
-  size_t count;
-  size_t preferred; /* the address that calls begin with */
+  size_t address_count;
+  size_t preferred_address; /* the address that calls begin with */
   uint32_t timeout_ms;
   uint32_t connect_timeout_ms;
   struct http_call *calls;
@@ -37,21 +37,21 @@
 {
   struct platform_http *http;
   enum call_kind kind;
-  enum platform_age age; /* LIST */
+  enum platform_read_mode read_mode; /* LIST */
   CURL *easy;
   struct curl_slist *headers;
   char *path;
   char *object_kind;
-  char *value;   /* PUT: NULL removes the object */
-  char *request; /* PUT: the body that is sent */
+  char *value;        /* PUT: NULL removes the object */
+  char *request_body; /* PUT: the body that is sent */
   /* LIST: the pages that have come, and all of their objects. */
   struct platform_http_reply *pages;
   size_t page_count;
   size_t address;
   size_t attempts;
   uint32_t timeout_ms;
-  char *body;
-  size_t body_bytes;
+  char *response_body;
+  size_t response_bytes;
   platform_done *done; /* NULL once cancelled */
   void *owner;
   struct http_call *prev;
@@ -79,9 +79,9 @@
 
 /** End the call with the whole answer that came with HTTP status 200, or go
  * on with the next page. */
-void platform_http_end_answered (struct http_call *call);
+void platform_http_end_ok (struct http_call *call);
 
 /** End the call with an answer of another status CODE below 500. */
-void platform_http_end_refused (struct http_call *call, long code);
+void platform_http_end_error_status (struct http_call *call, long code);
 
 #endif
--- a/wire/platform_http_dialect.c
+++ b/wire/platform_http_dialect.c
@@ -29,14 +29,14 @@
 /* A list comes whole, so there is no second page; and all reads are of the
    newest, so AGE makes no difference. */
 static char *
-list_path (const char *kind, const char *after, enum platform_age age)
+list_path (const char *kind, const char *after, enum platform_read_mode age)
 {
   return make_path ("objects", kind, NULL);
 }
 
 static char *
 watch_path (const char *kind, uint64_t revision, uint32_t timeout_ms,
-            enum platform_age age)
+            enum platform_read_mode age)
 {
   char *base = make_path ("watch", kind, NULL);
   char *path = xasprintf ("%s?since=%" PRIu64 "&timeout_ms=%" PRIu32, base,
@@ -72,7 +72,7 @@
   return platform_http_reply_list (reply, text, size);
 }
 
-const struct platform_http_dialect platform_http_dialect_own = {
+const struct platform_http_dialect platform_http_dialect_native = {
   .get_path = get_path,
   .list_path = list_path,
   .watch_path = watch_path,
--- a/wire/platform_http_dialect.h
+++ b/wire/platform_http_dialect.h
@@ -30,9 +30,9 @@
   char *(*get_path) (const char *kind, const char *name);
   /** AFTER: the name that the former page ended at; "" for the first. */
   char *(*list_path) (const char *kind, const char *after,
-                      enum platform_age age);
+                      enum platform_read_mode age);
   char *(*watch_path) (const char *kind, uint64_t revision,
-                       uint32_t timeout_ms, enum platform_age age);
+                       uint32_t timeout_ms, enum platform_read_mode age);
   /** EXPECTED_VERSION and VALUE as in platform_put(). */
   void (*write) (const char *kind, const char *name, uint64_t expected_version,
                  const char *value, struct platform_http_write *write);
@@ -48,10 +48,10 @@
                                size_t size);
 
   /** An answer of 503 says that nothing was done. */
-  bool unavailable_is_undone;
+  bool unavailable_has_no_effect;
 };
 
 /** jaystair's own, as docs/PLATFORM-API.md has it. */
-extern const struct platform_http_dialect platform_http_dialect_own;
+extern const struct platform_http_dialect platform_http_dialect_native;
 
 #endif
--- a/wire/platform_http_end.c
+++ b/wire/platform_http_end.c
@@ -38,8 +38,9 @@
 end_written (struct http_call *call)
 {
   struct platform_http_reply parsed = { 0 };
-  if (call->http->dialect->read_object (&parsed, call->object_kind, call->body,
-                                        call->body_bytes)
+  if (call->http->dialect->read_object (&parsed, call->object_kind,
+                                        call->response_body,
+                                        call->response_bytes)
       != STATUS_OK)
     {
       platform_http_reply_release (&parsed);
@@ -64,7 +65,7 @@
   struct platform_http_reply parsed = { 0 };
   const enum status status = (call->kind == CALL_GET ? dialect->read_object
                                                      : dialect->read_changes) (
-      &parsed, call->object_kind, call->body, call->body_bytes);
+      &parsed, call->object_kind, call->response_body, call->response_bytes);
   const struct platform_reply reply
       = { .status = status,
           .message = status == STATUS_OK ? NULL : status_message (),
@@ -104,21 +105,21 @@
       = xreallocarray (call->pages, call->page_count + 1, sizeof *call->pages);
   struct platform_http_reply *page = &call->pages[call->page_count++];
   *page = (struct platform_http_reply){ 0 };
-  if (dialect->read_list (page, call->object_kind, call->body,
-                          call->body_bytes)
+  if (dialect->read_list (page, call->object_kind, call->response_body,
+                          call->response_bytes)
       != STATUS_OK)
     {
       platform_http_end_failed (call, STATUS_INVALID, status_message ());
       return;
     }
-  if (page->more_after[0] == '\0')
+  if (page->continue_after[0] == '\0')
     {
       end_list (call);
       return;
     }
   free (call->path);
-  call->path
-      = dialect->list_path (call->object_kind, page->more_after, call->age);
+  call->path = dialect->list_path (call->object_kind, page->continue_after,
+                                   call->read_mode);
   call->attempts = 0;
   platform_http_call_send (call);
 }
@@ -127,8 +128,8 @@
 end_conflict (struct http_call *call)
 {
   struct platform_http_reply parsed = { 0 };
-  call->http->dialect->read_object (&parsed, call->object_kind, call->body,
-                                    call->body_bytes);
+  call->http->dialect->read_object (&parsed, call->object_kind,
+                                    call->response_body, call->response_bytes);
   const bool exists = parsed.count > 0 && parsed.objects[0].value != NULL;
   const struct platform_reply reply
       = { .status = STATUS_REFUSED,
@@ -142,7 +143,7 @@
 }
 
 void
-platform_http_end_refused (struct http_call *call, long code)
+platform_http_end_error_status (struct http_call *call, long code)
 {
   char message[160];
   snprintf (message, sizeof message,
@@ -175,7 +176,7 @@
 }
 
 void
-platform_http_end_answered (struct http_call *call)
+platform_http_end_ok (struct http_call *call)
 {
   switch (call->kind)
     {
--- a/wire/platform_http_reply.h
+++ b/wire/platform_http_reply.h
@@ -20,7 +20,7 @@
   size_t count;
   uint64_t revision; /**< 0 in an answer about one object */
   /** Of a list that goes on: the name to go on after; else "". */
-  char more_after[PLATFORM_NAME_SIZE];
+  char continue_after[PLATFORM_NAME_SIZE];
 };
 
 /** Read `{"name","version","value"}`. */
--- a/wire/service_spec.c
+++ b/wire/service_spec.c
@@ -108,7 +108,7 @@
       options_element (top, "targets", array, i, &child);
       read_target (&child, &spec->targets[i]);
       refuse_same_target (&child, spec, &spec->targets[i]);
-      options_close (top, &child);
+      options_end_child (top, &child);
       spec->target_count++;
     }
 }
@@ -150,7 +150,7 @@
       options_element (top, "routes", array, i, &child);
       route_options_read (&child, &spec->routes[i]);
       refuse_same_route (&child, spec, &spec->routes[i]);
-      options_close (top, &child);
+      options_end_child (top, &child);
       spec->route_count++;
     }
 }
@@ -175,7 +175,7 @@
                   &limits->retry_percent);
   options_uint32 (&child, "attempts", 1, ATTEMPTS_MAX, &limits->attempts);
   options_uint32 (&child, "goal_ms", 0, TIMEOUT_MAX_MS, &limits->goal_ms);
-  options_close (top, &child);
+  options_end_child (top, &child);
 }
 
 static void
--- a/wire/tests/curl_loop_test.cc
+++ b/wire/tests/curl_loop_test.cc
@@ -90,7 +90,7 @@
     const std::string url = "http://" + standin.address + path;
     t->loop = loop;
     t->cl = cl;
-    t->easy = curl_loop_easy ();
+    t->easy = curl_loop_create_easy ();
     curl_easy_setopt (t->easy, CURLOPT_URL, url.c_str ());
     curl_easy_setopt (t->easy, CURLOPT_WRITEFUNCTION, on_data);
     curl_easy_setopt (t->easy, CURLOPT_WRITEDATA, t);
--- a/wire/tests/platform_file_test.cc
+++ b/wire/tests/platform_file_test.cc
@@ -110,7 +110,7 @@
 {
   ASSERT_EQ (load (two_services), STATUS_OK) << status_message ();
   outcome end;
-  platform_list (platform, "service", PLATFORM_AGE_NONE, on_end, &end);
+  platform_list (platform, "service", PLATFORM_READ_LATEST, on_end, &end);
   finish (&end);
   EXPECT_EQ (end.status, STATUS_OK);
   EXPECT_EQ (end.names (), (std::vector<std::string>{ "a", "b" }));
@@ -178,9 +178,9 @@
   ASSERT_EQ (load (two_services), STATUS_OK);
   outcome watched;
   outcome other;
-  platform_watch (platform, "service", 2, 60000, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "service", 2, 60000, PLATFORM_READ_LATEST, on_end,
                   &watched);
-  platform_watch (platform, "ejection", 0, 60000, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "ejection", 0, 60000, PLATFORM_READ_LATEST, on_end,
                   &other);
   EXPECT_EQ (put ("service", "b", 2, nullptr).status, STATUS_OK);
   while (watched.ends == 0)
@@ -191,13 +191,13 @@
   EXPECT_EQ (other.ends, 0);
   platform_cancel (platform, &other);
   outcome quiet;
-  platform_watch (platform, "service", 3, 1, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "service", 3, 1, PLATFORM_READ_LATEST, on_end,
                   &quiet);
   finish (&quiet);
   EXPECT_EQ (quiet.status, STATUS_OK);
   EXPECT_TRUE (quiet.names ().empty ());
   outcome unknown;
-  platform_watch (platform, "service", 99, 1, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "service", 99, 1, PLATFORM_READ_LATEST, on_end,
                   &unknown);
   EXPECT_EQ (finish (&unknown).status, STATUS_REFUSED);
 }
@@ -216,7 +216,7 @@
 {
   ASSERT_EQ (load (two_services), STATUS_OK);
   outcome cancelled;
-  platform_watch (platform, "service", 2, 60000, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "service", 2, 60000, PLATFORM_READ_LATEST, on_end,
                   &cancelled);
   platform_get (platform, "service", "a", on_end, &cancelled);
   platform_cancel (platform, &cancelled);
