--- a/wire/tests/platform_http_test.cc
+++ b/wire/tests/platform_http_test.cc
@@ -73,7 +73,7 @@
   list (const char *kind)
   {
     outcome end{ loop };
-    platform_list (platform, kind, PLATFORM_AGE_NONE, on_end, &end);
+    platform_list (platform, kind, PLATFORM_READ_LATEST, on_end, &end);
     return finish (&end);
   }
 
@@ -135,8 +135,8 @@
   const uint64_t first
       = put ("service", "a", PLATFORM_VERSION_NONE, "1").objects[0].version;
   outcome watched{ loop };
-  platform_watch (platform, "service", first, 60000, PLATFORM_AGE_NONE, on_end,
-                  &watched);
+  platform_watch (platform, "service", first, 60000, PLATFORM_READ_LATEST,
+                  on_end, &watched);
   put ("service", "a", first, nullptr);
   finish (&watched);
   EXPECT_EQ (watched.status, STATUS_OK) << watched.message;
@@ -144,13 +144,13 @@
   EXPECT_EQ (watched.objects[0].value, "(removed)");
   EXPECT_EQ (watched.revision, watched.objects[0].version);
   outcome quiet{ loop };
-  platform_watch (platform, "service", watched.revision, 1, PLATFORM_AGE_NONE,
-                  on_end, &quiet);
+  platform_watch (platform, "service", watched.revision, 1,
+                  PLATFORM_READ_LATEST, on_end, &quiet);
   finish (&quiet);
   EXPECT_EQ (quiet.status, STATUS_OK);
   EXPECT_TRUE (quiet.objects.empty ());
   outcome unknown{ loop };
-  platform_watch (platform, "service", 999, 1, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "service", 999, 1, PLATFORM_READ_LATEST, on_end,
                   &unknown);
   EXPECT_EQ (finish (&unknown).status, STATUS_REFUSED);
   EXPECT_EQ (standin.calls ("watches"), 3);
@@ -241,7 +241,7 @@
 {
   outcome watched{ loop };
   outcome kept{ loop };
-  platform_watch (platform, "service", 0, 60000, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "service", 0, 60000, PLATFORM_READ_LATEST, on_end,
                   &watched);
   platform_get (platform, "service", "a", on_end, &watched);
   platform_get (platform, "service", "a", on_end, &kept);
@@ -262,7 +262,7 @@
    way, the call that is just ending among them. */
 TEST_F (PlatformHttp, AnOwnerMayCancelWithinItsCallback)
 {
-  platform_watch (platform, "service", 0, 60000, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "service", 0, 60000, PLATFORM_READ_LATEST, on_end,
                   &platform);
   platform_get (platform, "service", "a", cancel_all_of_owner, &platform);
   EXPECT_EQ (get ("service", "b").status, STATUS_NOT_FOUND);
@@ -272,7 +272,7 @@
 TEST_F (PlatformHttp, DestroyEndsCallsQuietly)
 {
   outcome end{ loop };
-  platform_watch (platform, "service", 0, 60000, PLATFORM_AGE_NONE, on_end,
+  platform_watch (platform, "service", 0, 60000, PLATFORM_READ_LATEST, on_end,
                   &end);
   platform_get (platform, "service", "a", on_end, &end);
   ev_run (loop, EVRUN_NOWAIT);
