--- a/node/quota/control_quota.h
+++ b/node/quota/control_quota.h
@@ -1,5 +1,5 @@
 /** @file
- * The quota task's messages over the fleet's peer links.
+ * Transport of the quota task over the peer links of the control task.
  */
 #ifndef NODE_QUOTA_CONTROL_QUOTA_H
 #define NODE_QUOTA_CONTROL_QUOTA_H
@@ -14,11 +14,11 @@
   struct control_task *control;
 };
 
-/** Send through CONTROL, and learn the fleet from it. */
+/** Use CONTROL to send messages and to look up the fleet's hosts. */
 void control_quota_init (struct control_quota *transport,
                          struct control_task *control);
 
-/** Hand what CONTROL receives to TASK. */
+/** Deliver the quota messages that CONTROL receives to TASK. */
 void control_quota_deliver (struct control_quota *transport,
                             struct quota_task *task);
 
--- a/node/quota/quota_messages.c
+++ b/node/quota/quota_messages.c
@@ -7,21 +7,22 @@
   COLUMNS = 5,
 };
 
-/* Of the first row. */
+/* Columns of the first row. */
 enum first_column
 {
   FIRST_HOSTS,
-  FIRST_LENDS,
+  FIRST_LEASES_SHARE,
   FIRST_IS_COORDINATOR,
 };
 
+/* Columns of the other rows. */
 enum row_column
 {
   ROW_WORKSPACE,
-  ROW_WANTED,
+  ROW_REQUESTED,
   ROW_TOKENS,
   ROW_TERM_MS,
-  ROW_DUE_MS,
+  ROW_NEXT_TOKEN_MS,
 };
 
 struct peer_message
@@ -31,16 +32,16 @@
   int64_t *row = xcalloc ((report->row_count + 1) * COLUMNS, sizeof *row);
   *values = row;
   row[FIRST_HOSTS] = report->hosts;
-  row[FIRST_LENDS] = report->leases_share;
+  row[FIRST_LEASES_SHARE] = report->leases_share;
   row[FIRST_IS_COORDINATOR] = report->is_coordinator;
   for (size_t i = 0; i < report->row_count; i++)
     {
       row += COLUMNS;
       row[ROW_WORKSPACE] = (int64_t)report->rows[i].workspace;
-      row[ROW_WANTED] = report->rows[i].requested;
+      row[ROW_REQUESTED] = report->rows[i].requested;
       row[ROW_TOKENS] = report->rows[i].tokens;
       row[ROW_TERM_MS] = report->rows[i].term_ms;
-      row[ROW_DUE_MS] = report->rows[i].next_token_ms;
+      row[ROW_NEXT_TOKEN_MS] = report->rows[i].next_token_ms;
     }
   return (struct peer_message){
     .type = type,
@@ -52,9 +53,9 @@
   };
 }
 
-/* A number of a row; whatever another host may send fits. */
+/* Other hosts may send any value; clamp it to the range of a field. */
 static uint32_t
-number (int64_t value)
+clamp_to_uint32 (int64_t value)
 {
   if (value < 0)
     return 0;
@@ -73,8 +74,8 @@
   const int64_t *row = from->values;
   report->echo = from->epoch;
   report->stamp = from->sequence;
-  report->hosts = number (row[FIRST_HOSTS]);
-  report->leases_share = row[FIRST_LENDS] != 0;
+  report->hosts = clamp_to_uint32 (row[FIRST_HOSTS]);
+  report->leases_share = row[FIRST_LEASES_SHARE] != 0;
   report->is_coordinator = row[FIRST_IS_COORDINATOR] != 0;
   report->row_count = from->value_count / COLUMNS - 1;
   for (size_t i = 0; i < report->row_count; i++)
@@ -82,10 +83,10 @@
       row += COLUMNS;
       report->rows[i] = (struct quota_row){
         .workspace = (uint64_t)row[ROW_WORKSPACE],
-        .requested = number (row[ROW_WANTED]),
-        .tokens = number (row[ROW_TOKENS]),
-        .term_ms = number (row[ROW_TERM_MS]),
-        .next_token_ms = number (row[ROW_DUE_MS]),
+        .requested = clamp_to_uint32 (row[ROW_REQUESTED]),
+        .tokens = clamp_to_uint32 (row[ROW_TOKENS]),
+        .term_ms = clamp_to_uint32 (row[ROW_TERM_MS]),
+        .next_token_ms = clamp_to_uint32 (row[ROW_NEXT_TOKEN_MS]),
       };
     }
   return true;
--- a/node/quota/quota_messages.h
+++ b/node/quota/quota_messages.h
@@ -1,10 +1,11 @@
 /** @file
- * What holders and keepers of quotas tell each other: reports of type
- * PEER_QUOTA_REQUEST and PEER_QUOTA_GRANT (peer_message.h).
+ * Messages between quota requesters and coordinators: reports of type
+ * PEER_QUOTA_ASK (request) and PEER_QUOTA_GRANT (response), see
+ * peer_message.h.
  *
- * `sequence` is a stamp of the sender's (policy/quota/quota_stamp.h), `epoch`
- * the last one that it had from the receiver; 0: none.  The first row tells of
- * the sender, each further one of a workspace.
+ * `sequence` is a stamp of the sender (policy/quota/quota_stamp.h), `epoch`
+ * the last stamp that it received from the receiver; 0: none.  The first row
+ * describes the sender, each further row a workspace.
  */
 #ifndef NODE_QUOTA_QUOTA_MESSAGES_H
 #define NODE_QUOTA_QUOTA_MESSAGES_H
@@ -20,37 +21,39 @@
   QUOTA_ROWS_MAX = 1024,
 };
 
-/** What a question or an answer says of one workspace. */
+/** A row of a request or response: one workspace. */
 struct quota_row
 {
   uint64_t workspace; /**< hash_string() of its name */
   uint32_t requested;
-  uint32_t tokens;        /**< granted; this and the rest in answers only */
-  uint32_t term_ms;       /**< they may be used for, from the question on */
-  uint32_t next_token_ms; /**< until there is another one */
+  uint32_t tokens;        /**< granted; response only, like the rest */
+  uint32_t term_ms;       /**< lifetime of the tokens, counted from the
+                           request */
+  uint32_t next_token_ms; /**< time until the next token; 0 as in
+                             quota_grant */
 };
 
 struct quota_report
 {
-  uint64_t stamp; /**< of the sender */
-  uint64_t echo;  /**< of the receiver, as the sender had it last; 0: none */
-  uint32_t hosts; /**< that the sender knows; 0: not known */
-  bool leases_share; /**< question: the sender lends its share to the receiver
-                      */
-  bool is_coordinator; /**< question and its answer: for a keeper, not for
-                       requests of its own */
+  uint64_t stamp;      /**< of the sender */
+  uint64_t echo;       /**< last stamp received from the receiver; 0: none */
+  uint32_t hosts;      /**< number of hosts known to the sender; 0: unknown */
+  bool leases_share;   /**< request: the sender leases its share to the
+                          receiver */
+  bool is_coordinator; /**< request and response: for the sender's pool as
+                          coordinator, not for its own requests */
   size_t row_count;
   struct quota_row rows[QUOTA_ROWS_MAX];
 };
 
-/** Write REPORT as a message of TYPE, whose values lie in *VALUES, new
- * memory. */
+/** Convert REPORT to a message of TYPE.  Its values are allocated and
+ * returned in *VALUES; the caller frees them. */
 struct peer_message quota_report_message (enum peer_type type,
                                           const struct quota_report *report,
                                           int64_t **values);
 
-/** Read what quota_report_message() writes.
- * @return whether MESSAGE is of that form */
+/** Parse a message of quota_report_message().
+ * @return false if MESSAGE is malformed */
 bool quota_report_read (const struct peer_message *message,
                         struct quota_report *report);
 
--- a/node/quota/quota_requester.c
+++ b/node/quota/quota_requester.c
@@ -8,26 +8,27 @@
 
 enum
 {
-  /** A keeper that doesn't answer for so long isn't waited for. */
-  ANSWER_MS = 60,
+  /** A coordinator that leaves a request unanswered for this long is skipped
+   * while another one responds. */
+  RESPONSE_TIMEOUT_MS = 60,
 };
 
 static bool
-answers (const struct quota_peer *peer, int64_t now_ms)
+is_responsive (const struct quota_peer *peer, int64_t now_ms)
 {
   return peer->unanswered_since_ms == 0
-         || now_ms - peer->unanswered_since_ms < ANSWER_MS;
+         || now_ms - peer->unanswered_since_ms < RESPONSE_TIMEOUT_MS;
 }
 
-/* What keeper grants goes to the caller task, which holds the tokens. */
+/* Post granted tokens to the caller task, which caches them. */
 static void
-hand_out (struct quota_task *task, const struct quota_row *row,
-          int64_t asked_ms)
+post_grant (struct quota_task *task, const struct quota_row *row,
+            int64_t requested_ms)
 {
   const struct bus_message message
       = { .topic = BUS_QUOTA_GRANTED,
           .quota = { .workspace = row->workspace,
-                     .answer = { .requested_ms = asked_ms,
+                     .answer = { .requested_ms = requested_ms,
                                  .requested = row->requested,
                                  .tokens = row->tokens,
                                  .term_ms = row->term_ms,
@@ -35,9 +36,9 @@
   bus_post (task->options.bus, &message);
 }
 
-/* Take what is wanted out of the list, up to a report's rows. */
+/* Move pending entries to rows of the report, as many as fit. */
 static void
-add_wanted (struct quota_task *task)
+move_pending_to_report (struct quota_task *task)
 {
   struct quota_report *report = &task->report;
   while (task->pending != NULL && report->row_count < QUOTA_ROWS_MAX)
@@ -52,8 +53,9 @@
     }
 }
 
+/* This host is the coordinator itself: grant all pending requests. */
 static void
-grant_self (struct quota_task *task, int64_t now_ms)
+grant_locally (struct quota_task *task, int64_t now_ms)
 {
   while (task->pending != NULL)
     {
@@ -63,11 +65,11 @@
       const struct quota_row row
           = quota_coordinator_grant (task, entry, entry->requested, now_ms);
       entry->requested = 0;
-      hand_out (task, &row, now_ms);
+      post_grant (task, &row, now_ms);
     }
 }
 
-/* The first keeper that answers; the one of the own data centre if none
+/* The first coordinator that responds; that of this host's data centre if none
    does. */
 const char *
 quota_requester_coordinator (struct quota_task *task, int64_t now_ms)
@@ -77,26 +79,25 @@
   const size_t count = transport->ops->coordinators (transport, names);
   for (size_t i = 0; i < count; i++)
     if (quota_task_is_self (task, names[i])
-        || answers (quota_task_peer (task, names[i]), now_ms))
+        || is_responsive (quota_task_peer (task, names[i]), now_ms))
       return names[i];
   return count > 0 ? names[0] : NULL;
 }
 
 static void
-ask (struct quota_task *task, const char *coordinator, int64_t now_ms)
+send_request (struct quota_task *task, const char *coordinator, int64_t now_ms)
 {
   struct quota_peer *peer = quota_task_peer (task, coordinator);
   quota_task_begin_report (task, peer, now_ms);
   task->report.leases_share
       = quota_lease_renew (&task->lease, now_ms, hash_string (coordinator));
   quota_shares_set_own_from (task->shares, now_ms, task->lease.expires_ms);
-  add_wanted (task);
+  move_pending_to_report (task);
   if (peer->unanswered_since_ms == 0)
     peer->unanswered_since_ms = now_ms;
   quota_task_send_report (task, coordinator, PEER_QUOTA_REQUEST);
 }
 
-/* Ask for what requests here want; RENEW: also when that is nothing. */
 void
 quota_requester_request (struct quota_task *task, bool renew)
 {
@@ -106,37 +107,38 @@
     return;
   if (quota_task_is_self (task, coordinator))
     {
-      grant_self (task, now_ms);
+      grant_locally (task, now_ms);
       return;
     }
   while (renew || task->pending != NULL)
     {
-      ask (task, coordinator, now_ms);
+      send_request (task, coordinator, now_ms);
       renew = false;
     }
 }
 
 void
 quota_requester_receive (struct quota_task *task, const char *from,
-                         const struct quota_report *answer)
+                         const struct quota_report *response)
 {
   const int64_t now_ms = clock_now_ms ();
   struct quota_peer *peer = quota_task_peer (task, from);
-  int64_t asked_ms;
+  int64_t requested_ms;
   const bool is_first = peer->last_stamp == 0;
-  peer->last_stamp = answer->stamp;
+  peer->last_stamp = response->stamp;
   peer->unanswered_since_ms = 0;
-  /* What was lent with the question couldn't be counted by the keeper yet. */
-  if (is_first && !answer->is_coordinator)
-    ask (task, from, now_ms);
-  if (!quota_stamp_parse (task->process_nonce, answer->echo, now_ms,
-                          &asked_ms))
+  /* The coordinator couldn't count the lease of the first request, which
+     echoed no stamp of it.  Renew the lease now that there is a stamp. */
+  if (is_first && !response->is_coordinator)
+    send_request (task, from, now_ms);
+  if (!quota_stamp_parse (task->process_nonce, response->echo, now_ms,
+                          &requested_ms))
     return;
-  if (answer->is_coordinator)
+  if (response->is_coordinator)
     {
-      quota_coordinator_add (task, answer);
+      quota_coordinator_add (task, response);
       return;
     }
-  for (size_t i = 0; i < answer->row_count; i++)
-    hand_out (task, &answer->rows[i], asked_ms);
+  for (size_t i = 0; i < response->row_count; i++)
+    post_grant (task, &response->rows[i], requested_ms);
 }
--- a/node/quota/quota_task.c
+++ b/node/quota/quota_task.c
@@ -19,8 +19,8 @@
 
 enum
 {
-  /** What is wanted within so long is asked for together. */
-  GATHER_MS = 1,
+  /** Tokens requested within this time are sent in one message. */
+  BATCH_DELAY_MS = 1,
 };
 
 static const double MS_PER_SECOND = 1000.0;
@@ -92,13 +92,13 @@
 }
 
 static void
-gather_cb (struct ev_loop *loop, ev_timer *timer, int events)
+batch_cb (struct ev_loop *loop, ev_timer *timer, int events)
 {
   quota_requester_request (timer->data, false);
 }
 
 static void
-on_wanted (void *owner, const struct bus_message *message)
+on_requested (void *owner, const struct bus_message *message)
 {
   struct quota_task *task = owner;
   struct quota_entry *entry
@@ -111,7 +111,7 @@
   entry->is_pending = true;
   if (ev_is_active (&task->batch_timer))
     return;
-  ev_timer_set (&task->batch_timer, GATHER_MS / MS_PER_SECOND, 0.);
+  ev_timer_set (&task->batch_timer, BATCH_DELAY_MS / MS_PER_SECOND, 0.);
   ev_timer_start (task->options.loop, &task->batch_timer);
 }
 
@@ -125,9 +125,9 @@
   free (entry);
 }
 
-/* Take all entries out of the table; those of GENERATION go back in. */
+/* Remove the entries that aren't of GENERATION. */
 static void
-keep_entries (struct quota_task *task, uint64_t generation)
+retain_entries (struct quota_task *task, uint64_t generation)
 {
   struct quota_entry *entry = task->entries;
   HASH_CLEAR (hh, task->entries);
@@ -144,7 +144,7 @@
 }
 
 static void
-learn_entry (struct quota_task *task, const struct fleet_workspace *workspace)
+update_entry (struct quota_task *task, const struct fleet_workspace *workspace)
 {
   const uint64_t key = hash_string (workspace->name);
   struct quota_entry *entry = quota_task_entry (task, key);
@@ -162,7 +162,8 @@
   };
 }
 
-/* Entries of workspaces that are gone, or have no quota any more, go. */
+/* Updates the entries, and removes those of workspaces that were removed or
+   have no quota any more. */
 static void
 on_config (void *owner, const struct bus_message *message)
 {
@@ -171,8 +172,8 @@
   task->generation++;
   for (size_t i = 0; i < config->workspace_count; i++)
     if (config->workspaces[i].quota.rate_millis > 0)
-      learn_entry (task, &config->workspaces[i]);
-  keep_entries (task, task->generation);
+      update_entry (task, &config->workspaces[i]);
+  retain_entries (task, task->generation);
 }
 
 void
@@ -231,14 +232,14 @@
   quota_lease_init (&task->lease, now_ms, &task->tolerance);
   task->shares = quota_shares_create (now_ms, task->lease.expires_ms);
   task->pool = quota_pool_create (task->shares, &task->tolerance);
-  ev_timer_init (&task->batch_timer, gather_cb, 0., 0.);
+  ev_timer_init (&task->batch_timer, batch_cb, 0., 0.);
   task->batch_timer.data = task;
   const double renew_s = QUOTA_RENEWAL_INTERVAL_MS / MS_PER_SECOND;
   ev_timer_init (&task->renew_timer, renew_cb, renew_s, renew_s);
   task->renew_timer.data = task;
   ev_timer_start (options->loop, &task->renew_timer);
   quota_coordinator_start (task);
-  bus_subscribe (options->bus, BUS_QUOTA_REQUESTED, on_wanted, task);
+  bus_subscribe (options->bus, BUS_QUOTA_REQUESTED, on_requested, task);
   bus_subscribe (options->bus, BUS_CONFIG_IN_FORCE, on_config, task);
   if (options->tables != NULL)
     tables_register (options->tables, "quotas", quota_rows, task);
@@ -256,7 +257,7 @@
   ev_timer_stop (task->options.loop, &task->renew_timer);
   quota_coordinator_stop (task);
   ev_timer_stop (task->options.loop, &task->batch_timer);
-  keep_entries (task, task->generation + 1);
+  retain_entries (task, task->generation + 1);
   struct quota_peer *peer = task->peers;
   HASH_CLEAR (hh, task->peers);
   while (peer != NULL)
--- a/node/quota/quota_task.h
+++ b/node/quota/quota_task.h
@@ -1,11 +1,12 @@
 /** @file
- * The quotas of workspaces over the whole fleet: lends this host's share to a
- * keeper, asks keepers for the tokens that requests here want, and is a keeper
- * itself where it is chosen.  policy/quota/quota_limit.h says why no more runs
- * than may.
+ * Enforces the quotas of workspaces over the whole fleet: leases this host's
+ * share to a coordinator, requests tokens from coordinators for the requests
+ * that this host serves, and acts as a coordinator if this host is
+ * selected.  policy/quota/quota_limit.h explains why no more requests run than
+ * the quota allows.
  *
- * It obeys BUS_QUOTA_REQUESTED, answers with BUS_QUOTA_GRANTED, and learns
- * limits from BUS_CONFIG_IN_FORCE.
+ * It handles BUS_QUOTA_REQUESTED, posts BUS_QUOTA_GRANTED in response, and
+ * takes the limits from BUS_CONFIG_IN_FORCE.
  */
 #ifndef NODE_QUOTA_QUOTA_TASK_H
 #define NODE_QUOTA_QUOTA_TASK_H
@@ -20,14 +21,14 @@
 struct quota_task;
 struct tables;
 
-/** What the task needs; all of it outlives the task. */
+/** The dependencies of the task, all of which must outlive it. */
 struct quota_task_options
 {
   struct ev_loop *loop;
   struct bus *bus;
   const struct host_settings *settings;
   struct counters *counters;
-  struct tables *tables; /**< operator's rows; NULL: none */
+  struct tables *tables; /**< registry of operator tables; may be NULL */
   struct quota_transport *transport;
 };
 
@@ -35,8 +36,8 @@
 quota_task_create (const struct quota_task_options *options);
 void quota_task_destroy (struct quota_task *task);
 
-/** MESSAGE, of type PEER_QUOTA_REQUEST or PEER_QUOTA_GRANT, came from host
- * FROM. */
+/** Handle MESSAGE, of type PEER_QUOTA_ASK or PEER_QUOTA_GRANT, received from
+ * host FROM. */
 void quota_task_receive (struct quota_task *task, const char *from,
                          const struct peer_message *message);
 
--- a/node/quota/quota_transport.h
+++ b/node/quota/quota_transport.h
@@ -1,5 +1,6 @@
 /** @file
- * How the quota task reaches other hosts; a test puts a fake here.
+ * Interface through which the quota task reaches other hosts; tests
+ * implement it with a fake.
  */
 #ifndef NODE_QUOTA_QUOTA_TRANSPORT_H
 #define NODE_QUOTA_QUOTA_TRANSPORT_H
@@ -20,19 +21,20 @@
 
 struct quota_transport_ops
 {
-  /** Send MESSAGE to host TO; STATUS_OK means queued. */
+  /** Send MESSAGE to host TO.
+   * @return STATUS_OK if it was queued */
   enum status (*send) (struct quota_transport *transport, const char *to,
                        const struct peer_message *message);
-  /** The hosts that keep quotas, that of this host's own data centre first.
-   * Names are good until the next BUS_MEMBERS.
-   * @return how many were written to NAMES */
+  /** Get the quota coordinators, that of this host's data centre first.  The
+   * names are valid until the next BUS_MEMBERS.
+   * @return the number of names written to NAMES */
   size_t (*coordinators) (struct quota_transport *transport,
                           const char *names[QUOTA_COORDINATORS_MAX]);
-  /** How many hosts the platform's list shows; 0: it isn't known yet. */
+  /** The number of hosts in the platform's list; 0: not known yet. */
   uint32_t (*known_hosts) (struct quota_transport *transport);
 };
 
-/** Embedded first in each implementation. */
+/** Base of the implementations, which have it as their first member. */
 struct quota_transport
 {
   const struct quota_transport_ops *ops;
--- a/node/quota/tests/quota_messages_test.cc
+++ b/node/quota/tests/quota_messages_test.cc
@@ -1,5 +1,5 @@
-/* What holders and keepers tell each other, as bytes that another host may
-   have made. */
+/* Encoding and parsing of quota messages, including malformed ones from other
+   hosts. */
 #include <memory>
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   }
 };
 
-TEST (QuotaMessages, AReportComesBackEqual)
+TEST (QuotaMessages, ReportSurvivesEncoding)
 {
   const auto sent = std::make_unique<quota_report> ();
   const auto read = std::make_unique<quota_report> ();
@@ -34,9 +34,9 @@
   sent->row_count = 2;
   sent->rows[0] = { UINT64_MAX, 3, 2, 150, 900 };
   sent->rows[1] = { 1, 0, 0, 0, 0 };
-  Values held;
+  Values owned;
   const peer_message message
-      = quota_report_message (PEER_QUOTA_REQUEST, sent.get (), &held.values);
+      = quota_report_message (PEER_QUOTA_ASK, sent.get (), &owned.values);
   size_t size;
   char *bytes = peer_message_encode (&message, &size);
   peer_message decoded;
@@ -56,7 +56,7 @@
   EXPECT_EQ (read->rows[1].workspace, 1u);
 }
 
-TEST (QuotaMessages, OtherFormsAreRefused)
+TEST (QuotaMessages, MalformedReportsAreRefused)
 {
   const auto read = std::make_unique<quota_report> ();
   int64_t values[12] = {};
@@ -77,7 +77,7 @@
     }
 }
 
-TEST (QuotaMessages, AnyNumbersAreReadWithinBounds)
+TEST (QuotaMessages, RandomNumbersAreReadWithinBounds)
 {
   const auto read = std::make_unique<quota_report> ();
   rng random;
--- a/node/quota/tests/quota_task_test.cc
+++ b/node/quota/tests/quota_task_test.cc
@@ -1,4 +1,5 @@
-/* Quota tasks of several hosts, over a network that the test commands. */
+/* Quota tasks of several hosts in one process, connected by a simulated
+   network. */
 #include <algorithm>
 #include <functional>
 #include <map>
@@ -27,8 +28,8 @@
   quota_transport transport; /* first */
   Fleet *fleet;
   std::string name;
-  std::vector<std::string> coordinators; /**< its own data centre's first */
-  uint32_t known = 0;
+  std::vector<std::string> coordinators; /**< that of its data centre first */
+  uint32_t known_host_count = 0;
   host_settings settings;
   struct bus *bus = nullptr;
   struct counters *counters = nullptr;
@@ -46,7 +47,7 @@
   }
 };
 
-/* A message between hosts that is on its way. */
+/* A message in transit between hosts. */
 struct Packet
 {
   Packet () = default;
@@ -62,7 +63,7 @@
   std::string from;
   char *bytes = nullptr;
   size_t size = 0;
-  ev_timer due;
+  ev_timer arrival;
 };
 
 class Fleet : public testing::Test
@@ -73,10 +74,10 @@
     const log_options quiet = { LOG_LEVEL_ERROR, false, 0, 0, 0 };
     log_configure (&quiet);
     loop = ev_loop_new (EVFLAG_AUTO);
-    /* What the test itself does next is done in time. */
+    /* Wakes the loop, so that the conditions of the test are checked often. */
     ev_timer_init (
-        &tick, [] (struct ev_loop *, ev_timer *, int) {}, 0.005, 0.005);
-    ev_timer_start (loop, &tick);
+        &wake_timer, [] (struct ev_loop *, ev_timer *, int) {}, 0.005, 0.005);
+    ev_timer_start (loop, &wake_timer);
   }
 
   ~Fleet () override
@@ -88,8 +89,8 @@
         counters_destroy (host->counters);
       }
     for (const auto &packet : packets)
-      ev_timer_stop (loop, &packet->due);
-    ev_timer_stop (loop, &tick);
+      ev_timer_stop (loop, &packet->arrival);
+    ev_timer_stop (loop, &wake_timer);
     ev_loop_destroy (loop);
   }
 
@@ -122,11 +123,11 @@
         = { loop,          host.bus, &host.settings,
             host.counters, nullptr,  &host.transport };
     host.task = quota_task_create (&options);
-    tell_config (host);
+    post_config (host);
   }
 
   void
-  tell_config (Host &host)
+  post_config (Host &host)
   {
     const std::string text
         = "{\"version\":1,\"workspaces\":[{\"name\":\"june\",\"rate_per_s\":"
@@ -142,7 +143,7 @@
   }
 
   void
-  want (Host &host, uint32_t tokens, const std::string &workspace = "june")
+  request (Host &host, uint32_t tokens, const std::string &workspace = "june")
   {
     bus_message message = {};
     message.topic = BUS_QUOTA_REQUESTED;
@@ -152,20 +153,20 @@
   }
 
   bool
-  until (const std::function<bool ()> &is_met)
+  run_until (const std::function<bool ()> &condition)
   {
     const double limit = ev_now (loop) + 20;
-    while (!is_met () && ev_now (loop) < limit)
+    while (!condition () && ev_now (loop) < limit)
       ev_run (loop, EVRUN_ONCE);
-    return is_met ();
+    return condition ();
   }
 
   void
-  turn_for (double seconds)
+  run_for (double seconds)
   {
     ev_now_update (loop);
     const double end = ev_now (loop) + seconds;
-    EXPECT_TRUE (until ([&] { return ev_now (loop) >= end; }));
+    EXPECT_TRUE (run_until ([&] { return ev_now (loop) >= end; }));
   }
 
   Host &
@@ -178,10 +179,10 @@
     return *hosts[0];
   }
 
-  /* Everybody wants more than there is, for SECONDS.
-     @return what all were granted together */
+  /* The hosts of NAMES request more than the quota for SECONDS.
+     @return the total of tokens granted to all hosts */
   uint64_t
-  want_all (double seconds, const std::vector<std::string> &names)
+  request_all (double seconds, const std::vector<std::string> &names)
   {
     uint64_t before = 0;
     for (const auto &each : hosts)
@@ -189,12 +190,12 @@
     ev_now_update (loop);
     const double end = ev_now (loop) + seconds;
     double next = 0;
-    EXPECT_TRUE (until ([&] {
+    EXPECT_TRUE (run_until ([&] {
       if (ev_now (loop) >= next)
         {
           next = ev_now (loop) + 0.02;
           for (const std::string &name : names)
-            want (host (name), 50);
+            request (host (name), 50);
         }
       return ev_now (loop) >= end;
     }));
@@ -211,7 +212,8 @@
     auto *from = (Host *)transport;
     Fleet *fleet = from->fleet;
     fleet->sent++;
-    if (fleet->cut.count (from->name) != 0 || fleet->cut.count (to) != 0)
+    if (fleet->partitioned.count (from->name) != 0
+        || fleet->partitioned.count (to) != 0)
       return STATUS_OK;
     for (auto &each : fleet->hosts)
       if (each->name == to && each->task != nullptr)
@@ -219,8 +221,8 @@
     return STATUS_OK;
   }
 
-  /* A copy, delivered from the loop.  What is still on its way when a test
-     ends is dropped with the fleet. */
+  /* Delivers a copy of MESSAGE from the loop.  Packets in transit at the end
+     of a test are dropped with the fleet. */
   void
   deliver (const std::string &from, Host &to, const peer_message *message)
   {
@@ -230,15 +232,15 @@
     packet.to = &to;
     packet.from = from;
     packet.bytes = peer_message_encode (message, &packet.size);
-    ev_timer_init (&packet.due, arrive, 0.0005, 0);
-    packet.due.data = &packet;
-    ev_timer_start (loop, &packet.due);
+    ev_timer_init (&packet.arrival, arrive, 0.0005, 0);
+    packet.arrival.data = &packet;
+    ev_timer_start (loop, &packet.arrival);
   }
 
   static void
-  arrive (struct ev_loop *, ev_timer *due, int)
+  arrive (struct ev_loop *, ev_timer *arrival, int)
   {
-    auto *packet = static_cast<Packet *> (due->data);
+    auto *packet = static_cast<Packet *> (arrival->data);
     peer_message decoded;
     if (packet->to->task != nullptr
         && peer_message_decode (packet->bytes, packet->size, &decoded)
@@ -267,13 +269,13 @@
   static uint32_t
   known_hosts (quota_transport *transport)
   {
-    return ((Host *)transport)->known;
+    return ((Host *)transport)->known_host_count;
   }
 
   static constexpr quota_transport_ops ops
       = { send, coordinators, known_hosts };
 
-  /* Six hosts of two data centres. */
+  /* Starts six hosts in two data centres. */
   void
   start_six ()
   {
@@ -282,116 +284,118 @@
     for (const char *name : { "b1", "b2", "b3" })
       add (name, { "b1", "a1" });
     for (auto &each : hosts)
-      each->known = 6;
+      each->known_host_count = 6;
   }
 
   struct ev_loop *loop;
-  ev_timer tick;
+  ev_timer wake_timer;
   std::vector<std::unique_ptr<Host>> hosts;
-  std::vector<std::unique_ptr<Packet>> packets; /**< on their way */
-  std::set<std::string> cut;
+  std::vector<std::unique_ptr<Packet>> packets; /**< in transit */
+  std::set<std::string> partitioned;
   int rate = 100;
   int burst = 10;
   uint64_t sent = 0;
 };
 
-TEST_F (Fleet, AHostAloneHasAllOfTheQuota)
+TEST_F (Fleet, SingleHostGetsTheWholeQuota)
 {
   add ("a1", { "a1" });
-  host ("a1").known = 1;
-  turn_for (1.5);
-  const uint64_t granted = want_all (2, { "a1" });
+  host ("a1").known_host_count = 1;
+  run_for (1.5);
+  const uint64_t granted = request_all (2, { "a1" });
   EXPECT_GE (granted, 190u);
   EXPECT_LE (granted, 240u);
 }
 
-/* The workspace's requests come to one host of six.  It has the quota of the
-   whole fleet, though each of the others has a sixth of it. */
-TEST_F (Fleet, OneBusyHostHasTheQuotaOfAll)
+/* All requests of the workspace arrive at one of six hosts.  It gets the quota
+   of the whole fleet, although each host has a sixth of it. */
+TEST_F (Fleet, OneBusyHostGetsTheWholeQuota)
 {
   start_six ();
-  turn_for (1.5);
-  const uint64_t granted = want_all (3, { "a2" });
+  run_for (1.5);
+  const uint64_t granted = request_all (3, { "a2" });
   EXPECT_GE (granted, 250u);
   EXPECT_LE (granted, 300u + 10 + 20 + 10);
 }
 
-TEST_F (Fleet, AllTogetherHaveNoMoreThanTheQuota)
+TEST_F (Fleet, AllHostsTogetherStayWithinTheQuota)
 {
   start_six ();
-  turn_for (1.5);
+  run_for (1.5);
   const uint64_t granted
-      = want_all (3, { "a1", "a2", "a3", "b1", "b2", "b3" });
+      = request_all (3, { "a1", "a2", "a3", "b1", "b2", "b3" });
   EXPECT_GE (granted, 280u);
   EXPECT_LE (granted, 300u + 10 + 20 + 10);
 }
 
-/* The keeper of a data centre is gone, and nobody has noticed yet. */
-TEST_F (Fleet, TheOtherKeeperIsAskedWhenOneIsSilent)
+/* A coordinator has failed, but the coordinator list still contains it. */
+TEST_F (Fleet, UnresponsiveCoordinatorIsReplacedByTheOther)
 {
   start_six ();
-  turn_for (1.5);
-  cut.insert ("a1");
-  turn_for (0.7);
+  run_for (1.5);
+  partitioned.insert ("a1");
+  run_for (0.7);
   const uint64_t before = host ("a2").tokens ("june");
-  want_all (1, { "a2" });
+  request_all (1, { "a2" });
   EXPECT_GT (host ("a2").tokens ("june"), before + 40);
 }
 
-/* A host that is cut off from all others, whom it believes to be gone, has its
-   own share and no more; the rest have theirs. */
-TEST_F (Fleet, WhoIsCutOffHasItsOwnShareOnly)
+/* A partitioned host whose view contains only itself gets its own share and no
+   more; the other hosts get theirs. */
+TEST_F (Fleet, PartitionedHostGetsOnlyItsOwnShare)
 {
   start_six ();
-  turn_for (1.5);
-  cut.insert ("a3");
+  run_for (1.5);
+  partitioned.insert ("a3");
   host ("a3").coordinators = { "a3" };
-  turn_for (1);
-  const uint64_t alone = want_all (3, { "a3" });
+  run_for (1);
+  const uint64_t alone = request_all (3, { "a3" });
   EXPECT_LE (alone, 3 * 100 / 6 + 10);
   EXPECT_GE (alone, 40u);
-  const uint64_t all = want_all (3, { "a1", "a2", "a3", "b1", "b2", "b3" });
+  const uint64_t all = request_all (3, { "a1", "a2", "a3", "b1", "b2", "b3" });
   EXPECT_LE (all, 300u + 10 + 20 + 10);
 }
 
-/* A host starts while the platform is away, and knows nobody.  Were it to take
-   itself for the whole fleet, the workspace would have its quota twice. */
-TEST_F (Fleet, WhoDoesntKnowTheFleetHasNothing)
+/* A host starts while the platform is unavailable, and doesn't know the number
+   of hosts.  If it assumed that it is the only one, the workspace would get
+   its quota twice. */
+TEST_F (Fleet, HostWithUnknownFleetSizeGetsNothing)
 {
   add ("a1", { "a1" });
-  turn_for (1.7);
-  EXPECT_EQ (want_all (0.5, { "a1" }), 0u);
-  host ("a1").known = 1;
-  EXPECT_GT (want_all (1, { "a1" }), 50u);
+  run_for (1.7);
+  EXPECT_EQ (request_all (0.5, { "a1" }), 0u);
+  host ("a1").known_host_count = 1;
+  EXPECT_GT (request_all (1, { "a1" }), 50u);
 }
 
-/* The operator lowers a quota while its workspace is at the old one. */
-TEST_F (Fleet, ALowerQuotaHoldsAtOnce)
+/* The operator lowers a quota while its workspace uses all of the old one. */
+TEST_F (Fleet, LoweredQuotaTakesEffectAtOnce)
 {
   start_six ();
-  turn_for (1.5);
-  want_all (0.5, { "a2", "b2" });
+  run_for (1.5);
+  request_all (0.5, { "a2", "b2" });
   rate = 10;
   burst = 5;
   for (auto &each : hosts)
-    tell_config (*each);
-  turn_for (0.5);
-  EXPECT_LE (want_all (3, { "a2", "b2" }), 30u + 5 + 20 + 5);
+    post_config (*each);
+  run_for (0.5);
+  EXPECT_LE (request_all (3, { "a2", "b2" }), 30u + 5 + 20 + 5);
 }
 
-/* All hosts are killed while a workspace uses all of its quota, and start
-   again at once: within any window that is no more than the quota. */
-TEST_F (Fleet, AStartOfAllBringsNoSecondQuota)
+/* All hosts are killed while a workspace uses all of its quota, and restart at
+   once.  The tokens granted before and after must stay within the quota of any
+   window. */
+TEST_F (Fleet, RestartOfAllHostsDoesntDoubleTheQuota)
 {
   start_six ();
-  turn_for (1.5);
-  uint64_t granted = want_all (2, { "a2", "b2" });
+  run_for (1.5);
+  uint64_t granted = request_all (2, { "a2", "b2" });
   for (auto &each : hosts)
     {
       quota_task_destroy (each->task);
       start (*each);
     }
-  granted += want_all (2, { "a2", "b2" });
+  granted += request_all (2, { "a2", "b2" });
   EXPECT_LE (granted, (400u + 10) * 1.1 + 20);
   EXPECT_GE (granted, 330u);
 }
@@ -399,20 +403,21 @@
 TEST_F (Fleet, NothingIsSentForWorkspacesWithoutAQuota)
 {
   start_six ();
-  want (host ("a2"), 5, "free");
-  turn_for (0.05);
+  request (host ("a2"), 5, "free");
+  run_for (0.05);
   EXPECT_TRUE (host ("a2").granted.empty ());
 }
 
-/* What goes over the network while nobody uses a quota. */
-TEST_F (Fleet, LoansAloneAreFewMessages)
+/* Counts the messages while no tokens are requested. */
+TEST_F (Fleet, LeaseRenewalsAreFewMessages)
 {
   start_six ();
-  turn_for (1);
+  run_for (1);
   const uint64_t before = sent;
-  turn_for (3);
-  /* Four hosts that aren't keepers, a question and an answer each. */
-  const double most = 3.0 / (QUOTA_RENEWAL_INTERVAL_MS / 1000.0) * 4 * 2;
-  EXPECT_LE ((double)(sent - before), most * 1.1);
+  run_for (3);
+  /* Four hosts that aren't coordinators, a request and a response each. */
+  const double max_messages
+      = 3.0 / (QUOTA_RENEWAL_INTERVAL_MS / 1000.0) * 4 * 2;
+  EXPECT_LE ((double)(sent - before), max_messages * 1.1);
 }
 } // namespace
