--- a/node/ejection/control_ejection.h
+++ b/node/ejection/control_ejection.h
@@ -1,5 +1,5 @@
 /** @file
- * The ejection task's messages over the fleet's peer links.
+ * Transport of the ejection task over the peer links of the control task.
  */
 #ifndef NODE_EJECTION_CONTROL_EJECTION_H
 #define NODE_EJECTION_CONTROL_EJECTION_H
@@ -14,11 +14,11 @@
   struct control_task *control;
 };
 
-/** Send through CONTROL. */
+/** Use CONTROL to send messages. */
 void control_ejection_init (struct control_ejection *transport,
                             struct control_task *control);
 
-/** Hand what CONTROL receives to TASK. */
+/** Deliver the ejection messages that CONTROL receives to TASK. */
 void control_ejection_deliver (struct control_ejection *transport,
                                struct ejection_task *task);
 
--- a/node/ejection/ejection_calls.c
+++ b/node/ejection/ejection_calls.c
@@ -25,7 +25,8 @@
 }
 
 static void
-hand_over (struct ejection_service *service, const struct floor_reply *reply)
+complete_call (struct ejection_service *service,
+               const struct floor_reply *reply)
 {
   service->why = "record";
   floor_owner_handle_reply (service->owner, ejection_now_ms (service->task),
@@ -45,7 +46,7 @@
             LOG_STR ("why", reply->message));
 }
 
-/* A record that can't be read tells nothing: as if no answer had come. */
+/* A record that can't be parsed is treated like a lost answer. */
 static void
 on_read (void *owner, const struct platform_reply *reply)
 {
@@ -67,7 +68,7 @@
           result.status = FLOOR_REPLY_UNKNOWN;
         }
     }
-  hand_over (service, &result);
+  complete_call (service, &result);
   floor_record_clear (&record);
 }
 
@@ -81,7 +82,7 @@
     result.version = reply->objects[0].version;
   else if (reply->status == STATUS_OK || reply->status == STATUS_NOT_FOUND)
     result.status = FLOOR_REPLY_UNKNOWN;
-  hand_over (service, &result);
+  complete_call (service, &result);
 }
 
 static void
--- a/node/ejection/ejection_command.c
+++ b/node/ejection/ejection_command.c
@@ -16,32 +16,35 @@
 enum
 {
   MESSAGE_SIZE = 256,
-  /* Time to write and to read back after a lost answer. */
-  WRITES_WAITED = 3,
+  /* Timeout of a command in platform calls: enough for a write, and for a
+     read after a lost answer. */
+  TIMEOUT_PLATFORM_CALLS = 3,
 };
 
 static const char *const reason_messages[EJECTION_REASON_COUNT] = {
   [EJECTION_REASON_NONE] = "done",
   [EJECTION_REASON_BELOW_FLOOR]
-  = "it would breach the floor, or an earlier owner may still hold targets "
-    "out; reinstate another target, lower the floor, or wait",
+  = "it would breach the floor, or an earlier owner may still have targets "
+    "ejected; reinstate another target, lower the floor, or wait",
   [EJECTION_REASON_NO_SUCH_TARGET]
-  = "the service has no such target that takes work; look at its targets",
+  = "the service has no such active target; check its targets",
   [EJECTION_REASON_NOT_EJECTED]
-  = "the target isn't ejected; look at the ejections",
+  = "the target isn't ejected; check the ejections",
   [EJECTION_REASON_VERSION_CHANGED]
-  = "the record of ejections has changed; look at it and send again",
+  = "the record of ejections has changed; check it and send the command again",
   [EJECTION_REASON_NOT_OWNER]
   = "no owner of the service's ejections can be reached from this host; "
     "wait for one or ask another host",
   [EJECTION_REASON_SETTINGS_BEHIND]
-  = "the owner hasn't got the newest settings yet; send again soon",
+  = "the owner doesn't have the newest settings yet; send the command again "
+    "soon",
   [EJECTION_REASON_UNCONFIRMED]
-  = "the owner took it up but the platform didn't confirm it; look at the "
-    "ejections before sending again",
+  = "the owner accepted it but the platform didn't confirm it; check the "
+    "ejections before sending it again",
   [EJECTION_REASON_NO_SUCH_SERVICE]
-  = "no such service is in force here; look at the services",
-  [EJECTION_REASON_BUSY] = "too many commands are under way; send again soon",
+  = "no such service is in force here; check the services",
+  [EJECTION_REASON_BUSY]
+  = "too many commands are in progress; send it again soon",
 };
 
 static void
@@ -66,7 +69,7 @@
 }
 
 static enum ejection_reason
-refusal (enum floor_eject_result verdict)
+refusal_reason (enum floor_eject_result verdict)
 {
   switch (verdict)
     {
@@ -90,15 +93,16 @@
   const int64_t now_ms = ejection_now_ms (service->task);
   service->why = "operator";
   if (command->verb == OPERATOR_EJECT)
-    return refusal (floor_owner_eject (service->owner, now_ms, command->target,
-                                       UINT32_MAX, true));
+    return refusal_reason (floor_owner_eject (
+        service->owner, now_ms, command->target, UINT32_MAX, true));
   return floor_owner_reinstate (service->owner, now_ms, command->target, true)
              ? EJECTION_REASON_NONE
              : EJECTION_REASON_NOT_EJECTED;
 }
 
 static void
-start_here (struct ejection_service *service, struct ejection_command *command)
+start_locally (struct ejection_service *service,
+               struct ejection_command *command)
 {
   struct ejection_task *task = service->task;
   const uint64_t version = floor_owner_version (service->owner);
@@ -120,10 +124,10 @@
 }
 
 static void
-pass_on (struct ejection_service *service, struct ejection_command *command)
+forward (struct ejection_service *service, struct ejection_command *command)
 {
   struct ejection_task *task = service->task;
-  const struct ejection_command_message order
+  const struct ejection_command_message message
       = { .kind = EJECTION_COMMAND,
           .service = service->name,
           .target = command->command.target,
@@ -135,13 +139,13 @@
   if (command->forwarded_to[0] == '\0'
       || strcmp (command->forwarded_to, task->options.settings->name) == 0
       || ejection_send_command_message (task->options.transport,
-                                        command->forwarded_to, &order)
+                                        command->forwarded_to, &message)
              != STATUS_OK)
     finish (task, command, STATUS_UNREACHABLE, EJECTION_REASON_NOT_OWNER);
 }
 
 static void
-start (struct ejection_task *task, struct ejection_command *command)
+start_command (struct ejection_task *task, struct ejection_command *command)
 {
   struct ejection_service *service
       = ejection_find_service (task, command->command.service);
@@ -150,22 +154,23 @@
   else if (service == NULL || service->spec == NULL)
     finish (task, command, STATUS_NOT_FOUND, EJECTION_REASON_NO_SUCH_SERVICE);
   else if (service->role == FLOOR_ROLE_OWNER)
-    start_here (service, command);
+    start_locally (service, command);
   else if (command->done != NULL)
-    pass_on (service, command);
+    forward (service, command);
   else
     finish (task, command, STATUS_REFUSED, EJECTION_REASON_NOT_OWNER);
 }
 
 static struct ejection_command *
-add (struct ejection_task *task, const struct operator_command *command)
+add_command (struct ejection_task *task,
+             const struct operator_command *command)
 {
   struct ejection_command *added = xcalloc (1, sizeof *added);
   added->command = *command;
   added->id = ++task->command_id;
   added->expires_ms
       = ejection_now_ms (task)
-        + (int64_t)WRITES_WAITED
+        + (int64_t)TIMEOUT_PLATFORM_CALLS
               * task->options.settings->times.platform_timeout_ms;
   DL_APPEND (task->commands, added);
   task->command_count++;
@@ -173,7 +178,7 @@
 }
 
 static void
-drop (struct ejection_task *task, struct ejection_command *command)
+remove_command (struct ejection_task *task, struct ejection_command *command)
 {
   DL_DELETE (task->commands, command);
   task->command_count--;
@@ -185,10 +190,10 @@
                        const struct operator_command *command,
                        operator_result_done *done, void *owner)
 {
-  struct ejection_command *added = add (task, command);
+  struct ejection_command *added = add_command (task, command);
   added->done = done;
   added->owner = owner;
-  start (task, added);
+  start_command (task, added);
 }
 
 void
@@ -199,7 +204,7 @@
   DL_FOREACH_SAFE (task->commands, command, next)
   {
     if (command->done != NULL && command->owner == owner)
-      drop (task, command);
+      remove_command (task, command);
   }
 }
 
@@ -210,81 +215,84 @@
   struct ejection_command *next;
   DL_FOREACH_SAFE (task->commands, command, next)
   {
-    drop (task, command);
+    remove_command (task, command);
   }
 }
 
 static void
-take_order (struct ejection_task *task, const char *from,
-            const struct ejection_command_message *order)
+receive_command (struct ejection_task *task, const char *from,
+                 const struct ejection_command_message *message)
 {
   struct operator_command command
-      = { .verb = (enum operator_verb)order->verb, .version = order->version };
-  if (order->verb != OPERATOR_EJECT && order->verb != OPERATOR_REINSTATE)
+      = { .verb = (enum operator_verb)message->verb,
+          .version = message->version };
+  if (message->verb != OPERATOR_EJECT && message->verb != OPERATOR_REINSTATE)
     return;
-  snprintf (command.service, sizeof command.service, "%s", order->service);
-  snprintf (command.target, sizeof command.target, "%s", order->target);
-  struct ejection_command *added = add (task, &command);
+  snprintf (command.service, sizeof command.service, "%s", message->service);
+  snprintf (command.target, sizeof command.target, "%s", message->target);
+  struct ejection_command *added = add_command (task, &command);
   snprintf (added->from, sizeof added->from, "%s", from);
-  added->from_id = order->id;
-  start (task, added);
+  added->from_id = message->id;
+  start_command (task, added);
 }
 
-/* Only the host that was asked may end a command, and only that one. */
+/* Only the host to which a command was forwarded may end it. */
 static void
-take_result (struct ejection_task *task, const char *from,
-             const struct ejection_command_message *order)
+receive_result (struct ejection_task *task, const char *from,
+                const struct ejection_command_message *message)
 {
   struct ejection_command *command;
   DL_FOREACH (task->commands, command)
   {
-    if (command->id != order->id || command->is_ended
+    if (command->id != message->id || command->is_ended
         || strcmp (command->forwarded_to, from) != 0)
       continue;
-    if (order->status < STATUS_OK || order->status > STATUS_SYSTEM
-        || order->reason < 0 || order->reason >= EJECTION_REASON_COUNT)
+    if (message->status < STATUS_OK || message->status > STATUS_SYSTEM
+        || message->reason < 0 || message->reason >= EJECTION_REASON_COUNT)
       return;
-    command->version = order->version;
-    finish (task, command, (enum status)order->status,
-            (enum ejection_reason)order->reason);
+    command->version = message->version;
+    finish (task, command, (enum status)message->status,
+            (enum ejection_reason)message->reason);
     return;
   }
 }
 
 void
 ejection_command_receive (struct ejection_task *task, const char *from,
-                          const struct ejection_command_message *order)
+                          const struct ejection_command_message *message)
 {
-  if (order->kind == EJECTION_COMMAND)
-    take_order (task, from, order);
+  if (message->kind == EJECTION_COMMAND)
+    receive_command (task, from, message);
   else
-    take_result (task, from, order);
+    receive_result (task, from, message);
 }
 
 static bool
-is_out (const struct floor_record *record,
-        const struct operator_command *command)
+is_ejected (const struct floor_record *record,
+            const struct operator_command *command)
 {
   const struct floor_claim *claim
       = floor_record_find (record, command->target);
   return claim != NULL && claim->state != FLOOR_CLAIM_RELEASING;
 }
 
-/* A command has taken effect once the platform's record shows it. */
+/* A command is complete when the record at the platform contains it. */
 static void
-look_at (struct ejection_task *task, struct ejection_command *command)
+check_completion (struct ejection_task *task, struct ejection_command *command)
 {
   const struct ejection_service *service
       = ejection_find_service (task, command->command.service);
   const bool is_owner = service != NULL && service->role == FLOOR_ROLE_OWNER;
   if (is_owner && command->is_started)
     {
-      const bool wanted = command->command.verb == OPERATOR_EJECT;
-      if (is_out (floor_owner_known_record (service->owner), &command->command)
-          == wanted)
+      const bool should_be_ejected = command->command.verb == OPERATOR_EJECT;
+      if (is_ejected (floor_owner_known_record (service->owner),
+                      &command->command)
+          == should_be_ejected)
         finish (task, command, STATUS_OK, EJECTION_REASON_NONE);
-      else if (is_out (floor_owner_claims (service->owner), &command->command)
-               != wanted)
+      else if (is_ejected (floor_owner_claims (service->owner),
+                           &command->command)
+               != should_be_ejected)
         finish (task, command, STATUS_REFUSED, EJECTION_REASON_BELOW_FLOOR);
     }
   else if (command->is_started)
@@ -300,16 +308,16 @@
   DL_FOREACH (task->commands, command)
   {
     if (!command->is_ended)
-      look_at (task, command);
+      check_completion (task, command);
   }
 }
 
 static void
-answer_here (const struct ejection_command *command)
+call_back (const struct ejection_command *command)
 {
-  char message[MESSAGE_SIZE];
+  char text[MESSAGE_SIZE];
   char changed[MESSAGE_SIZE];
-  snprintf (message, sizeof message, "%s of %s in %s: %s",
+  snprintf (text, sizeof text, "%s of %s in %s: %s",
             operator_verb_name (command->command.verb),
             command->command.target, command->command.service,
             reason_messages[command->reason]);
@@ -319,7 +327,7 @@
   const bool is_race = command->reason == EJECTION_REASON_VERSION_CHANGED;
   const struct operator_result result
       = { .status = command->status,
-          .message = message,
+          .message = text,
           .acted_on_version = command->acted_on_version,
           .version = command->version,
           .changed = is_race ? changed : NULL };
@@ -327,10 +335,10 @@
 }
 
 static void
-answer_remote (struct ejection_task *task,
-               const struct ejection_command *command)
+send_result (struct ejection_task *task,
+             const struct ejection_command *command)
 {
-  const struct ejection_command_message order
+  const struct ejection_command_message message
       = { .kind = EJECTION_RESULT,
           .service = command->command.service,
           .target = command->command.target,
@@ -340,12 +348,12 @@
           .status = (int)command->status,
           .reason = (int)command->reason };
   ejection_send_command_message (task->options.transport, command->from,
-                                 &order);
+                                 &message);
 }
 
-/* Take the first ended command off the list. */
+/* Remove the first ended command from the list. */
 static bool
-take_ended (struct ejection_task *task, struct ejection_command *ended)
+remove_ended (struct ejection_task *task, struct ejection_command *ended)
 {
   struct ejection_command *command;
   DL_FOREACH (task->commands, command)
@@ -353,7 +361,7 @@
     if (!command->is_ended)
       continue;
     *ended = *command;
-    drop (task, command);
+    remove_command (task, command);
     return true;
   }
   return false;
@@ -363,11 +371,11 @@
 ejection_commands_complete (struct ejection_task *task)
 {
   struct ejection_command ended;
-  while (take_ended (task, &ended))
+  while (remove_ended (task, &ended))
     {
       if (ended.done != NULL)
-        answer_here (&ended);
+        call_back (&ended);
       else
-        answer_remote (task, &ended);
+        send_result (task, &ended);
     }
 }
--- a/node/ejection/ejection_detect.c
+++ b/node/ejection/ejection_detect.c
@@ -90,7 +90,7 @@
   free (now.names);
 }
 
-/* One line for a refusal, not one for each step that repeats it. */
+/* Log a refusal once, not at each step that repeats it. */
 static void
 log_refusal (struct ejection_service *service, uint64_t key,
              const char *target, enum floor_eject_result verdict)
@@ -155,28 +155,29 @@
 }
 
 static void
-probe (struct ejection_service *service, uint64_t key)
+start_probe (struct ejection_service *service, uint64_t key)
 {
   const char *name = ejection_target_name (service, key);
-  size_t room = EJECTION_PROBES_MAX;
+  size_t free_index = EJECTION_PROBES_MAX;
   for (size_t i = 0; i < EJECTION_PROBES_MAX; i++)
     {
       if (service->probes[i] != NULL && service->probe_keys[i] == key)
         return;
       if (service->probes[i] == NULL)
-        room = i;
+        free_index = i;
     }
-  if (name == NULL || room == EJECTION_PROBES_MAX)
+  if (name == NULL || free_index == EJECTION_PROBES_MAX)
     return;
   const struct target_spec *target = service_spec_target (service->spec, name);
-  service->probe_keys[room] = key;
-  service->probes[room] = target_probe_start (
+  service->probe_keys[free_index] = key;
+  service->probes[free_index] = target_probe_start (
       service->task->options.loop, target->address,
       service->spec->limits.connect_timeout_ms, on_probed, service);
 }
 
-/* The detector's arrays hold until its next step, which carrying out its
-   decisions doesn't take; ejections may change the decision told, no more. */
+/* The detector's arrays are valid until its next step.  Carrying out the
+   decisions doesn't cause one: ejections only change the announced
+   decision. */
 void
 ejection_detect (struct ejection_service *service)
 {
@@ -188,5 +189,5 @@
   for (size_t i = 0; i < decisions.reinstate_count; i++)
     reinstate (service, decisions.reinstate[i]);
   for (size_t i = 0; i < decisions.probe_count; i++)
-    probe (service, decisions.probe[i]);
+    start_probe (service, decisions.probe[i]);
 }
--- a/node/ejection/ejection_enforce.c
+++ b/node/ejection/ejection_enforce.c
@@ -15,8 +15,10 @@
   PERMILLE = 1000,
 };
 
+/* Whether this host currently lets requests through to TARGET, which is on
+   trial for a share of the time. */
 static bool
-lets_through (const struct ejection_service *service, const char *target)
+is_let_through (const struct ejection_service *service, const char *target)
 {
   const struct ejection_task *task = service->task;
   for (size_t i = 0; i < service->trial_count; i++)
@@ -26,24 +28,25 @@
         continue;
       const uint64_t slice
           = (uint64_t)ejection_now_ms (task) / EJECTION_TRIAL_SLICE_MS;
-      const uint64_t place = hash_pair (
+      const uint64_t offset = hash_pair (
           hash_string (task->options.settings->name), hash_string (target));
-      return hash_pair (place, slice) % PERMILLE < trial->share_permille;
+      return hash_pair (offset, slice) % PERMILLE < trial->share_permille;
     }
   return false;
 }
 
-/* What the caller side is told: the enforced set but for targets on trial
-   here and now.  Letting one through never breaches a floor. */
+/* The targets to post to the caller task: the enforced set without targets
+   that are currently on trial at this host.  Letting requests through to a
+   target never breaches a floor. */
 static size_t
-effective (const struct ejection_service *service,
-           char (*names)[FLOOR_NAME_SIZE])
+effective_targets (const struct ejection_service *service,
+                   char (*names)[FLOOR_NAME_SIZE])
 {
   const char (*targets)[FLOOR_NAME_SIZE];
   const size_t count = floor_view_targets (service->view, &targets);
   size_t used = 0;
   for (size_t i = 0; i < count; i++)
-    if (!lets_through (service, targets[i]))
+    if (!is_let_through (service, targets[i]))
       memcpy (names[used++], targets[i], FLOOR_NAME_SIZE);
   return used;
 }
@@ -52,11 +55,11 @@
 ejection_service_post_enforced (struct ejection_service *service)
 {
   const char (*targets)[FLOOR_NAME_SIZE];
-  const size_t most = floor_view_targets (service->view, &targets);
-  if (most == 0 && service->posted.count == 0)
+  const size_t max_count = floor_view_targets (service->view, &targets);
+  if (max_count == 0 && service->posted.count == 0)
     return;
-  char (*names)[FLOOR_NAME_SIZE] = xcalloc (most + 1, sizeof *names);
-  const size_t count = effective (service, names);
+  char (*names)[FLOOR_NAME_SIZE] = xcalloc (max_count + 1, sizeof *names);
+  const size_t count = effective_targets (service, names);
   const bool same
       = count == service->posted.count
         && (count == 0
@@ -79,25 +82,24 @@
 }
 
 static void
-take_trials (struct ejection_service *service,
-             const struct ejection_notice *news)
+update_trials (struct ejection_service *service,
+               const struct ejection_notice *notice)
 {
-  service->trials = xreallocarray (service->trials, news->count + 1,
+  service->trials = xreallocarray (service->trials, notice->count + 1,
                                    sizeof *service->trials);
   service->trial_count = 0;
-  for (size_t i = 0; i < news->count; i++)
+  for (size_t i = 0; i < notice->count; i++)
     {
-      if (news->trial_permille[i] == 0)
+      if (notice->trial_permille[i] == 0)
         continue;
       struct ejection_trial *trial = &service->trials[service->trial_count++];
-      memcpy (trial->target, news->names[i], sizeof trial->target);
-      trial->share_permille = news->trial_permille[i];
+      memcpy (trial->target, notice->names[i], sizeof trial->target);
+      trial->share_permille = notice->trial_permille[i];
     }
 }
 
 static void
-heard_owner (struct ejection_service *service, const char *name,
-             uint64_t epoch)
+note_owner (struct ejection_service *service, const char *name, uint64_t epoch)
 {
   if (strcmp (service->owner_name, name) != 0)
     LOG_INFO ("owner-known", LOG_STR ("service", service->name),
@@ -107,60 +109,61 @@
 }
 
 static void
-hear_decision (struct ejection_service *service, const char *from,
-               const struct ejection_notice *news)
+apply_decision (struct ejection_service *service, const char *from,
+                const struct ejection_notice *notice)
 {
-  if (news->epoch < floor_view_epoch (service->view))
+  if (notice->epoch < floor_view_epoch (service->view))
     return;
-  heard_owner (service, from, news->epoch);
-  /* An answer to a poll of the process that ran here before tells who owns
-     the service, but its clock isn't ours. */
-  if (news->incarnation != service->task->options.incarnation)
+  note_owner (service, from, notice->epoch);
+  /* The answer to a poll of this host's previous process names the owner, but
+     its times refer to the clock of that process. */
+  if (notice->incarnation != service->task->options.incarnation)
     return;
-  take_trials (service, news);
-  const struct floor_decision decision = { .epoch = news->epoch,
-                                           .sequence = news->sequence,
-                                           .enforce_ms = news->enforce_ms,
-                                           .targets = news->names,
-                                           .count = news->count };
+  update_trials (service, notice);
+  const struct floor_decision decision = { .epoch = notice->epoch,
+                                           .sequence = notice->sequence,
+                                           .enforce_ms = notice->enforce_ms,
+                                           .targets = notice->names,
+                                           .count = notice->count };
   floor_view_apply (service->view, ejection_now_ms (service->task),
-                    news->poll_ms, &decision);
+                    notice->poll_ms, &decision);
   ejection_service_post_enforced (service);
-  ejection_shares_receive (service, news);
+  ejection_shares_receive (service, notice);
 }
 
 void
 ejection_service_apply_own (struct ejection_service *service,
-                            const struct ejection_notice *news)
+                            const struct ejection_notice *notice)
 {
-  hear_decision (service, service->task->options.settings->name, news);
+  apply_decision (service, service->task->options.settings->name, notice);
 }
 
-/* Guards against owners taking turns for ever over a link that is cut between
-   just two hosts: the host asked isn't the owner but hears it, so it isn't
-   gone.  For how long that counts is bounded, see silence(). */
+/* The polled host isn't the owner but receives from it, so the owner is alive.
+   Without redirects, a link failure between just two hosts would make them
+   replace each other as owner again and again.  The time for which a redirect
+   counts is bounded, see owner_silence_ms(). */
 static void
-hear_redirect (struct ejection_service *service,
-               const struct ejection_notice *news)
+apply_redirect (struct ejection_service *service,
+                const struct ejection_notice *notice)
 {
-  if (news->count != 1 || news->epoch < floor_view_epoch (service->view))
+  if (notice->count != 1 || notice->epoch < floor_view_epoch (service->view))
     return;
-  floor_view_epoch_seen (service->view, news->epoch);
-  memcpy (service->owner_name, news->names[0], sizeof service->owner_name);
+  floor_view_epoch_seen (service->view, notice->epoch);
+  memcpy (service->owner_name, notice->names[0], sizeof service->owner_name);
   service->owner_reported_ms = ejection_now_ms (service->task);
 }
 
 static void
-hear_stopped (struct ejection_service *service, const char *from,
-              const struct ejection_notice *news)
+apply_stopped (struct ejection_service *service, const char *from,
+               const struct ejection_notice *notice)
 {
   floor_owner_predecessor_stopped (
-      service->owner, ejection_now_ms (service->task), news->epoch);
+      service->owner, ejection_now_ms (service->task), notice->epoch);
   if (strcmp (from, service->owner_name) != 0
-      || news->epoch < floor_view_epoch (service->view))
+      || notice->epoch < floor_view_epoch (service->view))
     return;
   LOG_INFO ("owner-stopped", LOG_STR ("service", service->name),
-            LOG_STR ("owner", from), LOG_INT ("epoch", news->epoch));
+            LOG_STR ("owner", from), LOG_INT ("epoch", notice->epoch));
   service->owner_name[0] = '\0';
   service->owner_seen_ms
       -= service->task->options.settings->times.owner_lease_ms;
@@ -169,15 +172,15 @@
 void
 ejection_service_receive_notice (struct ejection_service *service,
                                  const char *from,
-                                 const struct ejection_notice *news)
+                                 const struct ejection_notice *notice)
 {
   floor_owner_epoch_seen (service->owner, ejection_now_ms (service->task),
-                          news->epoch);
-  if (news->kind == EJECTION_DECISION)
-    hear_decision (service, from, news);
-  else if (news->kind == EJECTION_REDIRECT)
-    hear_redirect (service, news);
+                          notice->epoch);
+  if (notice->kind == EJECTION_DECISION)
+    apply_decision (service, from, notice);
+  else if (notice->kind == EJECTION_REDIRECT)
+    apply_redirect (service, notice);
   else
-    hear_stopped (service, from, news);
+    apply_stopped (service, from, notice);
   ejection_owner_update (service);
 }
--- a/node/ejection/ejection_messages.c
+++ b/node/ejection/ejection_messages.c
@@ -6,7 +6,7 @@
 
 #include "base/xmalloc.h"
 
-/* Columns of the head; a report's other rows use the second list. */
+/* Columns of the header row, and of the other rows of a message. */
 enum
 {
   HEAD_KIND,
@@ -21,12 +21,13 @@
   HEAD_DEMAND = HEAD_STATUS,
   HEAD_SHARE_FROM = HEAD_STATUS,
   HEAD_SHARE = HEAD_REASON,
-  NEWS_COLUMNS,
+  HEAD_COLUMNS,
 
-  /* A row of news about one target. */
+  /* Columns of a target's row in a notice. */
   TARGET_SHARE = 0,
   TARGET_IS_AVOIDED,
 
+  /* Columns of a target's row in a report. */
   ITEM_KEY = 0,
   ITEM_REQUESTS,
   ITEM_FAILURES,
@@ -36,8 +37,8 @@
   ITEM_COLUMNS = ITEM_LATENCY + DETECTION_LATENCY_BUCKETS,
 
   PERMILLE = 1000,
-  /* Shares with their over-commit stay far below. */
-  SHARE_MOST_PERMILLE = 4 * PERMILLE,
+  /* Shares never exceed this, including their over-commitment. */
+  SHARE_MAX_PERMILLE = 4 * PERMILLE,
 };
 
 static enum status
@@ -71,7 +72,7 @@
 ejection_send_report (struct ejection_transport *transport, const char *to,
                       const struct ejection_report *report)
 {
-  const size_t columns = report->count > 0 ? ITEM_COLUMNS : NEWS_COLUMNS;
+  const size_t columns = report->count > 0 ? ITEM_COLUMNS : HEAD_COLUMNS;
   int64_t *values = xcalloc ((report->count + 1) * columns, sizeof *values);
   char dc[1][PEER_NAME_SIZE];
   snprintf (dc[0], sizeof dc[0], "%s", report->dc);
@@ -95,44 +96,45 @@
 }
 
 static void
-format_targets (const struct ejection_notice *news, int64_t *rows,
+format_targets (const struct ejection_notice *notice, int64_t *rows,
                 char (*names)[PEER_NAME_SIZE])
 {
-  for (size_t i = 0; i < news->count; i++)
+  for (size_t i = 0; i < notice->count; i++)
     {
-      if (news->trial_permille != NULL)
-        rows[i * NEWS_COLUMNS + TARGET_SHARE] = news->trial_permille[i];
-      memcpy (names[i], news->names[i], sizeof names[i]);
+      if (notice->trial_permille != NULL)
+        rows[i * HEAD_COLUMNS + TARGET_SHARE] = notice->trial_permille[i];
+      memcpy (names[i], notice->names[i], sizeof names[i]);
     }
-  for (size_t i = news->count; i < news->count + news->avoid_count; i++)
+  for (size_t i = notice->count; i < notice->count + notice->avoided_count;
+       i++)
     {
-      rows[i * NEWS_COLUMNS + TARGET_IS_AVOIDED] = 1;
-      memcpy (names[i], news->avoided[i - news->count], sizeof names[i]);
+      rows[i * HEAD_COLUMNS + TARGET_IS_AVOIDED] = 1;
+      memcpy (names[i], notice->avoided[i - notice->count], sizeof names[i]);
     }
 }
 
 enum status
 ejection_send_notice (struct ejection_transport *transport, const char *to,
-                      const struct ejection_notice *news)
+                      const struct ejection_notice *notice)
 {
-  const size_t count = news->count + news->avoid_count;
-  int64_t *values = xcalloc ((count + 1) * NEWS_COLUMNS, sizeof *values);
+  const size_t count = notice->count + notice->avoided_count;
+  int64_t *values = xcalloc ((count + 1) * HEAD_COLUMNS, sizeof *values);
   char (*names)[PEER_NAME_SIZE] = xcalloc (count + 1, sizeof *names);
-  values[HEAD_KIND] = news->kind;
-  values[HEAD_INCARNATION] = (int64_t)news->incarnation;
-  values[HEAD_POLL_MS] = news->poll_ms;
-  values[HEAD_ENFORCE_MS] = news->enforce_ms;
-  values[HEAD_SHARE_FROM] = news->share.from_permille;
-  values[HEAD_SHARE] = news->share.permille;
-  format_targets (news, values + NEWS_COLUMNS, names);
-  struct peer_report message = { .epoch = news->epoch,
-                                 .sequence = news->sequence,
-                                 .columns = NEWS_COLUMNS,
+  values[HEAD_KIND] = notice->kind;
+  values[HEAD_INCARNATION] = (int64_t)notice->incarnation;
+  values[HEAD_POLL_MS] = notice->poll_ms;
+  values[HEAD_ENFORCE_MS] = notice->enforce_ms;
+  values[HEAD_SHARE_FROM] = notice->share.from_permille;
+  values[HEAD_SHARE] = notice->share.permille;
+  format_targets (notice, values + HEAD_COLUMNS, names);
+  struct peer_report message = { .epoch = notice->epoch,
+                                 .sequence = notice->sequence,
+                                 .columns = HEAD_COLUMNS,
                                  .values = values,
-                                 .value_count = (count + 1) * NEWS_COLUMNS,
+                                 .value_count = (count + 1) * HEAD_COLUMNS,
                                  .names = names,
                                  .name_count = count };
-  set_service (&message, news->service);
+  set_service (&message, notice->service);
   const enum status status
       = send_rows (transport, to, PEER_DECISION, &message);
   free (names);
@@ -143,24 +145,24 @@
 enum status
 ejection_send_command_message (struct ejection_transport *transport,
                                const char *to,
-                               const struct ejection_command_message *order)
+                               const struct ejection_command_message *command)
 {
-  int64_t values[NEWS_COLUMNS] = { 0 };
+  int64_t values[HEAD_COLUMNS] = { 0 };
   char target[1][PEER_NAME_SIZE];
-  snprintf (target[0], sizeof target[0], "%s", order->target);
-  values[HEAD_KIND] = order->kind;
-  values[HEAD_ID] = (int64_t)order->id;
-  values[HEAD_VERSION] = (int64_t)order->version;
-  values[HEAD_VERB] = order->verb;
-  values[HEAD_STATUS] = order->status;
-  values[HEAD_REASON] = order->reason;
-  struct peer_report message = { .columns = NEWS_COLUMNS,
+  snprintf (target[0], sizeof target[0], "%s", command->target);
+  values[HEAD_KIND] = command->kind;
+  values[HEAD_ID] = (int64_t)command->id;
+  values[HEAD_VERSION] = (int64_t)command->version;
+  values[HEAD_VERB] = command->verb;
+  values[HEAD_STATUS] = command->status;
+  values[HEAD_REASON] = command->reason;
+  struct peer_report message = { .columns = HEAD_COLUMNS,
                                  .values = values,
-                                 .value_count = NEWS_COLUMNS,
+                                 .value_count = HEAD_COLUMNS,
                                  .names = target,
                                  .name_count = 1 };
-  set_service (&message, order->service);
-  const bool is_command = order->kind == EJECTION_COMMAND;
+  set_service (&message, command->service);
+  const bool is_command = command->kind == EJECTION_COMMAND;
   return send_rows (transport, to, is_command ? PEER_EVIDENCE : PEER_DECISION,
                     &message);
 }
@@ -168,7 +170,7 @@
 enum ejection_kind
 ejection_message_kind (const struct peer_report *report)
 {
-  if (report->columns < NEWS_COLUMNS || report->value_count < report->columns
+  if (report->columns < HEAD_COLUMNS || report->value_count < report->columns
       || report->value_count % report->columns != 0)
     return 0;
   const int64_t kind = report->values[HEAD_KIND];
@@ -191,14 +193,14 @@
 {
   struct detection_evidence *evidence = &item->evidence;
   item->target_key = (uint64_t)row[ITEM_KEY];
-  bool good = item->target_key != 0
-              && read_count (row[ITEM_REQUESTS], &evidence->requests)
-              && read_count (row[ITEM_FAILURES], &evidence->failures)
-              && read_count (row[ITEM_TIMEOUTS], &evidence->timeouts)
-              && read_count (row[ITEM_SHEDS], &evidence->sheds);
+  bool ok = item->target_key != 0
+            && read_count (row[ITEM_REQUESTS], &evidence->requests)
+            && read_count (row[ITEM_FAILURES], &evidence->failures)
+            && read_count (row[ITEM_TIMEOUTS], &evidence->timeouts)
+            && read_count (row[ITEM_SHEDS], &evidence->sheds);
   for (size_t i = 0; i < DETECTION_LATENCY_BUCKETS; i++)
-    good = good && read_count (row[ITEM_LATENCY + i], &evidence->latency[i]);
-  return good && evidence->failures <= evidence->requests;
+    ok = ok && read_count (row[ITEM_LATENCY + i], &evidence->latency[i]);
+  return ok && evidence->failures <= evidence->requests;
 }
 
 bool
@@ -232,15 +234,16 @@
 }
 
 static bool
-read_slots (const int64_t *head, struct slot_share *slots)
+read_share (const int64_t *head, struct slot_share *share)
 {
-  return read_count (head[HEAD_SHARE_FROM], &slots->from_permille)
-         && read_count (head[HEAD_SHARE], &slots->permille)
-         && slots->from_permille <= SHARE_MOST_PERMILLE
-         && slots->permille <= SHARE_MOST_PERMILLE;
+  return read_count (head[HEAD_SHARE_FROM], &share->from_permille)
+         && read_count (head[HEAD_SHARE], &share->permille)
+         && share->from_permille <= SHARE_MAX_PERMILLE
+         && share->permille <= SHARE_MAX_PERMILLE;
 }
 
-/* The ejected targets come first, *EJECTED of the COUNT rows. */
+/* Read COUNT rows.  The ejected targets come first; *EJECTED is their
+   number. */
 static bool
 read_targets (const int64_t *rows, size_t count, uint32_t *shares,
               size_t *ejected)
@@ -248,7 +251,7 @@
   *ejected = 0;
   for (size_t i = 0; i < count; i++)
     {
-      const int64_t *row = rows + i * NEWS_COLUMNS;
+      const int64_t *row = rows + i * HEAD_COLUMNS;
       const int64_t avoided = row[TARGET_IS_AVOIDED];
       if (!read_count (row[TARGET_SHARE], &shares[i]) || shares[i] > PERMILLE
           || avoided < 0 || avoided > 1 || (avoided == 0 && *ejected < i))
@@ -260,25 +263,25 @@
 
 bool
 ejection_read_notice (const struct peer_report *message,
-                      struct ejection_notice *news)
+                      struct ejection_notice *notice)
 {
   const size_t count = message->value_count / message->columns - 1;
   uint32_t enforce_ms;
-  struct slot_share slots;
-  if (message->columns != NEWS_COLUMNS || message->name_count != count
+  struct slot_share share;
+  if (message->columns != HEAD_COLUMNS || message->name_count != count
       || !read_count (message->values[HEAD_ENFORCE_MS], &enforce_ms)
-      || !read_slots (message->values, &slots))
+      || !read_share (message->values, &share))
     return false;
   uint32_t *shares = xcalloc (count + 1, sizeof *shares);
   size_t ejected;
-  if (!read_targets (message->values + NEWS_COLUMNS, count, shares, &ejected))
+  if (!read_targets (message->values + HEAD_COLUMNS, count, shares, &ejected))
     {
       free (shares);
       return false;
     }
   const char (*names)[PEER_NAME_SIZE]
       = (const char (*)[PEER_NAME_SIZE])message->names;
-  *news = (struct ejection_notice){
+  *notice = (struct ejection_notice){
     .kind = ejection_message_kind (message),
     .service = message->service,
     .epoch = message->epoch,
@@ -290,21 +293,21 @@
     .trial_permille = shares,
     .count = ejected,
     .avoided = names + ejected,
-    .avoid_count = count - ejected,
-    .share = slots,
+    .avoided_count = count - ejected,
+    .share = share,
   };
   return true;
 }
 
 bool
 ejection_read_command_message (const struct peer_report *message,
-                               struct ejection_command_message *order)
+                               struct ejection_command_message *command)
 {
-  if (message->columns != NEWS_COLUMNS || message->name_count != 1
-      || message->value_count != NEWS_COLUMNS)
+  if (message->columns != HEAD_COLUMNS || message->name_count != 1
+      || message->value_count != HEAD_COLUMNS)
     return false;
   const int64_t *head = message->values;
-  *order = (struct ejection_command_message){
+  *command = (struct ejection_command_message){
     .kind = ejection_message_kind (message),
     .service = message->service,
     .target = message->names[0],
--- a/node/ejection/ejection_messages.h
+++ b/node/ejection/ejection_messages.h
@@ -1,7 +1,8 @@
 /** @file
- * What hosts say to each other about ejections, as rows of a peer report.
+ * Messages between hosts about ejections, encoded as rows of a peer report.
  *
- * The first row of each is a head; names go with the rows that follow.
+ * The first row is a header.  The names of the report belong to the rows that
+ * follow.
  */
 #ifndef NODE_EJECTION_MESSAGES_H
 #define NODE_EJECTION_MESSAGES_H
@@ -13,20 +14,20 @@
 #include "policy/choice/slot_shares.h"
 #include "policy/detection/recorder.h"
 
-/** What a message is; the numbers are part of the protocol. */
+/** Kind of a message; the numbers are part of the protocol. */
 enum ejection_kind
 {
-  EJECTION_REPORT = 1,   /**< EVIDENCE: a host's poll, with what it saw */
-  EJECTION_COMMAND = 2,  /**< EVIDENCE: an operator's command, passed on */
-  EJECTION_DECISION = 3, /**< DECISION: which targets are out */
+  EJECTION_REPORT = 1,   /**< EVIDENCE: a host's poll, with its outcomes */
+  EJECTION_COMMAND = 2,  /**< EVIDENCE: a forwarded operator command */
+  EJECTION_DECISION = 3, /**< DECISION: the ejected targets */
   EJECTION_REDIRECT = 4, /**< DECISION: another host owns the service */
-  EJECTION_STOPPED = 5,  /**< DECISION: the owner of `epoch` tells no more */
-  EJECTION_RESULT = 6,   /**< DECISION: how a command ended */
+  EJECTION_STOPPED = 5,  /**< DECISION: the owner of `epoch` has stopped */
+  EJECTION_RESULT = 6,   /**< DECISION: the result of a command */
 };
 
 enum
 {
-  /** Most targets one report tells of; the rest goes with the next. */
+  /** Maximum number of targets in a report; the next one has the rest. */
   EJECTION_ITEMS_MAX = 1024,
 };
 
@@ -38,7 +39,7 @@
   uint64_t incarnation; /**< of the sender */
   int64_t poll_ms;      /**< by the sender's clock */
   const char *dc;       /**< of the sender */
-  uint32_t demand;      /**< most slots it wanted at once lately */
+  uint32_t demand;      /**< recent maximum of slots needed at once */
   const struct detection_report_item *items;
   size_t count;
 };
@@ -50,19 +51,20 @@
   const char *service;
   uint64_t epoch;
   uint64_t sequence;
-  uint32_t enforce_ms;
-  uint64_t incarnation; /**< of the poll answered; as the next */
-  int64_t poll_ms;
-  /** Ejected targets; in a redirect the owner's name. */
+  uint32_t enforce_ms;  /**< how long to enforce a decision, from poll_ms */
+  uint64_t incarnation; /**< of the poll that this answers */
+  int64_t poll_ms;      /**< of the poll that this answers */
+  /** Ejected targets; in a redirect, the owner's name only. */
   const char (*names)[PEER_NAME_SIZE];
-  /** For each target, how much of the time it is let through on trial. */
+  /** For each target, the share of time for which requests are let through to
+   * it on trial. */
   const uint32_t *trial_permille;
   size_t count;
-  /** In a decision: targets that the receiver should avoid, which its dc or
-   * it alone sees fail. */
+  /** In a decision: targets that fail only for the receiver or its dc, which
+   * the receiver should avoid. */
   const char (*avoided)[PEER_NAME_SIZE];
-  size_t avoid_count;
-  struct slot_share share; /**< in a decision: granted to the receiver */
+  size_t avoided_count;
+  struct slot_share share; /**< in a decision: slots granted to the receiver */
 };
 
 /** EJECTION_COMMAND, EJECTION_RESULT. */
@@ -71,8 +73,8 @@
   enum ejection_kind kind;
   const char *service;
   const char *target;
-  uint64_t id;      /**< of the command, by the host it came to */
-  uint64_t version; /**< to act on; in a result: as it stands now */
+  uint64_t id;      /**< of the command at the host that forwards it */
+  uint64_t version; /**< to act on; in a result: the current one */
   int verb;         /**< enum operator_verb */
   int status;       /**< in a result: enum status */
   int reason;       /**< in a result: enum ejection_reason */
@@ -83,23 +85,23 @@
                                   const struct ejection_report *report);
 enum status ejection_send_notice (struct ejection_transport *transport,
                                   const char *to,
-                                  const struct ejection_notice *news);
+                                  const struct ejection_notice *notice);
 enum status
 ejection_send_command_message (struct ejection_transport *transport,
                                const char *to,
-                               const struct ejection_command_message *order);
+                               const struct ejection_command_message *command);
 
-/** What REPORT is; 0 when it is nothing known. */
+/** The kind of REPORT; 0 if it is unknown. */
 enum ejection_kind ejection_message_kind (const struct peer_report *report);
 
-/** Read a message whose kind is known.  Pointers go into REPORT, but for
- * `items` and `shares_permille`, which the caller frees.
- * @return false when it isn't well formed. */
+/** Parse a message of known kind.  Pointers refer to MESSAGE, except for
+ * `items` and `trial_permille`, which the caller frees.
+ * @return false if MESSAGE is malformed */
 bool ejection_read_report (const struct peer_report *message,
                            struct ejection_report *report);
 bool ejection_read_notice (const struct peer_report *message,
-                           struct ejection_notice *news);
+                           struct ejection_notice *notice);
 bool ejection_read_command_message (const struct peer_report *message,
-                                    struct ejection_command_message *order);
+                                    struct ejection_command_message *command);
 
 #endif
--- a/node/ejection/ejection_owner.c
+++ b/node/ejection/ejection_owner.c
@@ -20,7 +20,7 @@
   return false;
 }
 
-/* Bring the detector in line with the settings. */
+/* Apply the settings to the detector. */
 static void
 configure_detector (struct ejection_service *service)
 {
@@ -40,7 +40,7 @@
 }
 
 static void
-begin (struct ejection_service *service)
+begin_ownership (struct ejection_service *service)
 {
   const struct floor_record *record
       = floor_owner_known_record (service->owner);
@@ -58,20 +58,21 @@
                                                : "earlier owner silent"));
 }
 
-/* Tell the hosts that polled lately that this owner has stopped. */
+/* Announce to the recent pollers and to the next owner that this owner has
+   stopped. */
 static void
 announce_stopped (struct ejection_service *service, uint64_t epoch)
 {
   const struct ejection_task *task = service->task;
-  const struct ejection_notice news
+  const struct ejection_notice notice
       = { .kind = EJECTION_STOPPED, .service = service->name, .epoch = epoch };
   const char *successor = floor_owner_known_record (service->owner)->owner;
   for (size_t i = 0; i < service->poller_count; i++)
     ejection_send_notice (task->options.transport, service->pollers[i].host,
-                          &news);
+                          &notice);
   if (successor[0] != '\0'
       && strcmp (successor, task->options.settings->name) != 0)
-    ejection_send_notice (task->options.transport, successor, &news);
+    ejection_send_notice (task->options.transport, successor, &notice);
 }
 
 void
@@ -90,7 +91,7 @@
 }
 
 static void
-end (struct ejection_service *service)
+end_ownership (struct ejection_service *service)
 {
   const uint64_t epoch = service->role_epoch;
   const struct floor_record *record
@@ -104,8 +105,8 @@
   ejection_owner_clear (service);
 }
 
-/* After a race for ownership was lost the winner gets its time to be
-   heard. */
+/* Another host won a race for ownership.  Give it the usual time until it is
+   seen. */
 static void
 wait_for_owner (struct ejection_service *service)
 {
@@ -117,7 +118,7 @@
 }
 
 static void
-follow_role (struct ejection_service *service)
+update_role (struct ejection_service *service)
 {
   const enum floor_role before = service->role;
   const enum floor_role role = floor_owner_role (service->owner);
@@ -125,18 +126,18 @@
   if (role == before)
     return;
   if (role == FLOOR_ROLE_OWNER)
-    begin (service);
+    begin_ownership (service);
   if (before == FLOOR_ROLE_OWNER)
-    end (service);
+    end_ownership (service);
   if (role == FLOOR_ROLE_NONE
       && floor_owner_known_record (service->owner)->owner[0] != '\0')
     wait_for_owner (service);
 }
 
-/* Hosts are told a shorter time than the floor counts, by what a host may be
-   late to notice its end. */
+/* Hosts may notice the end of an enforcement late, so the announced time is
+   shorter than the one by which the floor is computed. */
 static uint32_t
-told_enforce_ms (const struct ejection_service *service)
+announced_enforce_ms (const struct ejection_service *service)
 {
   const uint32_t enforce_ms
       = service->task->options.settings->times.enforce_ms;
@@ -145,15 +146,15 @@
 }
 
 static void
-tell_remote (struct ejection_service *service,
-             const struct ejection_poller *poller,
-             const struct floor_decision *decision)
+send_decision (struct ejection_service *service,
+               const struct ejection_poller *poller,
+               const struct floor_decision *decision)
 {
   uint32_t *shares = xcalloc (decision->count + 1, sizeof *shares);
   for (size_t i = 0; i < decision->count; i++)
     shares[i] = ejection_detect_trial_share (service, decision->targets[i]);
-  char avoid[EJECTION_AVOID_MAX][PEER_NAME_SIZE] = { { '\0' } };
-  const struct ejection_notice news
+  char avoided[EJECTION_AVOIDED_MAX][PEER_NAME_SIZE] = { { '\0' } };
+  const struct ejection_notice notice
       = { .kind = EJECTION_DECISION,
           .service = service->name,
           .epoch = decision->epoch,
@@ -164,14 +165,15 @@
           .names = decision->targets,
           .trial_permille = shares,
           .count = decision->count,
-          .avoided = (const char (*)[PEER_NAME_SIZE])avoid,
-          .avoid_count = ejection_paths_for_poller (service, poller, avoid),
+          .avoided = (const char (*)[PEER_NAME_SIZE])avoided,
+          .avoided_count
+          = ejection_paths_for_poller (service, poller, avoided),
           .share = ejection_shares_grant (service, poller) };
   const struct ejection_task *task = service->task;
   if (strcmp (poller->host, task->options.settings->name) == 0)
-    ejection_service_apply_own (service, &news);
+    ejection_service_apply_own (service, &notice);
   else
-    ejection_send_notice (task->options.transport, poller->host, &news);
+    ejection_send_notice (task->options.transport, poller->host, &notice);
   free (shares);
 }
 
@@ -183,21 +185,21 @@
   if (!floor_owner_decision (service->owner, ejection_now_ms (service->task),
                              &decision))
     return;
-  decision.enforce_ms = told_enforce_ms (service);
-  tell_remote (service, poller, &decision);
+  decision.enforce_ms = announced_enforce_ms (service);
+  send_decision (service, poller, &decision);
 }
 
 static void
-tell_all (struct ejection_service *service)
+announce_to_all (struct ejection_service *service)
 {
   for (size_t i = 0; i < service->poller_count; i++)
     ejection_owner_announce (service, &service->pollers[i]);
 }
 
-/* A change of the decision is logged, counted and told at once to all hosts
-   that polled lately. */
+/* Log and count a change of the decision, and send it at once to all recent
+   pollers. */
 static void
-follow_decision (struct ejection_service *service)
+update_decision (struct ejection_service *service)
 {
   struct floor_decision decision;
   if (service->role != FLOOR_ROLE_OWNER
@@ -212,7 +214,7 @@
   ejection_detect_announced (service, &decision);
   ejection_names_assign (&service->announced, decision.targets,
                          decision.count);
-  tell_all (service);
+  announce_to_all (service);
 }
 
 void
@@ -223,11 +225,11 @@
   service->is_updating = true;
   floor_owner_tick (service->owner, ejection_now_ms (service->task));
   ejection_calls_start_next (service);
-  follow_role (service);
+  update_role (service);
   if (service->role == FLOOR_ROLE_OWNER
       && service->detector_version != service->spec->version)
     configure_detector (service);
-  follow_decision (service);
+  update_decision (service);
   service->is_updating = false;
 }
 
@@ -251,19 +253,19 @@
 }
 
 static void
-redirect (struct ejection_service *service, const char *from,
-          const struct ejection_report *report)
+send_redirect (struct ejection_service *service, const char *from,
+               const struct ejection_report *report)
 {
   const struct ejection_task *task = service->task;
   const uint32_t lease_ms = task->options.settings->times.owner_lease_ms;
-  const bool hears = ejection_now_ms (task) - service->owner_seen_ms
-                     < (int64_t)lease_ms / 2;
-  if (!hears || service->owner_name[0] == '\0'
+  const bool is_owner_known = ejection_now_ms (task) - service->owner_seen_ms
+                              < (int64_t)lease_ms / 2;
+  if (!is_owner_known || service->owner_name[0] == '\0'
       || strcmp (service->owner_name, from) == 0)
     return;
   char names[1][PEER_NAME_SIZE];
   memcpy (names[0], service->owner_name, sizeof names[0]);
-  const struct ejection_notice news
+  const struct ejection_notice notice
       = { .kind = EJECTION_REDIRECT,
           .service = service->name,
           .epoch = floor_view_epoch (service->view),
@@ -271,14 +273,14 @@
           .poll_ms = report->poll_ms,
           .names = (const char (*)[PEER_NAME_SIZE])names,
           .count = 1 };
-  ejection_send_notice (task->options.transport, from, &news);
+  ejection_send_notice (task->options.transport, from, &notice);
 }
 
-/* Reports reach the detector at most once: a poll that isn't newer than the
-   last of the same process is a duplicate. */
+/* The detector must count each report at most once: a poll that isn't newer
+   than the last one of the same process is a duplicate. */
 static void
-take_report (struct ejection_service *service, const char *from,
-             const struct ejection_report *report)
+handle_report (struct ejection_service *service, const char *from,
+               const struct ejection_report *report)
 {
   struct ejection_poller *poller = find_poller (service, from);
   const int64_t now_ms = ejection_now_ms (service->task);
@@ -308,9 +310,9 @@
   floor_owner_epoch_seen (service->owner, ejection_now_ms (service->task),
                           report->epoch);
   if (service->role == FLOOR_ROLE_OWNER)
-    take_report (service, from, report);
+    handle_report (service, from, report);
   else
-    redirect (service, from, report);
+    send_redirect (service, from, report);
   ejection_owner_update (service);
 }
 
--- a/node/ejection/ejection_paths.c
+++ b/node/ejection/ejection_paths.c
@@ -18,8 +18,8 @@
 }
 
 static bool
-is_path_of (const struct detection_path *path,
-            const struct ejection_poller *poller)
+is_for_poller (const struct detection_path *path,
+               const struct ejection_poller *poller)
 {
   return path->dc_key == hash_string (poller->dc)
          && (path->host_key == 0
@@ -33,11 +33,11 @@
 {
   size_t count = 0;
   for (size_t i = 0;
-       i < service->path_fault_count && count < EJECTION_AVOID_MAX; i++)
+       i < service->path_fault_count && count < EJECTION_AVOIDED_MAX; i++)
     {
       const struct detection_path *path = &service->path_faults[i];
       const char *name = ejection_target_name (service, path->target_key);
-      if (name != NULL && is_path_of (path, poller))
+      if (name != NULL && is_for_poller (path, poller))
         memcpy (names[count++], name, strlen (name) + 1);
     }
   return count;
--- a/node/ejection/ejection_service.c
+++ b/node/ejection/ejection_service.c
@@ -13,11 +13,15 @@
 
 enum
 {
-  RETRY_MS = 100,
-  RETRY_MAX_MS = 5000,
-  /* For how many leases an owner that only others hear is left alone. */
-  HEARD_OF_LEASES = 4,
+  /* Delay between failed platform calls; doubles up to the maximum. */
+  PLATFORM_RETRY_MS = 100,
+  PLATFORM_RETRY_MAX_MS = 5000,
+  /* Number of owner leases for which an owner isn't replaced that only other
+     hosts receive from. */
+  REPORTED_OWNER_LEASES = 4,
+  /* Polls without outcomes in the enforcement time of a decision. */
   POLLS_PER_ENFORCEMENT = 4,
+  /* How long a host outside the set polls after its last outcome. */
   OUTSIDER_ACTIVE_MS = 10000,
 };
 
@@ -32,8 +36,8 @@
     .seed = seed,
     .enforce_ms = task->options.settings->times.enforce_ms,
     .authority_ms = task->options.settings->times.outage_hold_ms,
-    .retry_ms = RETRY_MS,
-    .retry_max_ms = RETRY_MAX_MS,
+    .retry_ms = PLATFORM_RETRY_MS,
+    .retry_max_ms = PLATFORM_RETRY_MAX_MS,
   };
   return floor_owner_create (&options);
 }
@@ -88,7 +92,7 @@
 }
 
 static void
-tell_floor (struct ejection_service *service)
+update_floor_spec (struct ejection_service *service)
 {
   const struct service_spec *spec = service->spec;
   struct floor_target *targets
@@ -123,7 +127,7 @@
                                  sizeof *service->keys);
   for (size_t i = 0; i < spec->target_count; i++)
     service->keys[i] = ejection_target_key (service, spec->targets[i].name);
-  tell_floor (service);
+  update_floor_spec (service);
   ejection_owner_update (service);
 }
 
@@ -147,7 +151,7 @@
 }
 
 static size_t
-take_evidence (struct ejection_service *service)
+collect_evidence (struct ejection_service *service)
 {
   const struct ejection_task_options *options = &service->task->options;
   struct detection_recorder *recorder
@@ -161,41 +165,43 @@
   return count;
 }
 
-/* A host outside the set follows the owner only while it serves the service;
-   otherwise each host would poll for every service there is.  What shows that
-   it has begun to is dropped. */
+/* A host outside the set polls the owner only while it serves the service;
+   otherwise each host would poll for all services.  The outcomes that show
+   that it has begun to serve are dropped. */
 static bool
-follows (struct ejection_service *service)
+polls_owner (struct ejection_service *service)
 {
   const int64_t now_ms = ejection_now_ms (service->task);
   if (service->rank >= 0
       || now_ms < service->last_outcome_ms + OUTSIDER_ACTIVE_MS)
     return service->host_count > 0;
-  const bool begins = take_evidence (service) > 0;
+  const bool begins = collect_evidence (service) > 0;
   return begins && service->host_count > 0;
 }
 
-/* Less is told only when it is less than half: nobody waits for it. */
+/* A decrease to less than half is reported at once, a smaller one with the
+   next poll: no request waits for the slots that become free. */
 static bool
-demand_moved (const struct ejection_service *service, uint32_t demand)
+demand_changed (const struct ejection_service *service, uint32_t demand)
 {
   return demand > service->reported_demand
          || demand < service->reported_demand / 2;
 }
 
-/* Reports must be counted once, so what was seen goes only to an owner that
-   answers; other hosts are just asked.  With nothing seen the owner is asked
-   only as often as enforcement needs, so that idle services cost little. */
+/* Outcomes must be counted once, so they are sent only to an owner that
+   responds; polls of other hosts have none.  Without outcomes the owner is
+   polled only as often as enforcement needs, so that idle services are
+   cheap. */
 static void
-report_to (struct ejection_service *service, const char *to, bool with_items)
+send_report (struct ejection_service *service, const char *to, bool with_items)
 {
   struct ejection_task *task = service->task;
   const struct ejection_task_options *options = &task->options;
   const int64_t now_ms = ejection_now_ms (task);
-  const size_t count = with_items ? take_evidence (service) : 0;
+  const size_t count = with_items ? collect_evidence (service) : 0;
   const uint32_t demand = ejection_shares_demand (service);
   if (with_items && count == 0 && now_ms < service->next_refresh_ms
-      && !demand_moved (service, demand))
+      && !demand_changed (service, demand))
     return;
   if (with_items)
     service->reported_demand = demand;
@@ -224,24 +230,24 @@
   const char *self = service->task->options.settings->name;
   if (floor_owner_role (service->owner) == FLOOR_ROLE_OWNER)
     {
-      report_to (service, self, true);
+      send_report (service, self, true);
       return;
     }
-  const bool answers = silence_ms < (int64_t)times->owner_lease_ms / 2;
+  const bool responds = silence_ms < (int64_t)times->owner_lease_ms / 2;
   if (service->owner_name[0] != '\0'
       && strcmp (service->owner_name, self) != 0)
-    report_to (service, service->owner_name, answers);
-  if (answers && service->owner_name[0] != '\0')
+    send_report (service, service->owner_name, responds);
+  if (responds && service->owner_name[0] != '\0')
     return;
-  /* Who owns the service isn't known: one host of the set after another is
-     asked. */
+  /* The owner isn't known, or doesn't respond: poll the hosts of the set in
+     turn, one at a time. */
   for (size_t i = 0; i < service->host_count; i++)
     {
       const char *host
           = service->hosts[service->next_host++ % service->host_count];
       if (strcmp (host, self) == 0 || strcmp (host, service->owner_name) == 0)
         continue;
-      report_to (service, host, false);
+      send_report (service, host, false);
       return;
     }
 }
@@ -261,17 +267,18 @@
                              is_silent, epoch);
 }
 
-/* How long the owner was neither heard nor, within bounds, heard of. */
+/* Time since the owner was last seen or, within bounds, reported by another
+   host. */
 static int64_t
-silence (const struct ejection_service *service, int64_t now_ms)
+owner_silence_ms (const struct ejection_service *service, int64_t now_ms)
 {
   const uint32_t lease_ms
       = service->task->options.settings->times.owner_lease_ms;
-  const int64_t most_ms
-      = service->owner_seen_ms + (int64_t)lease_ms * HEARD_OF_LEASES;
+  const int64_t max_ms
+      = service->owner_seen_ms + (int64_t)lease_ms * REPORTED_OWNER_LEASES;
   int64_t last_ms = service->owner_reported_ms;
-  if (last_ms > most_ms)
-    last_ms = most_ms;
+  if (last_ms > max_ms)
+    last_ms = max_ms;
   if (last_ms < service->owner_seen_ms)
     last_ms = service->owner_seen_ms;
   return now_ms - last_ms;
@@ -288,11 +295,11 @@
   ejection_shares_tick (service, now_ms);
   if (is_owner)
     service->owner_seen_ms = now_ms;
-  const int64_t silence_ms = silence (service, now_ms);
+  const int64_t silence_ms = owner_silence_ms (service, now_ms);
   if (service->spec != NULL && now_ms >= service->next_poll_ms)
     {
       service->next_poll_ms = now_ms + times->evidence_ms;
-      if (follows (service))
+      if (polls_owner (service))
         poll_owner (service, now_ms - service->owner_seen_ms);
       ejection_owner_detect (service);
     }
--- a/node/ejection/ejection_task.c
+++ b/node/ejection/ejection_task.c
@@ -12,9 +12,9 @@
 
 enum
 {
-  BEATS_PER_EVIDENCE = 4,
-  BEAT_MIN_MS = 10,
-  BEAT_MAX_MS = 100,
+  TICKS_PER_EVIDENCE_INTERVAL = 4,
+  TICK_MIN_MS = 10,
+  TICK_MAX_MS = 100,
 };
 
 int64_t
@@ -104,7 +104,7 @@
 }
 
 static void
-on_beat (struct ev_loop *loop, struct ev_timer *watcher, int events)
+on_tick (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
   struct ejection_task *task = watcher->data;
   struct ejection_service *service;
@@ -117,13 +117,13 @@
 }
 
 static void
-on_soon (struct ev_loop *loop, struct ev_timer *watcher, int events)
+on_completion (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
   ejection_commands_complete (watcher->data);
 }
 
 static struct counter *
-count (struct counters *counters, const char *name, const char *help)
+add_counter (struct counters *counters, const char *name, const char *help)
 {
   const struct counter_family_options options
       = { .name = name, .help = help, .kind = COUNTER_SUM };
@@ -136,18 +136,18 @@
 {
   struct counters *counters = task->options.counters;
   task->counters = (struct ejection_counters){
-    .ejected = count (counters, "jaystair_ejections_total",
-                      "Targets ejected by this host as owner."),
-    .reinstated = count (counters, "jaystair_reinstatements_total",
-                         "Targets brought back by this host as owner."),
-    .refused = count (counters, "jaystair_ejections_refused_total",
-                      "Ejections that the floor or settings refused."),
-    .takeovers = count (counters, "jaystair_ejection_takeovers_total",
-                        "Services whose ejections this host took over."),
-    .platform_calls = count (counters, "jaystair_ejection_calls_total",
-                             "Calls at the platform for ejection records."),
-    .reports = count (counters, "jaystair_evidence_reports_total",
-                      "Evidence reports sent to owners."),
+    .ejected = add_counter (counters, "jaystair_ejections_total",
+                            "Targets ejected by this host as owner."),
+    .reinstated = add_counter (counters, "jaystair_reinstatements_total",
+                               "Targets reinstated by this host as owner."),
+    .refused = add_counter (counters, "jaystair_ejections_refused_total",
+                            "Ejections that the floor or settings refused."),
+    .takeovers = add_counter (counters, "jaystair_ejection_takeovers_total",
+                              "Services whose ejections this host took over."),
+    .platform_calls = add_counter (counters, "jaystair_ejection_calls_total",
+                                   "Platform calls for ejection records."),
+    .reports = add_counter (counters, "jaystair_evidence_reports_total",
+                            "Evidence reports sent to owners."),
   };
 }
 
@@ -155,24 +155,24 @@
 ejection_tick_interval_ms (const struct ejection_task *task)
 {
   const uint32_t evidence_ms = task->options.settings->times.evidence_ms;
-  const uint32_t beat_ms = evidence_ms / BEATS_PER_EVIDENCE;
-  if (beat_ms < BEAT_MIN_MS)
-    return BEAT_MIN_MS;
-  return beat_ms > BEAT_MAX_MS ? BEAT_MAX_MS : beat_ms;
+  const uint32_t tick_ms = evidence_ms / TICKS_PER_EVIDENCE_INTERVAL;
+  if (tick_ms < TICK_MIN_MS)
+    return TICK_MIN_MS;
+  return tick_ms > TICK_MAX_MS ? TICK_MAX_MS : tick_ms;
 }
 
-/* Guards against a host that was frozen: it must end an enforcement whose
-   time is over before it serves what came in meanwhile, so its beat goes
-   before all other events of the loop's turn. */
+/* A host that was suspended must end expired enforcements before it serves the
+   requests that arrived meanwhile, so the tick has priority over all other
+   events of a loop iteration. */
 static void
-start_beat (struct ejection_task *task)
+start_timers (struct ejection_task *task)
 {
-  const double beat_s = ejection_tick_interval_ms (task) / 1000.0;
-  ev_timer_init (&task->tick_timer, on_beat, beat_s, beat_s);
+  const double tick_s = ejection_tick_interval_ms (task) / 1000.0;
+  ev_timer_init (&task->tick_timer, on_tick, tick_s, tick_s);
   ev_set_priority (&task->tick_timer, EV_MAXPRI);
   task->tick_timer.data = task;
   ev_timer_start (task->options.loop, &task->tick_timer);
-  ev_timer_init (&task->completion_timer, on_soon, 0, 0);
+  ev_timer_init (&task->completion_timer, on_completion, 0, 0);
   task->completion_timer.data = task;
 }
 
@@ -189,7 +189,7 @@
   bus_subscribe (options->bus, BUS_SHUTDOWN, on_shutdown, task);
   if (options->tables != NULL)
     tables_register (options->tables, "ejections", ejection_rows, task);
-  start_beat (task);
+  start_timers (task);
   return task;
 }
 
@@ -227,23 +227,23 @@
 }
 
 static void
-receive_news (struct ejection_service *service, const char *from,
-              const struct peer_report *message)
+receive_notice (struct ejection_service *service, const char *from,
+                const struct peer_report *message)
 {
-  struct ejection_notice news;
-  if (!ejection_read_notice (message, &news))
+  struct ejection_notice notice;
+  if (!ejection_read_notice (message, &notice))
     return;
-  ejection_service_receive_notice (service, from, &news);
-  free ((void *)news.trial_permille);
+  ejection_service_receive_notice (service, from, &notice);
+  free ((void *)notice.trial_permille);
 }
 
 static void
-receive_order (struct ejection_task *task, const char *from,
-               const struct peer_report *message)
+receive_command_message (struct ejection_task *task, const char *from,
+                         const struct peer_report *message)
 {
-  struct ejection_command_message order;
-  if (ejection_read_command_message (message, &order))
-    ejection_command_receive (task, from, &order);
+  struct ejection_command_message command;
+  if (ejection_read_command_message (message, &command))
+    ejection_command_receive (task, from, &command);
 }
 
 void
@@ -264,11 +264,11 @@
     case EJECTION_REDIRECT:
     case EJECTION_STOPPED:
       if (service != NULL && message->type == PEER_DECISION)
-        receive_news (service, from, report);
+        receive_notice (service, from, report);
       return;
     case EJECTION_COMMAND:
     case EJECTION_RESULT:
-      receive_order (task, from, report);
+      receive_command_message (task, from, report);
       return;
     }
   LOG_WARN ("bad-message", LOG_STR ("from", from),
--- a/node/ejection/ejection_transport.h
+++ b/node/ejection/ejection_transport.h
@@ -1,5 +1,6 @@
 /** @file
- * How the ejection task reaches other hosts; a test puts a fake here.
+ * Interface through which the ejection task reaches other hosts; tests
+ * implement it with a fake.
  */
 #ifndef NODE_EJECTION_TRANSPORT_H
 #define NODE_EJECTION_TRANSPORT_H
@@ -11,12 +12,13 @@
 
 struct ejection_transport_ops
 {
-  /** Send MESSAGE to host TO; STATUS_OK means queued. */
+  /** Send MESSAGE to host TO.
+   * @return STATUS_OK if it was queued */
   enum status (*send) (struct ejection_transport *transport, const char *to,
                        const struct peer_message *message);
 };
 
-/** Embedded first in each implementation. */
+/** Base of the implementations, which have it as their first member. */
 struct ejection_transport
 {
   const struct ejection_transport_ops *ops;
--- a/node/ejection/tests/ejection_fleet.h
+++ b/node/ejection/tests/ejection_fleet.h
@@ -1,5 +1,5 @@
-// A few ejection tasks in one process, over a platform, a network and a clock
-// that the test commands.
+// Ejection tasks of several hosts in one process, with a simulated platform,
+// network and clock.
 #ifndef NODE_EJECTION_TESTS_EJECTION_FLEET_H
 #define NODE_EJECTION_TESTS_EJECTION_FLEET_H
 
@@ -36,7 +36,7 @@
   return fleet_now_ms;
 }
 
-// One object kind in memory; calls end at the fleet's next turn.
+// Objects of one kind in memory.  Calls end at the next step of the fleet.
 struct fake_platform
 {
   platform base; // first
@@ -47,7 +47,7 @@
   };
   std::map<std::string, object> objects;
   std::deque<std::pair<void *, std::function<void ()>>> calls;
-  bool down = false;
+  bool is_down = false;
   bool lose_next_write_answer = false;
   int writes = 0;
   std::set<std::string> write_texts;
@@ -71,7 +71,7 @@
   const bool has = object.value != nullptr
                    && (code == STATUS_OK || code == STATUS_REFUSED);
   const platform_reply reply
-      = { code, "as the test says", 0, has ? &object : nullptr, has };
+      = { code, "simulated result", 0, has ? &object : nullptr, has };
   done (owner, &reply);
 }
 
@@ -82,7 +82,7 @@
   fake_platform *p = fake (base);
   const std::string key = name;
   p->calls.emplace_back (owner, [=] {
-    const status code = p->down                  ? STATUS_UNREACHABLE
+    const status code = p->is_down               ? STATUS_UNREACHABLE
                         : p->objects.count (key) ? STATUS_OK
                                                  : STATUS_NOT_FOUND;
     end_call (p, done, owner, code, key);
@@ -112,8 +112,8 @@
   fake_platform *p = fake (base);
   const std::string key = name, text = value;
   p->calls.emplace_back (owner, [=] {
-    const status code
-        = p->down ? STATUS_UNREACHABLE : write_object (p, key, expected, text);
+    const status code = p->is_down ? STATUS_UNREACHABLE
+                                   : write_object (p, key, expected, text);
     end_call (p, done, owner, code, key);
   });
 }
@@ -134,19 +134,20 @@
 struct fleet_host
 {
   ejection_transport transport; // first
-  fleet *all;
+  fleet *parent;
   std::string name;
   host_settings settings;
   bus *messages = nullptr;
   ejection_task *task = nullptr;
   detection_recorder *recorder = nullptr;
-  std::set<std::string> out;
+  std::set<std::string> ejected;
   std::set<std::string> avoided;
-  std::set<std::string> bad_from_here; // fail for this host alone
-  slot_share slots = {};
-  int slot_news = 0; // how often the share was posted
+  std::set<std::string>
+      failing_from_here; // targets that fail for this host only
+  slot_share share = {};
+  int share_posts = 0; // number of BUS_SLOT_SHARES posted
   uint32_t demand = 0;
-  bool frozen = false;
+  bool suspended = false;
 };
 
 status fleet_send (ejection_transport *transport, const char *to,
@@ -157,19 +158,19 @@
 {
   struct ev_loop *loop = ev_loop_new (0);
   fake_platform platform;
-  counters *counts = counters_create ();
+  counters *metrics = counters_create ();
   fleet_host hosts[host_count];
-  struct letter
+  struct packet
   {
     int from, to;
     std::string bytes;
   };
-  std::deque<letter> letters;
-  bool cut[host_count][host_count] = {};
-  uint32_t most_told_ms = 0; // longest enforcement told
-  bool duplicate = false;    // every letter arrives twice
+  std::deque<packet> packets;
+  bool link_down[host_count][host_count] = {};
+  uint32_t max_enforce_ms = 0; // longest enforcement time announced
+  bool duplicate = false;      // each packet is delivered twice
   uint32_t floor_capacity = 12;
-  int set_size = host_count; // hosts of the service's set
+  int set_size = host_count; // number of hosts in the service's set
   uint64_t spec_version = 0;
 
   fleet ()
@@ -184,7 +185,7 @@
   {
     for (int i = 0; i < host_count; i++)
       stop (i);
-    counters_destroy (counts);
+    counters_destroy (metrics);
     ev_loop_destroy (loop);
   }
 
@@ -193,7 +194,7 @@
   {
     fleet_host &h = hosts[i];
     h.transport.ops = &fleet_transport_ops;
-    h.all = this;
+    h.parent = this;
     h.name = "host-" + std::to_string (i);
     host_settings_defaults (&h.settings);
     snprintf (h.settings.name, sizeof h.settings.name, "%s", h.name.c_str ());
@@ -210,7 +211,7 @@
     options.bus = h.messages;
     options.settings = &h.settings;
     options.platform = &platform.base;
-    options.counters = counts;
+    options.counters = metrics;
     options.transport = &h.transport;
     options.recorder = [] (void *owner, const char *) {
       return static_cast<fleet_host *> (owner)->recorder;
@@ -222,23 +223,23 @@
     options.incarnation = hash_pair (fleet_now_ms, i) | 1;
     options.now_ms = fleet_clock;
     h.task = ejection_task_create (&options);
-    // Beats come from the test's clock alone.
+    // step() invokes the ticks by the simulated clock.
     ev_timer_stop (loop, &h.task->tick_timer);
     bus_subscribe (
         h.messages, BUS_EJECTIONS,
         [] (void *owner, const bus_message *m) {
           auto *host = static_cast<fleet_host *> (owner);
-          host->out.clear ();
+          host->ejected.clear ();
           for (size_t k = 0; k < m->ejections.count; k++)
-            host->out.insert (m->ejections.targets[k]);
+            host->ejected.insert (m->ejections.targets[k]);
         },
         &h);
     bus_subscribe (
         h.messages, BUS_SLOT_SHARES,
         [] (void *owner, const bus_message *m) {
           auto *host = static_cast<fleet_host *> (owner);
-          host->slots = m->slot_shares.share;
-          host->slot_news++;
+          host->share = m->slot_shares.share;
+          host->share_posts++;
         },
         &h);
     bus_subscribe (
@@ -266,8 +267,8 @@
     h.task = nullptr;
     h.messages = nullptr;
     h.recorder = nullptr;
-    h.out.clear ();
-    h.slots = {};
+    h.ejected.clear ();
+    h.share = {};
   }
 
   void
@@ -334,60 +335,63 @@
                       hash_string (target.c_str ()));
   }
 
-  // Requests to all targets at all hosts: those in BAD fail.
+  // Records a request of each host to each target.  Requests to targets in
+  // FAILING fail.
   void
-  traffic (const std::set<std::string> &bad)
+  record_requests (const std::set<std::string> &failing)
   {
     for (auto &h : hosts)
       for (int k = 0; k < target_count && h.task != nullptr; k++)
         {
           const std::string t = "t" + std::to_string (k);
-          if (h.out.count (t) == 0 && !h.frozen)
-            detection_recorder_record (
-                h.recorder, target_key (t),
-                bad.count (t) || h.bad_from_here.count (t) ? ATTEMPT_FAILED
-                                                           : ATTEMPT_ANSWERED,
-                1500);
+          if (h.ejected.count (t) == 0 && !h.suspended)
+            detection_recorder_record (h.recorder, target_key (t),
+                                       failing.count (t)
+                                               || h.failing_from_here.count (t)
+                                           ? ATTEMPT_FAILED
+                                           : ATTEMPT_ANSWERED,
+                                       1500);
         }
   }
 
   void
   deliver ()
   {
-    std::deque<letter> held;
-    std::deque<letter> now;
-    now.swap (letters);
-    for (auto &l : now)
+    std::deque<packet> undelivered;
+    std::deque<packet> to_deliver;
+    to_deliver.swap (packets);
+    for (auto &p : to_deliver)
       {
-        fleet_host &h = hosts[l.to];
+        fleet_host &h = hosts[p.to];
         peer_message message;
-        if (h.task == nullptr || cut[l.from][l.to])
+        if (h.task == nullptr || link_down[p.from][p.to])
           continue;
-        if (h.frozen)
+        if (h.suspended)
           {
-            held.push_back (l);
+            undelivered.push_back (p);
             continue;
           }
-        if (peer_message_decode (l.bytes.data (), l.bytes.size (), &message)
+        if (peer_message_decode (p.bytes.data (), p.bytes.size (), &message)
             != STATUS_OK)
           abort ();
-        ejection_notice news;
+        ejection_notice notice;
         if (message.type == PEER_DECISION
-            && ejection_read_notice (&message.report, &news))
+            && ejection_read_notice (&message.report, &notice))
           {
-            most_told_ms = std::max (most_told_ms, news.enforce_ms);
-            free ((void *)news.trial_permille);
+            max_enforce_ms = std::max (max_enforce_ms, notice.enforce_ms);
+            free ((void *)notice.trial_permille);
           }
         for (int copy = 0; copy < (duplicate ? 2 : 1); copy++)
-          ejection_task_receive (h.task, hosts[l.from].name.c_str (),
+          ejection_task_receive (h.task, hosts[p.from].name.c_str (),
                                  &message);
         peer_message_release (&message);
       }
-    letters.insert (letters.begin (), held.begin (), held.end ());
+    packets.insert (packets.begin (), undelivered.begin (),
+                    undelivered.end ());
   }
 
   void
-  turn ()
+  step ()
   {
     fleet_now_ms += step_ms;
     auto calls = std::move (platform.calls);
@@ -396,21 +400,21 @@
       call.second ();
     deliver ();
     for (auto &h : hosts)
-      if (h.task != nullptr && !h.frozen)
+      if (h.task != nullptr && !h.suspended)
         ev_invoke (loop, &h.task->tick_timer, EV_TIMER);
     ev_run (loop, EVRUN_NOWAIT);
   }
 
-  // Turns until DONE, for at most MS of the fleet's time.
+  // Runs until DONE, for at most MS of simulated time.
   bool
-  until (int ms, const std::function<bool ()> &done,
-         const std::set<std::string> &bad = {})
+  run_until (int ms, const std::function<bool ()> &done,
+             const std::set<std::string> &failing = {})
   {
     for (int t = 0; t < ms; t += step_ms)
       {
-        traffic (bad);
-        turn ();
-        recount ();
+        record_requests (failing);
+        step ();
+        update_max_ejected ();
         if (done ())
           return true;
       }
@@ -418,21 +422,22 @@
   }
 
   void
-  run (int ms, const std::set<std::string> &bad = {})
+  run (int ms, const std::set<std::string> &failing = {})
   {
-    until (
-        ms, [] { return false; }, bad);
+    run_until (
+        ms, [] { return false; }, failing);
   }
 
-  int most_out = 0; // capacity that was out of work anywhere at once
+  int max_ejected_capacity = 0; // maximum capacity ejected at any host
 
   void
-  recount ()
+  update_max_ejected ()
   {
-    std::set<std::string> out;
+    std::set<std::string> ejected;
     for (auto &h : hosts)
-      out.insert (h.out.begin (), h.out.end ());
-    most_out = std::max (most_out, 4 * (int)out.size ());
+      ejected.insert (h.ejected.begin (), h.ejected.end ());
+    max_ejected_capacity
+        = std::max (max_ejected_capacity, 4 * (int)ejected.size ());
   }
 
   ejection_service *
@@ -441,32 +446,32 @@
     return ejection_find_service (hosts[i].task, service_name);
   }
 
-  // The host that acts as owner; -1: none or several.
+  // The index of the host that acts as owner; -1: none or several.
   int
   owner ()
   {
     int found = -1;
     for (int i = 0; i < host_count; i++)
-      if (hosts[i].task != nullptr && !hosts[i].frozen
+      if (hosts[i].task != nullptr && !hosts[i].suspended
           && service (i) != nullptr && service (i)->role == FLOOR_ROLE_OWNER)
         found = found < 0 ? i : host_count;
     return found == host_count ? -1 : found;
   }
 
   bool
-  all_out (const std::string &target)
+  ejected_everywhere (const std::string &target)
   {
     for (auto &h : hosts)
-      if (h.task != nullptr && !h.frozen && h.out.count (target) == 0)
+      if (h.task != nullptr && !h.suspended && h.ejected.count (target) == 0)
         return false;
     return true;
   }
 
   bool
-  none_out (const std::string &target)
+  ejected_nowhere (const std::string &target)
   {
     for (auto &h : hosts)
-      if (h.out.count (target) != 0)
+      if (h.ejected.count (target) != 0)
         return false;
     return true;
   }
@@ -477,14 +482,14 @@
             const peer_message *message)
 {
   auto *from = reinterpret_cast<fleet_host *> (transport);
-  fleet *all = from->all;
+  fleet *parent = from->parent;
   for (int i = 0; i < host_count; i++)
-    if (all->hosts[i].name == to)
+    if (parent->hosts[i].name == to)
       {
         size_t size;
         char *bytes = peer_message_encode (message, &size);
-        all->letters.push_back (
-            { (int)(from - all->hosts), i, std::string (bytes, size) });
+        parent->packets.push_back (
+            { (int)(from - parent->hosts), i, std::string (bytes, size) });
         free (bytes);
         return STATUS_OK;
       }
--- a/node/ejection/tests/ejection_messages_test.cc
+++ b/node/ejection/tests/ejection_messages_test.cc
@@ -12,8 +12,8 @@
 
 namespace
 {
-// Keeps the last message as the receiver would decode it.
-struct kept
+// A transport that keeps the last message as the receiver decodes it.
+struct capture_transport
 {
   ejection_transport base; // first
   peer_message message;
@@ -21,10 +21,10 @@
 };
 
 status
-keep (ejection_transport *transport, const char *to,
-      const peer_message *message)
+capture (ejection_transport *transport, const char *to,
+         const peer_message *message)
 {
-  auto *k = reinterpret_cast<kept *> (transport);
+  auto *k = reinterpret_cast<capture_transport *> (transport);
   size_t size;
   char *bytes = peer_message_encode (message, &size);
   const status decoded = peer_message_decode (bytes, size, &k->message);
@@ -33,11 +33,11 @@
   return decoded;
 }
 
-const ejection_transport_ops ops = { keep };
+const ejection_transport_ops ops = { capture };
 
 struct EjectionMessages : testing::Test
 {
-  kept last = { { &ops }, {} };
+  capture_transport last = { { &ops }, {} };
   ~EjectionMessages () override
   {
     if (last.has)
@@ -50,7 +50,7 @@
   }
 };
 
-TEST_F (EjectionMessages, AReportComesBack)
+TEST_F (EjectionMessages, ReportSurvivesEncoding)
 {
   detection_report_item items[2] = {};
   items[0].target_key = UINT64_MAX;
@@ -62,20 +62,20 @@
       = { "holds", 9, UINT64_MAX - 1, 123, "north-a", 77, items, 2 };
   ASSERT_EQ (ejection_send_report (&last.base, "h", &sent), STATUS_OK);
   ASSERT_EQ (ejection_message_kind (report ()), EJECTION_REPORT);
-  ejection_report got;
-  ASSERT_TRUE (ejection_read_report (report (), &got));
-  EXPECT_STREQ (got.service, "holds");
-  EXPECT_STREQ (got.dc, "north-a");
-  EXPECT_EQ (got.epoch, 9U);
-  EXPECT_EQ (got.incarnation, UINT64_MAX - 1);
-  EXPECT_EQ (got.poll_ms, 123);
-  EXPECT_EQ (got.demand, 77U);
-  ASSERT_EQ (got.count, 2U);
-  EXPECT_EQ (memcmp (got.items, items, sizeof items), 0);
-  free ((void *)got.items);
+  ejection_report read;
+  ASSERT_TRUE (ejection_read_report (report (), &read));
+  EXPECT_STREQ (read.service, "holds");
+  EXPECT_STREQ (read.dc, "north-a");
+  EXPECT_EQ (read.epoch, 9U);
+  EXPECT_EQ (read.incarnation, UINT64_MAX - 1);
+  EXPECT_EQ (read.poll_ms, 123);
+  EXPECT_EQ (read.demand, 77U);
+  ASSERT_EQ (read.count, 2U);
+  EXPECT_EQ (memcmp (read.items, items, sizeof items), 0);
+  free ((void *)read.items);
 }
 
-TEST_F (EjectionMessages, NewsComeBack)
+TEST_F (EjectionMessages, NoticeSurvivesEncoding)
 {
   const char names[2][PEER_NAME_SIZE] = { "t1", "t2" };
   const uint32_t shares[2] = { 0, 50 };
@@ -85,99 +85,100 @@
     { 350, 1250 }
   };
   ASSERT_EQ (ejection_send_notice (&last.base, "h", &sent), STATUS_OK);
-  ejection_notice got;
-  ASSERT_TRUE (ejection_read_notice (report (), &got));
-  EXPECT_EQ (got.kind, EJECTION_DECISION);
-  EXPECT_EQ (got.sequence, 4U);
-  EXPECT_EQ (got.enforce_ms, 900U);
-  EXPECT_EQ (got.incarnation, 5U);
-  EXPECT_EQ (got.poll_ms, 6);
-  ASSERT_EQ (got.count, 2U);
-  EXPECT_STREQ (got.names[1], "t2");
-  EXPECT_EQ (got.trial_permille[1], 50U);
-  ASSERT_EQ (got.avoid_count, 1U);
-  EXPECT_STREQ (got.avoided[0], "t7");
-  EXPECT_EQ (got.share.from_permille, 350U);
-  EXPECT_EQ (got.share.permille, 1250U);
-  free ((void *)got.trial_permille);
-  // A target to avoid among those ejected, or neither.
+  ejection_notice read;
+  ASSERT_TRUE (ejection_read_notice (report (), &read));
+  EXPECT_EQ (read.kind, EJECTION_DECISION);
+  EXPECT_EQ (read.sequence, 4U);
+  EXPECT_EQ (read.enforce_ms, 900U);
+  EXPECT_EQ (read.incarnation, 5U);
+  EXPECT_EQ (read.poll_ms, 6);
+  ASSERT_EQ (read.count, 2U);
+  EXPECT_STREQ (read.names[1], "t2");
+  EXPECT_EQ (read.trial_permille[1], 50U);
+  ASSERT_EQ (read.avoided_count, 1U);
+  EXPECT_STREQ (read.avoided[0], "t7");
+  EXPECT_EQ (read.share.from_permille, 350U);
+  EXPECT_EQ (read.share.permille, 1250U);
+  free ((void *)read.trial_permille);
+  // A target to avoid before an ejected one; an invalid flag.
   report ()->values[report ()->columns + 1] = 1;
-  EXPECT_FALSE (ejection_read_notice (report (), &got));
+  EXPECT_FALSE (ejection_read_notice (report (), &read));
   report ()->values[report ()->columns + 1] = 2;
-  EXPECT_FALSE (ejection_read_notice (report (), &got));
+  EXPECT_FALSE (ejection_read_notice (report (), &read));
 }
 
-TEST_F (EjectionMessages, OrdersComeBack)
+TEST_F (EjectionMessages, CommandMessageSurvivesEncoding)
 {
   const ejection_command_message sent
       = { EJECTION_RESULT, "holds", "t1", UINT64_MAX, 8, 5, 3, 2 };
   ASSERT_EQ (ejection_send_command_message (&last.base, "h", &sent),
              STATUS_OK);
-  ejection_command_message got;
-  ASSERT_TRUE (ejection_read_command_message (report (), &got));
-  EXPECT_EQ (got.id, UINT64_MAX);
-  EXPECT_EQ (got.version, 8U);
-  EXPECT_EQ (got.verb, 5);
-  EXPECT_EQ (got.status, 3);
-  EXPECT_EQ (got.reason, 2);
-  EXPECT_STREQ (got.target, "t1");
+  ejection_command_message read;
+  ASSERT_TRUE (ejection_read_command_message (report (), &read));
+  EXPECT_EQ (read.id, UINT64_MAX);
+  EXPECT_EQ (read.version, 8U);
+  EXPECT_EQ (read.verb, 5);
+  EXPECT_EQ (read.status, 3);
+  EXPECT_EQ (read.reason, 2);
+  EXPECT_STREQ (read.target, "t1");
 }
 
-TEST_F (EjectionMessages, WhatIsMalformedIsRefused)
+TEST_F (EjectionMessages, MalformedMessagesAreRefused)
 {
   detection_report_item item = {};
   item.target_key = 5;
   item.evidence.requests = 2;
   const ejection_report sent = { "holds", 1, 1, 1, "dc", 0, &item, 1 };
   ASSERT_EQ (ejection_send_report (&last.base, "h", &sent), STATUS_OK);
-  ejection_report got;
+  ejection_report read;
   int64_t *row = report ()->values + report ()->columns;
   for (const int64_t bad : { (int64_t)-1, (int64_t)UINT32_MAX + 1 })
     {
       row[1] = bad;
-      EXPECT_FALSE (ejection_read_report (report (), &got));
+      EXPECT_FALSE (ejection_read_report (report (), &read));
     }
   row[1] = 2;
   row[2] = 3; // more failures than requests
-  EXPECT_FALSE (ejection_read_report (report (), &got));
+  EXPECT_FALSE (ejection_read_report (report (), &read));
   row[2] = 0;
   row[0] = 0;
-  EXPECT_FALSE (ejection_read_report (report (), &got));
+  EXPECT_FALSE (ejection_read_report (report (), &read));
   report ()->values[0] = 77;
   EXPECT_EQ (ejection_message_kind (report ()), 0);
   report ()->values[0] = EJECTION_REPORT;
   report ()->value_count--;
   EXPECT_EQ (ejection_message_kind (report ()), 0);
-  ejection_notice news;
+  ejection_notice notice;
   report ()->value_count++;
-  EXPECT_FALSE (ejection_read_notice (report (), &news));
-  ejection_command_message order;
-  EXPECT_FALSE (ejection_read_command_message (report (), &order));
+  EXPECT_FALSE (ejection_read_notice (report (), &notice));
+  ejection_command_message command;
+  EXPECT_FALSE (ejection_read_command_message (report (), &command));
 }
 
-// A host would take slots by the million on the word of a broken peer.
+// A faulty peer must not be able to grant a host an excessive share of the
+// slots.
 TEST_F (EjectionMessages, SharesOutOfBoundsAreRefused)
 {
   ejection_notice sent = {};
   sent.kind = EJECTION_DECISION;
   sent.service = "holds";
   ASSERT_EQ (ejection_send_notice (&last.base, "h", &sent), STATUS_OK);
-  ejection_notice got;
-  ASSERT_TRUE (ejection_read_notice (report (), &got));
-  free ((void *)got.trial_permille);
+  ejection_notice read;
+  ASSERT_TRUE (ejection_read_notice (report (), &read));
+  free ((void *)read.trial_permille);
   for (const int column : { 4, 5 })
     {
       for (const int64_t bad : { (int64_t)-1, (int64_t)4001, INT64_MAX })
         {
           report ()->values[column] = bad;
-          EXPECT_FALSE (ejection_read_notice (report (), &got)) << column;
+          EXPECT_FALSE (ejection_read_notice (report (), &read)) << column;
         }
       report ()->values[column] = 0;
     }
 }
 
-// Random numbers where a report or decision is expected: each is refused or
-// read within its bounds (the sanitizers watch).
+// Reports and decisions of random numbers are refused, or read within their
+// bounds, which the sanitizers check.
 TEST_F (EjectionMessages, RandomNumbersStayWithinBounds)
 {
   struct rng rng;
@@ -197,14 +198,14 @@
       r.names = names;
       r.name_count = rng_below (&rng, 2);
       ejection_report report;
-      ejection_notice news;
+      ejection_notice notice;
       if (ejection_read_report (&r, &report))
         free ((void *)report.items);
-      if (!ejection_read_notice (&r, &news))
+      if (!ejection_read_notice (&r, &notice))
         continue;
-      EXPECT_LE (news.share.from_permille, 4000U);
-      EXPECT_LE (news.share.permille, 4000U);
-      free ((void *)news.trial_permille);
+      EXPECT_LE (notice.share.from_permille, 4000U);
+      EXPECT_LE (notice.share.permille, 4000U);
+      free ((void *)notice.trial_permille);
     }
 }
 }
--- a/node/ejection/tests/ejection_task_test.cc
+++ b/node/ejection/tests/ejection_task_test.cc
@@ -4,7 +4,7 @@
 
 namespace
 {
-constexpr int long_ms = 20000;
+constexpr int timeout_ms = 20000;
 
 struct result
 {
@@ -24,7 +24,7 @@
 }
 
 operator_command
-order (operator_verb verb, const char *target, uint64_t version = 0)
+make_command (operator_verb verb, const char *target, uint64_t version = 0)
 {
   operator_command c = {};
   c.verb = verb;
@@ -40,152 +40,164 @@
   void
   SetUp () override
   {
-    ASSERT_TRUE (f.until (long_ms, [&] { return f.owner () >= 0; }));
-    f.run (3000); // the detector learns what is normal
+    ASSERT_TRUE (f.run_until (timeout_ms, [&] { return f.owner () >= 0; }));
+    f.run (3000); // the detector learns the baseline
   }
   result
   command (int host, const operator_command &c)
   {
     result r;
     ejection_task_command (f.hosts[host].task, &c, on_result, &r);
-    EXPECT_FALSE (r.ended) << "not from the loop";
-    EXPECT_TRUE (f.until (long_ms, [&] { return r.ended; }));
+    EXPECT_FALSE (r.ended) << "ended outside the loop";
+    EXPECT_TRUE (f.run_until (timeout_ms, [&] { return r.ended; }));
     return r;
   }
   bool
-  gray (const std::string &target)
+  fail_until_ejected (const std::string &target)
   {
-    return f.until (long_ms, [&] { return f.all_out (target); }, { target });
+    return f.run_until (
+        timeout_ms, [&] { return f.ejected_everywhere (target); }, { target });
   }
 };
 
-TEST_F (EjectionTask, TheFirstHostOfTheSetBecomesOwner)
+TEST_F (EjectionTask, FirstHostOfTheSetBecomesOwner)
 {
   EXPECT_EQ (f.owner (), 0);
   EXPECT_EQ (f.platform.objects.size (), 1U);
 }
 
-TEST_F (EjectionTask, AGrayTargetGoesOutEverywhere)
+TEST_F (EjectionTask, FailingTargetIsEjectedEverywhere)
 {
-  ASSERT_TRUE (gray ("t2"));
-  EXPECT_TRUE (f.none_out ("t1"));
-  EXPECT_EQ (f.most_out, 4);
+  ASSERT_TRUE (fail_until_ejected ("t2"));
+  EXPECT_TRUE (f.ejected_nowhere ("t1"));
+  EXPECT_EQ (f.max_ejected_capacity, 4);
 }
 
-// Callers would be turned away: the targets turn gray one after another and
-// each ejection alone looks right, until too few are left.
-TEST_F (EjectionTask, TheFloorStopsEjection)
+// Targets start to fail one after another.  Each ejection alone is justified,
+// but without the floor too little capacity would remain for the callers.
+TEST_F (EjectionTask, FloorLimitsEjections)
 {
   f.set_floor (20);
-  ASSERT_TRUE (gray ("t2"));
-  f.run (long_ms / 4, { "t2", "t3" });
-  EXPECT_EQ (f.most_out, 4);
+  ASSERT_TRUE (fail_until_ejected ("t2"));
+  f.run (timeout_ms / 4, { "t2", "t3" });
+  EXPECT_EQ (f.max_ejected_capacity, 4);
 }
 
-// A gray payment target would swallow work for hours: it turns gray while
-// the platform is down, when nothing can be written.
-TEST_F (EjectionTask, TheReserveCarriesThroughAnOutage)
+// A target starts to fail while the platform is unavailable, so the ejection
+// can't be written to the record.  Without the reserve, requests would be sent
+// to it until the platform is available again.
+TEST_F (EjectionTask, ReserveAllowsEjectionsInAnOutage)
 {
-  f.platform.down = true;
-  ASSERT_TRUE (gray ("t4"));
+  f.platform.is_down = true;
+  ASSERT_TRUE (fail_until_ejected ("t4"));
   f.run (5000, { "t4" });
   EXPECT_EQ (f.owner (), 0);
   const int writes = f.platform.writes;
-  f.platform.down = false;
-  ASSERT_TRUE (f.until (long_ms, [&] { return f.platform.writes > writes; }));
+  f.platform.is_down = false;
+  ASSERT_TRUE (
+      f.run_until (timeout_ms, [&] { return f.platform.writes > writes; }));
 }
 
-// A gray target would come back for good: the owner's host is replaced, and
-// the next owner doesn't know what was ejected.
-TEST_F (EjectionTask, TheNextOwnerKeepsWhatIsEjected)
+// The owner's host stops, and the next owner must take over the ejections from
+// the record.  Otherwise the failing target would get requests again.
+TEST_F (EjectionTask, NextOwnerKeepsEjections)
 {
-  ASSERT_TRUE (gray ("t2"));
+  ASSERT_TRUE (fail_until_ejected ("t2"));
   f.run (500, { "t2" });
   f.stop (0);
-  ASSERT_TRUE (f.until (long_ms, [&] { return f.owner () == 1; }, { "t2" }));
-  ASSERT_TRUE (f.until (long_ms, [&] { return f.all_out ("t2"); }));
-  EXPECT_EQ (f.most_out, 4);
+  ASSERT_TRUE (
+      f.run_until (timeout_ms, [&] { return f.owner () == 1; }, { "t2" }));
+  ASSERT_TRUE (
+      f.run_until (timeout_ms, [&] { return f.ejected_everywhere ("t2"); }));
+  EXPECT_EQ (f.max_ejected_capacity, 4);
 }
 
-// Targets would go out twice over: the owner is frozen, another takes over
-// and ejects, and the first wakes with its own decision still in hand.
-TEST_F (EjectionTask, AFrozenOwnerFindsItselfReplaced)
+// The owner is suspended, and another host takes over and ejects targets. When
+// the first one is resumed, it must not announce its old decision: both
+// decisions together could breach the floor.
+TEST_F (EjectionTask, SuspendedOwnerStopsWhenReplaced)
 {
   f.set_floor (16);
-  ASSERT_TRUE (gray ("t2"));
+  ASSERT_TRUE (fail_until_ejected ("t2"));
   f.run (500, { "t2" });
-  f.hosts[0].frozen = true;
-  ASSERT_TRUE (f.until (long_ms, [&] { return f.owner () == 1; }, { "t2" }));
+  f.hosts[0].suspended = true;
+  ASSERT_TRUE (
+      f.run_until (timeout_ms, [&] { return f.owner () == 1; }, { "t2" }));
   f.run (2000, { "t2", "t3" });
-  f.hosts[0].frozen = false;
+  f.hosts[0].suspended = false;
   f.run (3000, { "t2", "t3" });
   EXPECT_EQ (f.owner (), 1);
-  EXPECT_LE (f.most_out, 8);
-  // It said that it stopped, so its reserve is known to be over.
+  EXPECT_LE (f.max_ejected_capacity, 8);
+  // It announced that it stopped, so its reserve is settled.
   EXPECT_TRUE (floor_owner_claims (f.service (1)->owner)->settled);
 }
 
-// An ejection would be written twice, or taken for failed while it is in
-// force: the answer to the write is lost after it took effect.
-TEST_F (EjectionTask, AWriteWithoutAnswerIsReadBack)
+// The answer to a write is lost after the write took effect.  The ejection
+// must not be written twice, nor be reported as failed while it is in force.
+TEST_F (EjectionTask, LostAnswerOfWriteIsReadBack)
 {
   f.platform.lose_next_write_answer = true;
   const int writes = f.platform.writes;
-  const result r = command (0, order (OPERATOR_EJECT, "t1"));
+  const result r = command (0, make_command (OPERATOR_EJECT, "t1"));
   EXPECT_EQ (r.code, STATUS_OK) << r.message;
   EXPECT_EQ (f.platform.writes, writes + 1);
   EXPECT_EQ (r.version, f.platform.objects[service_name].version);
 }
 
-// Gray targets would stay in service for a whole lease at each rolling
-// replacement: the owner leaves and says nothing.
-TEST_F (EjectionTask, ALeavingOwnerHandsOverAtOnce)
+// An owner that leaves must announce it.  Otherwise failing targets would stay
+// in service for a lease at each rolling replacement of hosts.
+TEST_F (EjectionTask, LeavingOwnerIsReplacedAtOnce)
 {
-  ASSERT_TRUE (gray ("t2"));
+  ASSERT_TRUE (fail_until_ejected ("t2"));
   f.run (500, { "t2" });
   bus_message m = {};
   m.topic = BUS_SHUTDOWN;
   bus_post (f.hosts[0].messages, &m);
-  ASSERT_TRUE (f.until (long_ms, [&] { return f.owner () > 0; }));
+  ASSERT_TRUE (f.run_until (timeout_ms, [&] { return f.owner () > 0; }));
   const floor_owner *o = f.service (f.owner ())->owner;
   EXPECT_EQ (floor_owner_claims (o)->old_reserve, 0U);
-  EXPECT_TRUE (f.all_out ("t2"));
+  EXPECT_TRUE (f.ejected_everywhere ("t2"));
 }
 
-TEST_F (EjectionTask, ACommandReachesTheOwnerThroughAnyHost)
+TEST_F (EjectionTask, CommandIsForwardedToTheOwner)
 {
-  EXPECT_EQ (command (2, order (OPERATOR_EJECT, "t5")).code, STATUS_OK);
-  ASSERT_TRUE (f.until (long_ms, [&] { return f.all_out ("t5"); }));
-  EXPECT_EQ (command (1, order (OPERATOR_REINSTATE, "t5")).code, STATUS_OK);
-  EXPECT_TRUE (f.until (long_ms, [&] { return f.none_out ("t5"); }));
-  const result again = command (1, order (OPERATOR_REINSTATE, "t5"));
+  EXPECT_EQ (command (2, make_command (OPERATOR_EJECT, "t5")).code, STATUS_OK);
+  ASSERT_TRUE (
+      f.run_until (timeout_ms, [&] { return f.ejected_everywhere ("t5"); }));
+  EXPECT_EQ (command (1, make_command (OPERATOR_REINSTATE, "t5")).code,
+             STATUS_OK);
+  EXPECT_TRUE (
+      f.run_until (timeout_ms, [&] { return f.ejected_nowhere ("t5"); }));
+  const result again = command (1, make_command (OPERATOR_REINSTATE, "t5"));
   EXPECT_EQ (again.code, STATUS_REFUSED);
   EXPECT_NE (again.message.find ("isn't ejected"), std::string::npos);
-  EXPECT_EQ (command (1, order (OPERATOR_EJECT, "t9")).code, STATUS_REFUSED);
+  EXPECT_EQ (command (1, make_command (OPERATOR_EJECT, "t9")).code,
+             STATUS_REFUSED);
 }
 
-TEST_F (EjectionTask, AnOperatorCantBreachTheFloor)
+TEST_F (EjectionTask, OperatorCantBreachTheFloor)
 {
   f.set_floor (20);
-  EXPECT_EQ (command (0, order (OPERATOR_EJECT, "t0")).code, STATUS_OK);
-  const result r = command (2, order (OPERATOR_EJECT, "t1"));
+  EXPECT_EQ (command (0, make_command (OPERATOR_EJECT, "t0")).code, STATUS_OK);
+  const result r = command (2, make_command (OPERATOR_EJECT, "t1"));
   EXPECT_EQ (r.code, STATUS_REFUSED);
   EXPECT_NE (r.message.find ("floor"), std::string::npos) << r.message;
   f.run (1000);
-  EXPECT_EQ (f.most_out, 4);
+  EXPECT_EQ (f.max_ejected_capacity, 4);
 }
 
-// Two operators would undo each other without knowing: both look, then both
-// command at one moment.
-TEST_F (EjectionTask, OfTwoCommandsOnOneVersionOneIsRefused)
+// Two operators send commands at the same time, based on the same version.  If
+// both were carried out, one would undo the other's without notice.
+TEST_F (EjectionTask, OneOfTwoCommandsOnTheSameVersionIsRefused)
 {
   const uint64_t seen = f.platform.objects[service_name].version;
   result first, second;
-  const operator_command a = order (OPERATOR_EJECT, "t0", seen);
-  const operator_command b = order (OPERATOR_EJECT, "t1", seen);
+  const operator_command a = make_command (OPERATOR_EJECT, "t0", seen);
+  const operator_command b = make_command (OPERATOR_EJECT, "t1", seen);
   ejection_task_command (f.hosts[0].task, &a, on_result, &first);
   ejection_task_command (f.hosts[1].task, &b, on_result, &second);
-  ASSERT_TRUE (f.until (long_ms, [&] { return first.ended && second.ended; }));
+  ASSERT_TRUE (
+      f.run_until (timeout_ms, [&] { return first.ended && second.ended; }));
   EXPECT_EQ (first.code, STATUS_OK);
   EXPECT_EQ (second.code, STATUS_REFUSED);
   EXPECT_NE (second.changed.find ("version " + std::to_string (first.version)),
@@ -193,74 +205,81 @@
       << second.changed;
 }
 
-// A caller that came to a host outside the set would be sent to a target that
-// all others have given up.
-TEST_F (EjectionTask, AHostOutsideTheSetFollowsWhileItServes)
+// A host outside the set that serves requests must enforce the ejections too.
+// Otherwise its requests would go to targets that all other hosts have
+// ejected.
+TEST_F (EjectionTask, HostOutsideTheSetPollsWhileItServes)
 {
   f.set_size = 2;
   for (int i = 0; i < host_count; i++)
     f.post_hosts (i);
   f.run (100);
-  ASSERT_TRUE (gray ("t2"));
+  ASSERT_TRUE (fail_until_ejected ("t2"));
   const size_t polls = f.service (0)->poller_count;
   EXPECT_EQ (polls, 3U);
-  // Without traffic it stops asking, and what it enforced lapses.
-  const auto idle = [&] { return f.hosts[2].out.empty (); };
-  bool lapsed = false;
-  for (int i = 0; i < long_ms / step_ms && !lapsed; i++)
+  // Without requests it stops polling, and its enforcement expires.
+  const auto idle = [&] { return f.hosts[2].ejected.empty (); };
+  bool expired = false;
+  for (int i = 0; i < timeout_ms / step_ms && !expired; i++)
     {
-      f.turn ();
-      lapsed = idle ();
+      f.step ();
+      expired = idle ();
     }
-  EXPECT_TRUE (lapsed);
-  EXPECT_EQ (f.hosts[1].out.count ("t2"), 1U);
+  EXPECT_TRUE (expired);
+  EXPECT_EQ (f.hosts[1].ejected.count ("t2"), 1U);
 }
 
-// Capacity promised to callers would be missing: the floor is raised while
-// targets are out.
-TEST_F (EjectionTask, ARaisedFloorBringsTargetsBack)
+// The floor is raised while targets are ejected.  They must be reinstated, or
+// the healthy capacity would stay below the floor.
+TEST_F (EjectionTask, RaisedFloorReinstatesTargets)
 {
-  EXPECT_EQ (command (0, order (OPERATOR_EJECT, "t0")).code, STATUS_OK);
-  EXPECT_EQ (command (0, order (OPERATOR_EJECT, "t1")).code, STATUS_OK);
-  ASSERT_TRUE (f.until (long_ms, [&] { return f.all_out ("t1"); }));
+  EXPECT_EQ (command (0, make_command (OPERATOR_EJECT, "t0")).code, STATUS_OK);
+  EXPECT_EQ (command (0, make_command (OPERATOR_EJECT, "t1")).code, STATUS_OK);
+  ASSERT_TRUE (
+      f.run_until (timeout_ms, [&] { return f.ejected_everywhere ("t1"); }));
   f.set_floor (24);
-  EXPECT_TRUE (
-      f.until (1000, [&] { return f.none_out ("t0") && f.none_out ("t1"); }));
+  EXPECT_TRUE (f.run_until (1000, [&] {
+    return f.ejected_nowhere ("t0") && f.ejected_nowhere ("t1");
+  }));
 }
 
-// A host would keep a target out for ever: it can't hear its owner any more.
-TEST_F (EjectionTask, WhatIsNotRefreshedLapses)
+// A host that no longer receives from the owner must not keep a target ejected
+// for ever.
+TEST_F (EjectionTask, EnforcementExpiresWithoutRefresh)
 {
-  EXPECT_EQ (command (0, order (OPERATOR_EJECT, "t0")).code, STATUS_OK);
-  ASSERT_TRUE (f.until (long_ms, [&] { return f.all_out ("t0"); }));
-  // Less than is counted, by as much as a host may notice its end late.
-  EXPECT_EQ (f.most_told_ms,
+  EXPECT_EQ (command (0, make_command (OPERATOR_EJECT, "t0")).code, STATUS_OK);
+  ASSERT_TRUE (
+      f.run_until (timeout_ms, [&] { return f.ejected_everywhere ("t0"); }));
+  // Shorter than the time by which the floor is computed, by the maximum delay
+  // until a host notices the end.
+  EXPECT_EQ (f.max_enforce_ms,
              1000 - 2 * ejection_tick_interval_ms (f.hosts[2].task));
-  f.cut[0][2] = true;
-  EXPECT_TRUE (f.until (1000, [&] { return f.hosts[2].out.empty (); }));
-  EXPECT_EQ (f.hosts[1].out.count ("t0"), 1U);
-  // Host 2 is told by host 1 that the owner is heard, so it leaves it alone.
+  f.link_down[0][2] = true;
+  EXPECT_TRUE (
+      f.run_until (1000, [&] { return f.hosts[2].ejected.empty (); }));
+  EXPECT_EQ (f.hosts[1].ejected.count ("t0"), 1U);
+  // Host 1 redirects host 2 to the owner, so host 2 doesn't replace it.
   f.run (1500);
   EXPECT_EQ (f.owner (), 0);
 }
 
-// A healthy target would stay out for good: nothing is sent to it, so nothing
-// shows that it has recovered.
-TEST_F (EjectionTask, ARecoveredTargetComesBackThroughATrial)
+// No requests are sent to an ejected target, so without trials nothing would
+// show that it has recovered, and it would stay ejected for ever.
+TEST_F (EjectionTask, RecoveredTargetIsReinstatedAfterATrial)
 {
-  ASSERT_TRUE (gray ("t2"));
-  EXPECT_TRUE (f.until (10 * long_ms, [&] {
+  ASSERT_TRUE (fail_until_ejected ("t2"));
+  EXPECT_TRUE (f.run_until (10 * timeout_ms, [&] {
     const floor_claim *claim
         = floor_record_find (floor_owner_claims (f.service (0)->owner), "t2");
     return claim == nullptr || claim->state == FLOOR_CLAIM_RELEASING;
   }));
-  EXPECT_TRUE (f.until (1000, [&] { return f.none_out ("t2"); }));
+  EXPECT_TRUE (f.run_until (1000, [&] { return f.ejected_nowhere ("t2"); }));
 }
 
-TEST_F (EjectionTask, ATargetStillGrayFailsItsTrial)
+TEST_F (EjectionTask, FailingTargetFailsItsTrial)
 {
-  ASSERT_TRUE (gray ("t2"));
-  f.run (3 * long_ms, { "t2" });
+  ASSERT_TRUE (fail_until_ejected ("t2"));
+  f.run (3 * timeout_ms, { "t2" });
   const floor_claim *claim
       = floor_record_find (floor_owner_claims (f.service (0)->owner), "t2");
   ASSERT_NE (claim, nullptr);
@@ -281,9 +300,9 @@
   return seen;
 }
 
-// A healthy target would go out on the word of one request counted twice:
-// the network hands a report over again.
-TEST_F (EjectionTask, AReportThatComesTwiceCountsOnce)
+// The network duplicates a report.  If its outcomes were counted twice, a
+// healthy target could be ejected.
+TEST_F (EjectionTask, DuplicateReportCountsOnce)
 {
   const uint32_t once = requests_seen (f);
   f.duplicate = true;
@@ -291,47 +310,49 @@
   EXPECT_LE (twice, once + 3 * 1000 / step_ms);
 }
 
-// A gray target would go unnoticed: what a host saw of it while its owner
-// was cut off went to hosts that can't use it.
-TEST_F (EjectionTask, EvidenceWaitsForTheOwner)
+// While the owner is unreachable, outcomes must be kept for it.  If they were
+// sent to hosts that aren't the owner, they would be lost, and a failing
+// target would go unnoticed.
+TEST_F (EjectionTask, OutcomesAreKeptWhileTheOwnerIsUnreachable)
 {
-  f.cut[0][1] = f.cut[1][0] = true;
+  f.link_down[0][1] = f.link_down[1][0] = true;
   f.run (450);
   for (int i = 0; i < 10; i++)
-    f.turn ();
+    f.step ();
   detection_report_item items[target_count];
   EXPECT_EQ (
       detection_recorder_collect (f.hosts[1].recorder, items, target_count),
       (size_t)target_count);
 }
 
-// A target would be out for the whole time from a poll of the process that
-// ran here before: that one's clock may have been ahead of this one's.
-TEST_F (EjectionTask, AnAnswerToAnEarlierProcessEnforcesNothing)
+// A decision answers a poll of this host's previous process.  The poll's time
+// may be ahead of the new process's clock, so the decision could be enforced
+// for too long.
+TEST_F (EjectionTask, AnswerToThePreviousProcessIsNotEnforced)
 {
   const char names[1][PEER_NAME_SIZE] = { "t3" };
-  ejection_notice news = {};
-  news.kind = EJECTION_DECISION;
-  news.service = service_name;
-  news.epoch = 1;
-  news.sequence = 99;
-  news.enforce_ms = 900;
-  news.incarnation = f.hosts[2].task->options.incarnation + 1;
-  news.poll_ms = fleet_now_ms;
-  news.names = names;
-  news.count = 1;
-  ejection_send_notice (&f.hosts[0].transport, "host-2", &news);
+  ejection_notice notice = {};
+  notice.kind = EJECTION_DECISION;
+  notice.service = service_name;
+  notice.epoch = 1;
+  notice.sequence = 99;
+  notice.enforce_ms = 900;
+  notice.incarnation = f.hosts[2].task->options.incarnation + 1;
+  notice.poll_ms = fleet_now_ms;
+  notice.names = names;
+  notice.count = 1;
+  ejection_send_notice (&f.hosts[0].transport, "host-2", &notice);
   f.run (100);
-  EXPECT_TRUE (f.none_out ("t3"));
+  EXPECT_TRUE (f.ejected_nowhere ("t3"));
 }
 
-// An operator would be told that a target is out when it isn't: another host
-// answers for the owner.
-TEST_F (EjectionTask, OnlyTheHostThatWasAskedEndsACommand)
+// A result comes from a host to which the command wasn't forwarded.  If it
+// were accepted, the operator could get a wrong result.
+TEST_F (EjectionTask, OnlyTheHostForwardedToEndsACommand)
 {
   result r;
-  const operator_command c = order (OPERATOR_EJECT, "t1");
-  f.cut[2][0] = true;
+  const operator_command c = make_command (OPERATOR_EJECT, "t1");
+  f.link_down[2][0] = true;
   ejection_task_command (f.hosts[2].task, &c, on_result, &r);
   ejection_command_message forged = {};
   forged.kind = EJECTION_RESULT;
@@ -341,13 +362,13 @@
   ejection_send_command_message (&f.hosts[1].transport, "host-2", &forged);
   f.run (100);
   EXPECT_FALSE (r.ended);
-  ASSERT_TRUE (f.until (long_ms, [&] { return r.ended; }));
+  ASSERT_TRUE (f.run_until (timeout_ms, [&] { return r.ended; }));
   EXPECT_EQ (r.code, STATUS_LOST_ANSWER);
 }
 
-TEST_F (EjectionTask, RowsTellWhatAnOperatorNeeds)
+TEST_F (EjectionTask, RowsHaveTheFieldsForOperators)
 {
-  ASSERT_TRUE (gray ("t2"));
+  ASSERT_TRUE (fail_until_ejected ("t2"));
   for (int i = 0; i < 2; i++)
     {
       json_object *rows = ejection_rows (f.hosts[i].task);
--- a/node/ejection/tests/target_probe_test.cc
+++ b/node/ejection/tests/target_probe_test.cc
@@ -55,23 +55,23 @@
   }
 };
 
-TEST_F (TargetProbe, AListenerAnswers)
+TEST_F (TargetProbe, ListenerAccepts)
 {
   ASSERT_EQ (listen (fd, 4), 0);
   EXPECT_TRUE (probe (address));
 }
 
-TEST_F (TargetProbe, ABoundPortWithoutListenerRefuses)
+TEST_F (TargetProbe, BoundPortWithoutListenerRefuses)
 {
   EXPECT_FALSE (probe (address));
 }
 
-TEST_F (TargetProbe, ABadAddressFailsFromTheLoop)
+TEST_F (TargetProbe, InvalidAddressFailsFromTheLoop)
 {
   EXPECT_FALSE (probe ("nowhere"));
 }
 
-TEST_F (TargetProbe, DestroyedItIsSilent)
+TEST_F (TargetProbe, DestroyedProbeIsNotCalledBack)
 {
   ASSERT_EQ (listen (fd, 4), 0);
   target_probe_destroy (target_probe_start (
