--- a/node/registry/registry.c
+++ b/node/registry/registry.c
@@ -16,8 +16,9 @@
 #include "wire/platform.h"
 #include "wire/target_record.h"
 
-/* Changes of one burst (a release, a list) are told together. */
-static const double TELL_AFTER_SECONDS = 0.005;
+/* Changes of one burst, such as a release or a list of objects, are published
+   together. */
+static const double UPDATE_DELAY_SECONDS = 0.005;
 
 struct registry_target
 {
@@ -25,7 +26,8 @@
   UT_hash_handle hh;
 };
 
-/* An object that names no target, so that the same text is told once. */
+/* A rejected target object.  Its hash is kept so that each text is logged
+   once. */
 struct registry_refusal
 {
   char name[PLATFORM_NAME_SIZE];
@@ -33,13 +35,13 @@
   UT_hash_handle hh;
 };
 
-/* A service that was told. */
+/* A service of the configuration. */
 struct registry_service
 {
   char name[SERVICE_NAME_SIZE];
   char group[SERVICE_NAME_SIZE];
-  uint32_t goals; /* routes to it that name one */
-  double per_ms;  /* sum of 1 / goal */
+  uint32_t goal_count;     /* routes to it that have a latency goal */
+  double inverse_goal_sum; /* sum of 1 / latency_goal_ms over these routes */
   bool changed;
   UT_hash_handle hh;
 };
@@ -52,21 +54,21 @@
   struct registry_target *targets;   /* by name */
   struct registry_refusal *refusals; /* by name */
   struct registry_service *services; /* by name */
-  uint64_t version;                  /* of the newest spec told */
-  ev_timer tell;
+  uint64_t version;                  /* of the newest published spec */
+  ev_timer update_timer;
 };
 
 static void
-tell_soon (struct registry *registry)
+schedule_update (struct registry *registry)
 {
-  if (ev_is_active (&registry->tell))
+  if (ev_is_active (&registry->update_timer))
     return;
-  ev_timer_set (&registry->tell, TELL_AFTER_SECONDS, 0.);
-  ev_timer_start (registry->options.loop, &registry->tell);
+  ev_timer_set (&registry->update_timer, UPDATE_DELAY_SECONDS, 0.);
+  ev_timer_start (registry->options.loop, &registry->update_timer);
 }
 
 static struct registry_service *
-service_entry (struct registry *registry, const char *name)
+find_or_add_service (struct registry *registry, const char *name)
 {
   struct registry_service *service;
   HASH_FIND_STR (registry->services, name, service);
@@ -79,16 +81,17 @@
   return service;
 }
 
-/* Targets of a service that isn't configured wait for it. */
+/* A service that isn't configured yet has no entry; its targets are published
+   once it is. */
 static void
-touch_service (struct registry *registry, const char *name)
+mark_service_changed (struct registry *registry, const char *name)
 {
   struct registry_service *service;
   HASH_FIND_STR (registry->services, name, service);
   if (service == NULL)
     return;
   service->changed = true;
-  tell_soon (registry);
+  schedule_update (registry);
 }
 
 static int
@@ -115,8 +118,8 @@
 }
 
 static void
-gather_targets (const struct registry *registry, struct service_spec *spec,
-                uint32_t connections)
+collect_targets (const struct registry *registry, struct service_spec *spec,
+                 uint32_t connections)
 {
   const struct registry_target *target;
   spec->targets
@@ -129,19 +132,20 @@
          compare_targets);
 }
 
-/* The harmonic mean, of the routes that name a goal: as many answers fit in a
-   second as when each route had its own.  One route that changes among many
-   changes little. */
+/* The harmonic mean of the routes' latency goals: targets can then serve as
+   many requests a second as if each route had its own goal.  A change of one
+   route among many changes it only a little. */
 static uint32_t
-goal_of (const struct registry_service *service)
+mean_goal_ms (const struct registry_service *service)
 {
-  return service->goals == 0
+  return service->goal_count == 0
              ? 0
-             : (uint32_t)lround (service->goals / service->per_ms);
+             : (uint32_t)lround (service->goal_count
+                                 / service->inverse_goal_sum);
 }
 
 static void
-tell_service (struct registry *registry, struct registry_service *service)
+publish_service (struct registry *registry, struct registry_service *service)
 {
   const struct fleet_config *config = registry->config;
   const struct fleet_service *declared
@@ -157,14 +161,14 @@
   spec.prefer = registry->options.prefer;
   spec.limits = registry->options.limits;
   spec.limits.body_bytes = config->limits.body_bytes;
-  spec.limits.goal_ms = goal_of (service);
-  gather_targets (registry, &spec, declared->connections);
+  spec.limits.goal_ms = mean_goal_ms (service);
+  collect_targets (registry, &spec, declared->connections);
   registry->options.events->service (registry->options.owner, &spec);
   free (spec.targets);
 }
 
 static void
-drop_service (struct registry *registry, struct registry_service *service)
+remove_service (struct registry *registry, struct registry_service *service)
 {
   HASH_DEL (registry->services, service);
   registry->options.events->service_removed (
@@ -180,12 +184,12 @@
   HASH_ITER (hh, registry->services, service, next)
   {
     if (fleet_config_service (registry->config, service->name) == NULL)
-      drop_service (registry, service);
+      remove_service (registry, service);
   }
 }
 
 static void
-on_tell (struct ev_loop *loop, ev_timer *timer, int events)
+update_cb (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct registry *registry = timer->data;
   struct registry_service *service;
@@ -194,7 +198,7 @@
   for (service = registry->services; service != NULL;
        service = service->hh.next)
     if (service->changed)
-      tell_service (registry, service);
+      publish_service (registry, service);
   if (!registry->config_changed)
     return;
   registry->config_changed = false;
@@ -207,8 +211,8 @@
 {
   struct registry *registry = xcalloc (1, sizeof *registry);
   registry->options = *options;
-  ev_timer_init (&registry->tell, on_tell, 0., 0.);
-  registry->tell.data = registry;
+  ev_timer_init (&registry->update_timer, update_cb, 0., 0.);
+  registry->update_timer.data = registry;
   return registry;
 }
 
@@ -217,7 +221,7 @@
 {
   if (registry == NULL)
     return;
-  ev_timer_stop (registry->options.loop, &registry->tell);
+  ev_timer_stop (registry->options.loop, &registry->update_timer);
   struct registry_target *target = registry->targets;
   HASH_CLEAR (hh, registry->targets);
   while (target != NULL)
@@ -246,9 +250,10 @@
   free (registry);
 }
 
-/* A goal that is no shorter than the time allowed says nothing. */
+/* A goal that is at least as long as the timeout adds nothing and is
+   ignored. */
 static void
-note_goal (struct registry *registry, const struct fleet_route *route)
+add_route_goal (struct registry *registry, const struct fleet_route *route)
 {
   if (route->latency_goal_ms >= route->timeout_ms)
     return;
@@ -258,13 +263,13 @@
       HASH_FIND_STR (registry->services, route->parts[i].service, service);
       if (service == NULL)
         continue;
-      service->goals++;
-      service->per_ms += 1.0 / route->latency_goal_ms;
+      service->goal_count++;
+      service->inverse_goal_sum += 1.0 / route->latency_goal_ms;
     }
 }
 
 static void
-note_services (struct registry *registry)
+update_services (struct registry *registry)
 {
   const struct fleet_config *config = registry->config;
   size_t *groups = xcalloc (config->service_count + 1, sizeof *groups);
@@ -272,15 +277,15 @@
   for (size_t i = 0; i < config->service_count; i++)
     {
       struct registry_service *service
-          = service_entry (registry, config->services[i].name);
+          = find_or_add_service (registry, config->services[i].name);
       service->changed = true;
-      service->goals = 0;
-      service->per_ms = 0;
+      service->goal_count = 0;
+      service->inverse_goal_sum = 0;
       memcpy (service->group, config->services[groups[i]].name,
               sizeof service->group);
     }
   for (size_t i = 0; i < config->route_count; i++)
-    note_goal (registry, &config->routes[i]);
+    add_route_goal (registry, &config->routes[i]);
   free (groups);
 }
 
@@ -306,11 +311,11 @@
   fleet_config_destroy (registry->config);
   registry->config = config;
   registry->config_changed = true;
-  note_services (registry);
+  update_services (registry);
   LOG_INFO ("config-accepted", LOG_INT ("version", config->version),
             LOG_INT ("routes", config->route_count),
             LOG_INT ("services", config->service_count));
-  tell_soon (registry);
+  schedule_update (registry);
   return STATUS_OK;
 }
 
@@ -330,13 +335,13 @@
     return;
   LOG_INFO ("target-gone", LOG_STR ("target", name),
             LOG_STR ("service", target->record.service));
-  touch_service (registry, target->record.service);
+  mark_service_changed (registry, target->record.service);
   HASH_DEL (registry->targets, target);
   free (target);
 }
 
 static bool
-says_the_same (const struct target_record *a, const struct target_record *b)
+is_same_record (const struct target_record *a, const struct target_record *b)
 {
   return a->slots == b->slots && a->state == b->state
          && a->started_ms == b->started_ms
@@ -355,7 +360,7 @@
 }
 
 static void
-forget_refusal (struct registry *registry, const char *name)
+remove_refusal (struct registry *registry, const char *name)
 {
   struct registry_refusal *refusal = find_refusal (registry, name);
   if (refusal == NULL)
@@ -364,9 +369,11 @@
   free (refusal);
 }
 
-/* Relays read all objects again every few seconds. */
+/* Relays list all objects again every few seconds, so the same rejected text
+   arrives many times. */
 static bool
-is_new_refusal (struct registry *registry, const char *name, const char *text)
+is_first_refusal (struct registry *registry, const char *name,
+                  const char *text)
 {
   struct registry_refusal *refusal = find_refusal (registry, name);
   const uint64_t hash = hash_string (text);
@@ -382,30 +389,32 @@
   return true;
 }
 
-/* Guards against work for a target on the word of an object that can't be
-   read: it may have been written by another program, or by the target itself
-   to say that it leaves.  The target named so before gets none either. */
+/* An object that can't be read may have been written by another program, or
+   by the target to announce that it leaves.  Sending requests on the strength
+   of its last readable record could reach the wrong process, so the target
+   gets none. */
 static void
-refuse_target (struct registry *registry, const char *name, const char *text)
+reject_target (struct registry *registry, const char *name, const char *text)
 {
-  if (is_new_refusal (registry, name, text))
+  if (is_first_refusal (registry, name, text))
     LOG_WARN ("target-refused", LOG_STR ("target", name),
               LOG_STR ("why", status_message ()));
   remove_target (registry, name);
 }
 
-/* Guards against a write of a former process that takes effect after its
-   successor's: it would bring back a state that is over. */
+/* A delayed write of an earlier process of the target can take effect after
+   the record of its successor.  Accepting it would restore an outdated
+   state. */
 static bool
-is_former_process (const struct target_record *known,
-                   const struct target_record *told)
+is_earlier_process (const struct target_record *known,
+                    const struct target_record *received)
 {
-  return told->started_ms < known->started_ms;
+  return received->started_ms < known->started_ms;
 }
 
 static void
-put_target (struct registry *registry, struct registry_target *target,
-            const struct target_record *record)
+store_target (struct registry *registry, struct registry_target *target,
+              const struct target_record *record)
 {
   if (target == NULL)
     {
@@ -414,7 +423,7 @@
       HASH_ADD_STR (registry->targets, record.name, target);
     }
   else
-    touch_service (registry, target->record.service);
+    mark_service_changed (registry, target->record.service);
   target->record = *record;
 }
 
@@ -425,35 +434,35 @@
   struct target_record record;
   if (text == NULL)
     {
-      forget_refusal (registry, name);
+      remove_refusal (registry, name);
       remove_target (registry, name);
       return STATUS_OK;
     }
   const enum status status = target_record_parse (name, text, &record);
   if (status != STATUS_OK)
     {
-      refuse_target (registry, name, text);
+      reject_target (registry, name, text);
       return status;
     }
-  forget_refusal (registry, name);
+  remove_refusal (registry, name);
   struct registry_target *target = find_target (registry, name);
-  if (target != NULL && is_former_process (&target->record, &record))
+  if (target != NULL && is_earlier_process (&target->record, &record))
     {
       LOG_INFO ("target-outdated", LOG_STR ("target", name),
                 LOG_INT ("started_ms", record.started_ms),
                 LOG_INT ("known_started_ms", target->record.started_ms));
       return STATUS_REFUSED;
     }
-  if (target != NULL && says_the_same (&target->record, &record))
+  if (target != NULL && is_same_record (&target->record, &record))
     return STATUS_OK;
-  put_target (registry, target, &record);
+  store_target (registry, target, &record);
   LOG_INFO ("target-registered", LOG_STR ("target", name),
             LOG_STR ("service", record.service),
             LOG_STR ("address", record.address),
             LOG_STR ("state", record.state == TARGET_STATE_ACTIVE ? "active"
                                                                   : "drained"),
             LOG_INT ("started_ms", record.started_ms));
-  touch_service (registry, record.service);
+  mark_service_changed (registry, record.service);
   return STATUS_OK;
 }
 
--- a/node/registry/registry.h
+++ b/node/registry/registry.h
@@ -1,11 +1,12 @@
 /** @file
- * Puts together what is in force in a fleet whose targets register
- * themselves: one configuration for all, and a record from each target.
+ * Combines the platform's objects into the state in force, in a fleet whose
+ * targets register themselves: one configuration for all hosts, and one record
+ * for each target.
  *
- * Objects are taken in as they come; what follows from them is told a moment
- * later, so that changes that come together are told together, and a
- * configuration is in force whole.  A configuration never gives way to an
- * older one, whichever way that comes.
+ * Objects are accepted one by one.  The resulting changes are published after
+ * a short delay, so that changes that arrive together are published together
+ * and a configuration takes effect as a whole.  A configuration is never
+ * replaced by an older one, whichever path that arrives by.
  */
 #ifndef NODE_REGISTRY_REGISTRY_H
 #define NODE_REGISTRY_REGISTRY_H
@@ -22,8 +23,9 @@
 
 struct registry;
 
-/** What is told, from the loop.  A service is told before the configuration
- * that routes to it, and its removal after the one that no longer does. */
+/** Called from the event loop.  A service is published before the
+ * configuration that routes to it, and removed after the configuration that
+ * no longer does. */
 struct registry_events
 {
   void (*service) (void *owner, const struct service_spec *spec);
@@ -36,7 +38,7 @@
   struct ev_loop *loop;
   const struct registry_events *events;
   void *owner;
-  /** Limits of every service; what a configuration says replaces it. */
+  /** Defaults for every service; a configuration overrides them. */
   struct service_limits limits;
   enum service_prefer prefer;
 };
@@ -44,19 +46,20 @@
 struct registry *registry_create (const struct registry_options *options);
 void registry_destroy (struct registry *registry);
 
-/** Take in a configuration.  STATUS_INVALID: it can't be used, what is in
- * force stays; STATUS_REFUSED: it isn't newer. */
+/** Accept a configuration.
+ * @return STATUS_INVALID if it can't be used, and the one in force stays;
+ * STATUS_REFUSED if it isn't newer */
 enum status registry_apply_config (struct registry *registry, const char *name,
                                    const char *text);
 
-/** Take in the record of target NAME; a TEXT of NULL removes it. */
+/** Accept the record of target NAME; a TEXT of NULL removes it. */
 enum status registry_apply_target (struct registry *registry, const char *name,
                                    const char *text);
 
 /** The configuration in force, or NULL. */
 const struct fleet_config *registry_config (const struct registry *registry);
 
-/** Is target NAME known, and does it take work? */
+/** Whether target NAME is known and accepts requests. */
 bool registry_target_is_active (const struct registry *registry,
                                 const char *name);
 
--- a/node/registry/service_groups.c
+++ b/node/registry/service_groups.c
@@ -7,8 +7,8 @@
 
 #include "base/xmalloc.h"
 
-/* A service that a host name leads to. */
-struct group_name
+/* The first service that a host name routes to. */
+struct host_entry
 {
   const char *host;
   size_t service;
@@ -16,7 +16,7 @@
 };
 
 static size_t
-root_of (const size_t *groups, size_t service)
+find_root (const size_t *groups, size_t service)
 {
   while (groups[service] != service)
     service = groups[service];
@@ -24,10 +24,11 @@
 }
 
 static void
-join (const struct fleet_config *config, size_t *groups, size_t a, size_t b)
+merge_groups (const struct fleet_config *config, size_t *groups, size_t a,
+              size_t b)
 {
-  a = root_of (groups, a);
-  b = root_of (groups, b);
+  a = find_root (groups, a);
+  b = find_root (groups, b);
   if (a == b)
     return;
   const bool a_first
@@ -36,46 +37,46 @@
 }
 
 static size_t
-index_of (const struct fleet_config *config, const char *service)
+service_index (const struct fleet_config *config, const char *service)
 {
   const struct fleet_service *found = fleet_config_service (config, service);
   return (size_t)(found - config->services);
 }
 
 static void
-join_route (const struct fleet_config *config, size_t *groups,
-            const struct fleet_route *route, struct group_name **names)
+merge_route (const struct fleet_config *config, size_t *groups,
+             const struct fleet_route *route, struct host_entry **entries)
 {
-  struct group_name *name;
-  HASH_FIND_STR (*names, route->spec.host, name);
-  if (name == NULL)
+  struct host_entry *entry;
+  HASH_FIND_STR (*entries, route->spec.host, entry);
+  if (entry == NULL)
     {
-      name = xcalloc (1, sizeof *name);
-      name->host = route->spec.host;
-      name->service = index_of (config, route->parts[0].service);
-      HASH_ADD_KEYPTR (hh, *names, name->host, strlen (name->host), name);
+      entry = xcalloc (1, sizeof *entry);
+      entry->host = route->spec.host;
+      entry->service = service_index (config, route->parts[0].service);
+      HASH_ADD_KEYPTR (hh, *entries, entry->host, strlen (entry->host), entry);
     }
   for (size_t i = 0; i < route->part_count; i++)
-    join (config, groups, name->service,
-          index_of (config, route->parts[i].service));
+    merge_groups (config, groups, entry->service,
+                  service_index (config, route->parts[i].service));
 }
 
 void
 service_groups_find (const struct fleet_config *config, size_t *groups)
 {
-  struct group_name *names = NULL;
+  struct host_entry *entries = NULL;
   for (size_t i = 0; i < config->service_count; i++)
     groups[i] = i;
   for (size_t i = 0; i < config->route_count; i++)
-    join_route (config, groups, &config->routes[i], &names);
+    merge_route (config, groups, &config->routes[i], &entries);
   for (size_t i = 0; i < config->service_count; i++)
-    groups[i] = root_of (groups, i);
-  struct group_name *name = names;
-  HASH_CLEAR (hh, names);
-  while (name != NULL)
+    groups[i] = find_root (groups, i);
+  struct host_entry *entry = entries;
+  HASH_CLEAR (hh, entries);
+  while (entry != NULL)
     {
-      struct group_name *next = name->hh.next;
-      free (name);
-      name = next;
+      struct host_entry *next = entry->hh.next;
+      free (entry);
+      entry = next;
     }
 }
--- a/node/registry/tests/registry_test.cc
+++ b/node/registry/tests/registry_test.cc
@@ -50,12 +50,12 @@
 {
 protected:
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
-  std::vector<std::string> told;
+  std::vector<std::string> published;
   std::map<std::string, uint32_t> goals;
   registry *r = nullptr;
 
   static Registry *
-  of (void *owner)
+  fixture_of (void *owner)
   {
     return static_cast<Registry *> (owner);
   }
@@ -71,15 +71,16 @@
                        + (spec->targets[i].state == TARGET_STATE_ACTIVE
                               ? ""
                               : "(drained)");
-             of (owner)->told.push_back (line);
-             of (owner)->goals[spec->name] = spec->limits.goal_ms;
+             fixture_of (owner)->published.push_back (line);
+             fixture_of (owner)->goals[spec->name] = spec->limits.goal_ms;
            },
             [] (void *owner, const fleet_config *config) {
-              of (owner)->told.push_back ("config "
-                                          + std::to_string (config->version));
+              fixture_of (owner)->published.push_back (
+                  "config " + std::to_string (config->version));
             },
             [] (void *owner, const char *name, uint64_t) {
-              of (owner)->told.push_back (std::string ("removed ") + name);
+              fixture_of (owner)->published.push_back (std::string ("removed ")
+                                                       + name);
             } };
     service_spec defaults;
     service_spec_defaults (&defaults);
@@ -108,15 +109,15 @@
   std::vector<std::string>
   run ()
   {
-    told.clear ();
+    published.clear ();
     ev_run (loop, 0);
-    return told;
+    return published;
   }
 };
 
 using lines = std::vector<std::string>;
 
-TEST_F (Registry, TellsServicesBeforeTheConfigurationThatRoutesToThem)
+TEST_F (Registry, PublishesServicesBeforeTheConfigurationThatRoutesToThem)
 {
   registry_apply_target (r, "t-2", target_text ("holds").c_str ());
   registry_apply_target (r, "t-1", target_text ("holds").c_str ());
@@ -125,7 +126,7 @@
   EXPECT_EQ (run (), (lines{ "service holds t-1 t-2", "config 3" }));
 }
 
-TEST_F (Registry, RemovalsFollowTheConfigurationThatDropsThem)
+TEST_F (Registry, RemovesServicesAfterTheConfigurationThatDropsThem)
 {
   config (3, { "a", "b" });
   run ();
@@ -133,11 +134,11 @@
   EXPECT_EQ (run (), (lines{ "service b", "config 4", "removed a" }));
 }
 
-/* How long a service's answers may take says how many requests its targets can
-   get, and so how many hosts serve it.  All its routes count, so that one
-   which changes moves few callers; one that names no goal of its own, or none
-   below its timeout, says nothing. */
-TEST_F (Registry, AServiceIsToldTheMeanGoalOfItsRoutes)
+/* The latency goal determines how many requests the targets of a service can
+   get, and so how many hosts serve it.  All routes of a service count, so that
+   a change of one route moves few callers.  A route without a goal, or with
+   one that isn't below its timeout, is ignored. */
+TEST_F (Registry, ServiceGetsTheMeanGoalOfItsRoutes)
 {
   const char *routes
       = "{ 'version': %d, 'routes': ["
@@ -165,10 +166,10 @@
   EXPECT_EQ (goals["holds"], 3429u); /* 2 / (1/4000 + 1/3000) */
 }
 
-/* A host heard version 8 from a peer; then a list of its own that was taken
-   before brings version 7.  Put in force, requests would go where they went
-   a moment ago, and then to the new place again. */
-TEST_F (Registry, AnOlderConfigurationNeverComesBack)
+/* A host receives version 8 from a peer, and then version 7 from its own,
+   earlier list.  Putting version 7 in force would route requests by the old
+   configuration for a moment and then by the new one again. */
+TEST_F (Registry, OlderConfigurationIsRefused)
 {
   config (8, { "a" });
   run ();
@@ -178,7 +179,7 @@
   EXPECT_EQ (registry_config (r)->version, 8u);
 }
 
-TEST_F (Registry, AConfigurationThatCantBeReadLeavesTheOneInForce)
+TEST_F (Registry, InvalidConfigurationLeavesTheOneInForce)
 {
   config (8, { "a" });
   run ();
@@ -188,7 +189,7 @@
   EXPECT_EQ (registry_config (r)->version, 8u);
 }
 
-TEST_F (Registry, ATargetChangesAndGoes)
+TEST_F (Registry, TargetIsDrainedAndRemoved)
 {
   config (1, { "a" });
   registry_apply_target (r, "t-1", target_text ("a").c_str ());
@@ -202,9 +203,9 @@
   EXPECT_EQ (registry_target_count (r), 0u);
 }
 
-/* Heartbeats of a target change nothing that matters; each would otherwise
-   set up the service's targets anew. */
-TEST_F (Registry, ARecordThatSaysTheSameTellsNothing)
+/* Heartbeats of a target rewrite its record without a relevant change.  Each
+   would otherwise rebuild the targets of its service. */
+TEST_F (Registry, UnchangedRecordPublishesNothing)
 {
   config (1, { "a" });
   registry_apply_target (r, "t-1", target_text ("a").c_str ());
@@ -213,10 +214,10 @@
   EXPECT_EQ (run (), lines{});
 }
 
-/* A target is drained, ends, and starts again under its identity.  The mark of
-   its former process must not keep work from the new one, and a late write of
-   the former must not take it away again. */
-TEST_F (Registry, AnotherProcessOfATargetTakesTheFormersPlaceForGood)
+/* A target is drained, stops, and starts again under the same name.  The
+   drained state of the earlier process must not keep requests from the new
+   one, and a late write of the earlier process must not remove the new one. */
+TEST_F (Registry, NewProcessReplacesTheEarlierOne)
 {
   config (1, { "a" });
   registry_apply_target (r, "t-1",
@@ -231,9 +232,10 @@
   EXPECT_TRUE (registry_target_is_active (r, "t-1"));
 }
 
-/* It starts again so fast that nothing else in its object changes.  Told on,
-   the service forgets what it believed of the former process. */
-TEST_F (Registry, AStartAloneIsAChange)
+/* The target restarts so fast that only its start time changes.  The change
+   must be published, so that the service discards the state of the earlier
+   process. */
+TEST_F (Registry, NewStartTimeIsAChange)
 {
   config (1, { "a" });
   registry_apply_target (r, "t-1", target_text ("a", "active", 5000).c_str ());
@@ -242,10 +244,10 @@
   EXPECT_EQ (run (), lines{ "service a t-1" });
 }
 
-/* Another program writes to the object of a target, so that nobody can tell
-   where the target is or whether it leaves.  Work sent on the word of the
-   former text may run at another service's target. */
-TEST_F (Registry, AnObjectThatCantBeReadNamesNoTarget)
+/* Another program overwrites the object of a target, so that its address and
+   state are unknown.  Requests sent to the last known address could reach a
+   target of another service. */
+TEST_F (Registry, UnreadableObjectRemovesTheTarget)
 {
   config (1, { "a" });
   registry_apply_target (r, "t-1", target_text ("a").c_str ());
--- a/node/registry/tests/service_groups_test.cc
+++ b/node/registry/tests/service_groups_test.cc
@@ -41,23 +41,23 @@
       << status_message ();
   std::vector<size_t> found (services.size ());
   service_groups_find (config, found.data ());
-  std::vector<std::string> named;
+  std::vector<std::string> group_names;
   for (size_t group : found)
-    named.push_back (services[group]);
+    group_names.push_back (services[group]);
   fleet_config_destroy (config);
-  return named;
+  return group_names;
 }
 
 using names = std::vector<std::string>;
 
-TEST (ServiceGroups, ServicesOfDifferentNamesStayApart)
+TEST (ServiceGroups, ServicesOfDifferentHostNamesStaySeparate)
 {
   EXPECT_EQ (groups ({ "c", "a", "b" },
                      { { "x.example", { "a" } }, { "y.example", { "b" } } }),
              (names{ "c", "a", "b" }));
 }
 
-TEST (ServiceGroups, ANameAndASplitLinkTheirServices)
+TEST (ServiceGroups, HostNameAndTrafficSplitLinkServices)
 {
   EXPECT_EQ (
       groups ({ "c", "a", "b", "d" }, { { "x.example", { "c" } },
@@ -66,10 +66,11 @@
       (names{ "b", "a", "b", "a" }));
 }
 
-/* Callers of one name were told the hosts of the first service that it leads
-   to; the other services' evidence went to hosts that nobody used, and each
-   host found out alone that a target was ill. */
-TEST (ServiceGroups, LinksReachOverSeveralNames)
+/* Callers of a host name get the hosts of the first service that it routes
+   to.  Without groups, evidence about the other services would go to hosts
+   that no caller uses, and each host would have to detect an unhealthy target
+   alone. */
+TEST (ServiceGroups, GroupsExtendOverSeveralHostNames)
 {
   EXPECT_EQ (groups ({ "d", "c", "b", "a" }, { { "x.example", { "d", "c" } },
                                                { "y.example", { "c" } },
