--- a/node/control/control_cleanup.c
+++ b/node/control/control_cleanup.c
@@ -8,8 +8,8 @@
 
 enum
 {
-  /** Until the next removal after one that the platform didn't answer. */
-  PAUSE_MS = 5000,
+  /** Delay of the next removal after one that failed. */
+  RETRY_DELAY_MS = 5000,
 };
 
 void
@@ -22,11 +22,12 @@
     host->gone_since_ms = now_ms;
 }
 
-/* Guards against a host that was frozen and thaws: whom it believed dead
-   before may have been back for long.  Shows as a live host without record.
-   A wait that this host slept through says nothing, so it starts again. */
+/* A host that this one found dead before it was suspended may have been back
+   for long when this one resumes.  Continuing the wait would remove the record
+   of a live host.  A wait that spans a suspension proves nothing, so it starts
+   again. */
 static void
-excuse_pause (struct control_task *task, int64_t now_ms)
+restart_waits_after_suspend (struct control_task *task, int64_t now_ms)
 {
   struct control_cleanup *cleanup = &task->cleanup;
   const int64_t gap_ms = now_ms - cleanup->last_tick_ms;
@@ -39,9 +40,10 @@
       host->gone_since_ms = now_ms;
 }
 
-/* Those that said they leave are no sign of a cut, so they don't count. */
+/* Hosts that announced that they leave don't indicate a network partition, so
+   they aren't counted. */
 static bool
-sees_majority (const struct control_task *task)
+has_live_majority (const struct control_task *task)
 {
   const struct control_host *host;
   size_t live = 0;
@@ -70,16 +72,16 @@
                                          task->fleet, &task->leading);
 }
 
-/* A lost answer isn't read back: if the removal took effect, the watch or the
-   next list tells; if not, it is tried again at the same version, which can
-   remove nothing newer.  A refusal means that the host is back or another
-   relay was first; the watch tells which. */
+/* A lost response isn't read back.  If the removal took effect, the watch or
+   the next list shows it.  If not, it is repeated with the same version, which
+   can't remove anything newer.  A refusal means that the host is back or that
+   another relay was first; the watch shows which. */
 static void
-removed (void *owner, const struct platform_reply *reply)
+remove_done (void *owner, const struct platform_reply *reply)
 {
   struct control_task *task = owner;
   struct control_cleanup *cleanup = &task->cleanup;
-  cleanup->is_waiting = false;
+  cleanup->is_pending = false;
   if (reply->status == STATUS_REFUSED)
     return;
   if (reply->status != STATUS_OK)
@@ -87,7 +89,7 @@
       LOG_WARN ("forget-failed", LOG_STR ("host", cleanup->name),
                 LOG_STR ("status", status_name (reply->status)),
                 LOG_STR ("why", reply->message));
-      cleanup->retry_at_ms = clock_now_ms () + PAUSE_MS;
+      cleanup->retry_at_ms = clock_now_ms () + RETRY_DELAY_MS;
       return;
     }
   LOG_INFO ("host-forgotten", LOG_STR ("host", cleanup->name),
@@ -99,8 +101,8 @@
                             reply->objects[0].version, NULL);
 }
 
-/* Guards against a host that registers again at the last moment: the write
-   is conditional on the version known here, so a newer record stays. */
+/* A host may register again just before its record is removed.  The write is
+   conditional on the version known here, so a newer record stays. */
 static void
 remove_record (struct control_task *task, struct control_host *host,
                int64_t now_ms)
@@ -111,26 +113,26 @@
   host->gone_since_ms = now_ms;
   memcpy (cleanup->name, host->record.name, sizeof cleanup->name);
   cleanup->version = version;
-  cleanup->is_waiting = true;
+  cleanup->is_pending = true;
   platform_put (task->options.platform, PLATFORM_KIND_HOST, cleanup->name,
-                version, NULL, removed, task);
+                version, NULL, remove_done, task);
 }
 
-/* Leading relays do it: the others hear of the platform's hosts by answers
-   that may be old, so they can't tell whether it still answers. */
+/* Only leading relays remove records.  The other hosts read host records that
+   may be old, so they can't tell whether the platform still answers. */
 void
 control_cleanup_tick (struct control_task *task, int64_t now_ms)
 {
   struct control_cleanup *cleanup = &task->cleanup;
-  excuse_pause (task, now_ms);
+  restart_waits_after_suspend (task, now_ms);
   if (!task->is_leading || task->is_stale || task->is_leaving
-      || cleanup->is_waiting || now_ms < cleanup->retry_at_ms
+      || cleanup->is_pending || now_ms < cleanup->retry_at_ms
       || !control_platform_hosts_are_current (task, now_ms))
     return;
   struct control_host *host = task->hosts;
   while (host != NULL && !is_due (task, host, now_ms))
     host = host->hh.next;
-  if (host != NULL && sees_majority (task))
+  if (host != NULL && has_live_majority (task))
     remove_record (task, host, now_ms);
 }
 
--- a/node/control/control_fanout.c
+++ b/node/control/control_fanout.c
@@ -15,17 +15,17 @@
 }
 
 static void
-send_to_number (struct control_task *task, size_t number,
-                const struct peer_message *message)
+send_to_index (struct control_task *task, size_t index,
+               const struct peer_message *message)
 {
   struct control_host *host
-      = control_hosts_find (task, task->fleet[number].key);
+      = control_hosts_find (task, task->fleet[index].key);
   if (host != NULL && host != task->self)
     control_hosts_send (task, host, message);
 }
 
-/* Sends to all hosts of a small fleet; of a larger one a host may be selected
-   more than once. */
+/* Sends to all hosts of a small fleet.  In a larger one, a host may be
+   selected more than once. */
 void
 control_fanout_to_random (struct control_task *task, uint32_t wanted,
                           const struct peer_message *message)
@@ -34,7 +34,7 @@
   if (count == 0)
     return;
   for (uint32_t i = 0; wanted > 1 && count <= wanted + 1 && i < count; i++)
-    send_to_number (task, i, message);
+    send_to_index (task, i, message);
   for (uint32_t i = 0; (wanted == 1 || count > wanted + 1) && i < wanted; i++)
-    send_to_number (task, rng_below (&task->random, count), message);
+    send_to_index (task, rng_below (&task->random, count), message);
 }
--- a/node/control/control_freshness.c
+++ b/node/control/control_freshness.c
@@ -7,22 +7,23 @@
 
 enum
 {
-  /** Leading relays ask so many times within the bound for keys: what they
-   * know is then up to two of these parts old, and two heartbeats on the way
-   * leave room. */
-  ASKS_PER_BOUND = 5,
-  /** From so many hundredths of the bound on, the leading relays are asked at
-   * each heartbeat. */
-  ASK_RELAYS_PERCENT = 40,
-  /** From here on the platform is asked: by some hosts early and by others
-   * late, so that the first ones' answers reach the rest. */
-  ASK_PLATFORM_PERCENT = 50,
-  ASK_PLATFORM_SPREAD_PERCENT = 30,
-  /** A question to the platform is for the answer alone: it waits for no
-   * change. */
-  NO_WAIT_MS = 1,
-  /** Between two questions of this host, asked because requests wait. */
-  ASK_AGAIN_MS = 250,
+  /** Leading relays finish this many watches within the bound for keys.
+   * Their state is then at most two of these parts old, which leaves time for
+   * two heartbeats on the way to other hosts. */
+  WATCHES_PER_BOUND = 5,
+  /** From this part of the bound on, the leading relays are queried with each
+   * heartbeat. */
+  QUERY_RELAYS_PERCENT = 40,
+  /** From this part of the bound on, the platform is queried.  The start is
+   * randomised over the spread, so that the responses to the first hosts
+   * reach the others. */
+  QUERY_PLATFORM_PERCENT = 50,
+  QUERY_PLATFORM_SPREAD_PERCENT = 30,
+  /** A query to the platform is a watch that ends at once instead of waiting
+   * for a change. */
+  QUERY_TIMEOUT_MS = 1,
+  /** Minimum interval of queries that are made because requests wait. */
+  QUERY_INTERVAL_MS = 250,
 };
 
 static uint32_t
@@ -43,15 +44,15 @@
 control_freshness_watch_ms (const struct control_task *task)
 {
   const uint32_t watch_ms = task->options.settings->times.relay_watch_ms;
-  const uint32_t most_ms = bound_ms (task) / ASKS_PER_BOUND;
-  return control_freshness_is_required (task) && most_ms < watch_ms ? most_ms
-                                                                    : watch_ms;
+  const uint32_t max_ms = bound_ms (task) / WATCHES_PER_BOUND;
+  return control_freshness_is_required (task) && max_ms < watch_ms ? max_ms
+                                                                   : watch_ms;
 }
 
-/* The caller task keeps a proof of its own, since a configuration that is in
-   force here may still be on its way to it. */
+/* The caller task keeps its own proof, since a configuration in force here
+   may not have reached it yet. */
 static void
-tell_caller (struct control_task *task, const struct freshness_proof *proof)
+post_proof (struct control_task *task, const struct freshness_proof *proof)
 {
   const struct bus_message message
       = { .topic = BUS_FRESHNESS, .freshness = *proof };
@@ -59,33 +60,34 @@
 }
 
 static void
-prove (struct control_task *task, const struct freshness_proof *proof)
+add_proof (struct control_task *task, const struct freshness_proof *proof)
 {
   const struct freshness_proof before = freshness_get_proof (&task->freshness);
   freshness_add_proof (&task->freshness, proof);
   if (proof->version > before.version || proof->time_ms > before.time_ms)
-    tell_caller (task, proof);
+    post_proof (task, proof);
 }
 
-static void ask_platform (struct control_task *task, int64_t now_ms);
+static void query_platform (struct control_task *task, int64_t now_ms);
 
 void
-control_freshness_note_current (struct control_task *task, int64_t asked_ms)
+control_freshness_note_current (struct control_task *task,
+                                int64_t requested_ms)
 {
   const struct fleet_config *config
       = task->registry != NULL ? registry_config (task->registry) : NULL;
   if (config == NULL)
     return;
   const struct freshness_proof proof
-      = { .version = config->version, .time_ms = asked_ms };
-  prove (task, &proof);
+      = { .version = config->version, .time_ms = requested_ms };
+  add_proof (task, &proof);
 }
 
 void
 control_freshness_note_change (struct control_task *task)
 {
   if (control_freshness_is_required (task))
-    ask_platform (task, clock_now_ms ());
+    query_platform (task, clock_now_ms ());
 }
 
 void
@@ -97,7 +99,7 @@
   const struct freshness_proof proof
       = { .version = answer->config_version,
           .time_ms = (int64_t)answer->sequence - answer->config_age_ms };
-  prove (task, &proof);
+  add_proof (task, &proof);
 }
 
 void
@@ -116,11 +118,11 @@
 }
 
 static void
-ask_done (void *owner, const struct platform_reply *reply)
+query_done (void *owner, const struct platform_reply *reply)
 {
-  struct control_freshness_query *ask = owner;
-  struct control_task *task = ask->task;
-  ask->is_waiting = false;
+  struct control_freshness_query *query = owner;
+  struct control_task *task = query->task;
+  query->is_pending = false;
   if (reply->status != STATUS_OK)
     {
       LOG_WARN ("freshness-not-known",
@@ -134,32 +136,33 @@
     control_settings_apply (task, PLATFORM_KIND_CONFIG, reply->objects[i].name,
                             reply->objects[i].version,
                             reply->objects[i].value);
-  ask->revision = reply->revision;
+  query->revision = reply->revision;
   if (reply->count > 0)
-    ask_platform (task, clock_now_ms ());
+    query_platform (task, clock_now_ms ());
   else
-    control_freshness_note_current (task, ask->asked_ms);
+    control_freshness_note_current (task, query->requested_ms);
 }
 
-/* A watch that ends at once.  One that shows changes may hold some of them
-   only, so it is asked again until there are none. */
+/* A watch that ends at once.  One that returns changes may return only some
+   of them, so it is repeated until there are none. */
 static void
-ask_platform (struct control_task *task, int64_t now_ms)
+query_platform (struct control_task *task, int64_t now_ms)
 {
   const struct control_feed *feed = &task->feeds[0];
-  struct control_freshness_query *ask = &task->freshness_query;
-  if (ask->is_waiting || !feed->is_listed)
+  struct control_freshness_query *query = &task->freshness_query;
+  if (query->is_pending || !feed->is_listed)
     return;
-  if (ask->revision < feed->revision)
-    ask->revision = feed->revision;
-  ask->is_waiting = true;
-  ask->asked_ms = now_ms;
-  platform_watch (task->options.platform, PLATFORM_KIND_CONFIG, ask->revision,
-                  NO_WAIT_MS, PLATFORM_READ_LATEST, ask_done, ask);
+  if (query->revision < feed->revision)
+    query->revision = feed->revision;
+  query->is_pending = true;
+  query->requested_ms = now_ms;
+  platform_watch (task->options.platform, PLATFORM_KIND_CONFIG,
+                  query->revision, QUERY_TIMEOUT_MS, PLATFORM_AGE_NONE,
+                  query_done, query);
 }
 
 static void
-ask_relays (struct control_task *task, int64_t now_ms)
+query_relays (struct control_task *task, int64_t now_ms)
 {
   for (uint32_t i = 0; i < task->leading.count; i++)
     {
@@ -178,23 +181,24 @@
   const uint32_t bound = bound_ms (task);
   const uint32_t age_ms = freshness_age_ms (&task->freshness, now_ms);
   const uint64_t percent = (uint64_t)age_ms * 100 / bound;
-  if (percent >= ASK_RELAYS_PERCENT)
-    ask_relays (task, now_ms);
-  if (percent >= ASK_PLATFORM_PERCENT
-                     + rng_below (&task->random, ASK_PLATFORM_SPREAD_PERCENT))
-    ask_platform (task, now_ms);
+  if (percent >= QUERY_RELAYS_PERCENT)
+    query_relays (task, now_ms);
+  if (percent
+      >= QUERY_PLATFORM_PERCENT
+             + rng_below (&task->random, QUERY_PLATFORM_SPREAD_PERCENT))
+    query_platform (task, now_ms);
 }
 
-/* Requests wait to be judged. */
+/* Requests wait for a proof of freshness. */
 static void
-on_wanted (void *owner, const struct bus_message *message)
+on_requested (void *owner, const struct bus_message *message)
 {
   struct control_task *task = owner;
   const int64_t now_ms = clock_now_ms ();
-  if (now_ms - task->freshness_query.asked_ms < ASK_AGAIN_MS)
+  if (now_ms - task->freshness_query.requested_ms < QUERY_INTERVAL_MS)
     return;
-  ask_relays (task, now_ms);
-  ask_platform (task, now_ms);
+  query_relays (task, now_ms);
+  query_platform (task, now_ms);
 }
 
 void
@@ -202,8 +206,9 @@
 {
   freshness_init (&task->freshness);
   task->freshness_query.task = task;
-  task->freshness_query.asked_ms = INT64_MIN / 2;
-  bus_subscribe (task->options.bus, BUS_FRESHNESS_REQUESTED, on_wanted, task);
+  task->freshness_query.requested_ms = INT64_MIN / 2;
+  bus_subscribe (task->options.bus, BUS_FRESHNESS_REQUESTED, on_requested,
+                 task);
 }
 
 void
--- a/node/control/control_hosts.c
+++ b/node/control/control_hosts.c
@@ -51,8 +51,8 @@
     }
   if (record->incarnation <= host->record.incarnation)
     return host;
-  /* A link to the former address is closed by the idle check: it may be the
-     one whose message is being handled. */
+  /* A link to the former address is closed by the idle check, not here: the
+     message being processed may have arrived on it. */
   host->record = *record;
   control_hosts_changed (task);
   return host;
@@ -89,7 +89,7 @@
 }
 
 static void
-forget (struct control_task *task, struct control_host *host)
+remove_host (struct control_task *task, struct control_host *host)
 {
   close_link (host);
   membership_note_unlisted (task->membership, host->key);
@@ -97,9 +97,9 @@
   free (host);
 }
 
-/* Neither the platform nor any host speaks of it any more. */
+/* Neither the platform nor any host reports it any more. */
 static bool
-is_gone (const struct control_task *task, const struct control_host *host)
+is_removable (const struct control_task *task, const struct control_host *host)
 {
   return host != task->self && !host->is_listed
          && membership_state (task->membership, host->key) == MEMBER_DEAD;
@@ -108,18 +108,18 @@
 void
 control_hosts_close_idle (struct control_task *task, int64_t now_ms)
 {
-  struct control_host *gone = NULL;
+  struct control_host *removable = NULL;
   struct control_host *host;
   for (host = task->hosts; host != NULL; host = host->hh.next)
     {
       const bool is_idle = now_ms - host->link_used_ms > CONTROL_LINK_IDLE_MS;
       if (host->link != NULL && (is_idle || has_moved (host)))
         close_link (host);
-      if ((is_idle || host->is_removed) && is_gone (task, host))
-        gone = host;
+      if ((is_idle || host->is_removed) && is_removable (task, host))
+        removable = host;
     }
-  if (gone != NULL)
-    forget (task, gone);
+  if (removable != NULL)
+    remove_host (task, removable);
 }
 
 void
--- a/node/control/control_internal.h
+++ b/node/control/control_internal.h
@@ -1,5 +1,6 @@
 /** @file
- * What the sources of the control task share; no other folder includes it.
+ * Declarations shared by the sources of the control task; no other folder
+ * includes this file.
  */
 #ifndef NODE_CONTROL_CONTROL_INTERNAL_H
 #define NODE_CONTROL_CONTROL_INTERNAL_H
@@ -26,31 +27,31 @@
 
 enum control_limit
 {
-  /** A link that nothing was sent on for so long is closed. */
+  /** A link is closed when nothing has been sent on it for this long. */
   CONTROL_LINK_IDLE_MS = 30000,
   CONTROL_MONITORED_MAX = 128,
   CONTROL_UNDECIDED_MAX = 16,
-  /** Verdicts sent along with one heartbeat. */
+  /** Membership updates sent along with one heartbeat. */
   CONTROL_GOSSIP_UPDATES_MAX = 8,
   CONTROL_INDIRECT_CHECKERS = 3,
-  /** Indirect checks kept open for others. */
+  /** Pending indirect checks on behalf of other hosts. */
   CONTROL_INDIRECT_CHECKS_MAX = 64,
   CONTROL_FEEDS_MAX = 3,
-  /** Heartbeats within which hosts that start together have met: by the list
-   * of hosts, and what neighbours tell. */
+  /** Heartbeat intervals within which hosts that start together have learned
+   * of each other, from the list of hosts and from their neighbours. */
   CONTROL_SETTLE_HEARTBEATS = 3,
 };
 
-/** Another host, or this one. */
+/** A host of the fleet, this one included. */
 struct control_host
 {
   uint64_t key;
   struct host_record record;
-  bool is_listed;        /**< the platform's list shows it */
-  bool is_removed;       /**< the list showed it once and no more */
-  int64_t gone_since_ms; /**< believed dead or leaving since; 0: it isn't */
+  bool is_listed;        /**< it is on the platform's list */
+  bool is_removed;       /**< it was on the list and no longer is */
+  int64_t gone_since_ms; /**< dead or leaving since then; 0: neither */
   struct peer_link *link;
-  int64_t link_used_ms; /**< when the link was last wanted */
+  int64_t link_used_ms; /**< when the link was last used */
   struct control_task *task;
   UT_hash_handle hh;
 };
@@ -69,53 +70,54 @@
   struct membership *membership;
   struct rng random;
   struct ev_timer heartbeat_timer;
-  struct ev_timer
-      refresh_timer;           /**< soon after a change of hosts or services */
-  struct ev_timer local_timer; /**< messages to this host itself */
-  struct registry *registry;   /**< NULL: services are objects of their own */
+  struct ev_timer refresh_timer; /**< after changes of hosts or services */
+  struct ev_timer local_timer;   /**< delivers messages to this host itself */
+  struct registry *registry; /**< NULL: each service is an object of its own */
   struct control_feed feeds[CONTROL_FEEDS_MAX];
   size_t feed_count;
   struct control_registration registration;
   struct freshness freshness;
   struct control_freshness_query freshness_query;
   struct control_cleanup cleanup;
-  struct control_tombstone *tombstones; /**< a ring */
+  struct control_tombstone *tombstones; /**< ring buffer */
   size_t tombstone_first;               /**< oldest */
   size_t tombstone_count;
-  /** Unknown host and target records up to these are removed ones. */
+  /** Host and target records that aren't known here and have a version up to
+   * these were removed. */
   uint64_t host_version_floor;
   uint64_t target_version_floor;
-  struct control_removal *removals; /**< on hold */
+  struct control_removal *removals; /**< deferred */
   struct ev_timer removal_timer;
   struct control_handler_entry handlers[PEER_TYPE_END];
   struct control_local_message *local_messages;
-  struct control_outcomes *outcomes; /**< to be told */
-  struct ev_timer outcome_timer;     /**< of outcomes */
+  struct control_outcomes *outcomes; /**< not reported yet */
+  struct ev_timer outcome_timer;     /**< sends outcome reports */
   struct control_poison_store poison;
-  struct control_pull *pulls; /**< under way, by key */
+  struct control_pull *pulls; /**< in flight, by key */
   struct ev_timer pull_timer;
   struct control_query *queries;
   uint64_t last_query_id;
   struct control_indirect_check indirect_checks[CONTROL_INDIRECT_CHECKS_MAX];
   size_t indirect_check_count;
-  struct fleet_host *fleet; /**< usable hosts, to choose from */
+  struct fleet_host *fleet; /**< usable hosts to select from */
   size_t fleet_count;
-  uint64_t fleet_generation; /**< of `fleet` */
+  uint64_t fleet_generation; /**< of `fleet`; incremented with each change */
   struct fleet_choice relays;
-  struct fleet_choice leading;      /**< the first of them */
+  struct fleet_choice leading;      /**< the first of the relays */
   struct fleet_choice coordinators; /**< of quotas */
   bool is_relay;
-  bool is_leading; /**< a relay that asks the platform for the newest */
+  bool is_leading; /**< a relay that reads the newest state */
   int64_t started_ms;
-  int64_t settled_ms; /**< when it had run for long enough to have met the
-                           others; 0: not yet */
+  /** When this host had run for long enough to have learned of the others; 0:
+   * not yet. */
+  int64_t settled_ms;
   bool is_leaving;
   bool is_stale;
   bool has_settings;
-  bool hosts_changed;       /**< since `fleet` was gathered */
-  int64_t last_contact_ms;  /**< when platform or relay was heard */
-  int64_t last_compared_ms; /**< when buckets were last compared */
-  uint64_t last_probed_key; /**< last host probed though believed dead */
+  bool hosts_changed;       /**< since `fleet` was built */
+  int64_t last_contact_ms;  /**< with the platform or a relay */
+  int64_t last_compared_ms; /**< when bucket hashes were last compared */
+  uint64_t last_probed_key; /**< key of the dead host that was last probed */
 };
 
 /* control_hosts.c */
@@ -123,34 +125,35 @@
                                          uint64_t key);
 struct control_host *control_hosts_by_name (const struct control_task *task,
                                             const char *name);
-/** Add a host, or take over its newer record. */
+/** Add a host, or replace its record by a newer one. */
 struct control_host *control_hosts_update (struct control_task *task,
                                            const struct host_record *record);
-/** Send on the link to HOST, which is opened if need be. */
+/** Send MESSAGE on the link to HOST, which is opened if necessary. */
 enum status control_hosts_send (struct control_task *task,
                                 struct control_host *host,
                                 const struct peer_message *message);
-/** Close links that nobody needs. */
+/** Close links that are idle or lead to a former address. */
 void control_hosts_close_idle (struct control_task *task, int64_t now_ms);
 void control_hosts_release (struct control_task *task);
 /** Whether HOST is among the relays. */
 bool control_hosts_is_relay (const struct control_task *task, uint64_t key);
 
 /* control_task.c */
-/** Handle MESSAGE of SOURCE. */
+/** Handle MESSAGE from SOURCE. */
 void control_receive (struct control_task *task,
                       const struct control_source *source,
                       const struct peer_message *message);
-/** Answer SOURCE; a full queue drops it: all answers are asked for again. */
+/** Reply to SOURCE.  A full queue drops the reply; every reply is requested
+ * again. */
 void control_reply (struct control_task *task,
                     const struct control_source *source,
                     const struct peer_message *message);
-/** Handle MESSAGE that came over LINK. */
+/** Handle MESSAGE received on LINK. */
 void control_link_receive (struct control_task *task, struct peer_link *link,
                            const struct peer_message *message);
-/** Services have changed: choose the sets of new ones soon. */
+/** Services have changed: select the sets of the new ones soon. */
 void control_refresh_soon (struct control_task *task);
-/** Hosts have changed: choose everything again soon. */
+/** Hosts have changed: select relays, neighbours and host sets again soon. */
 void control_hosts_changed (struct control_task *task);
 extern const struct peer_link_events control_link_events;
 
@@ -173,31 +176,32 @@
 void control_members_receive (struct control_task *task,
                               const struct control_source *source,
                               const struct peer_message *message);
-/** Take up changes of the membership: log lines, refresh, gossip. */
+/** Process membership changes: log them, refresh host sets and send gossip. */
 void control_members_apply_changes (struct control_task *task);
-/** Platform or a relay was heard. */
+/** There was contact with the platform or a relay at AT_MS. */
 void control_members_note_contact (struct control_task *task, int64_t at_ms);
-/** Tell the watched hosts what is new at once. */
+/** Send pending membership updates to the monitored hosts at once. */
 void control_members_gossip (struct control_task *task);
 void control_members_leave (struct control_task *task);
 
 /* control_settings.c */
-/** Take in an object if its version is higher.
- * @return whether it was. */
+/** Apply an object if its version is higher than the one known here.
+ * @return whether it was */
 bool control_settings_apply (struct control_task *task, const char *kind,
                              const char *name, uint64_t version,
                              const char *value);
 void control_settings_receive (struct control_task *task,
                                const struct control_source *source,
                                const struct peer_message *message);
-/** SOURCE holds settings with another hash: compare buckets. */
+/** Compare buckets if the settings of SOURCE have another HASH than those
+ * here. */
 void control_settings_compare (struct control_task *task,
                                const struct control_source *source,
                                uint64_t hash);
 void control_settings_release (struct control_task *task);
 
 /* control_services.c */
-/** Put SPEC, which is taken over, in force here. */
+/** Put SPEC in force here; takes ownership of it. */
 void control_services_enforce (struct control_task *task,
                                struct service_spec *spec);
 void control_services_remove (struct control_task *task, const char *name,
@@ -213,17 +217,18 @@
                                     const char *value);
 
 /* control_removals.c */
-/** Put the removal of a target on hold if it may be one of an outage.
- * @return whether it was. */
+/** Defer the removal of a target if it may be a result of a platform outage.
+ * @return whether it was deferred */
 bool control_removals_hold (struct control_task *task, const char *name,
-                            uint64_t version, int64_t regained_ms);
+                            uint64_t version, int64_t recovered_ms);
 void control_removals_start (struct control_task *task);
 void control_removals_stop (struct control_task *task);
 
 /* control_outcomes.c */
-/** Tell the hosts of a service's set how attempts here end. */
+/** Start reporting the outcomes of attempts here to the hosts of a service's
+ * set. */
 void control_outcomes_start (struct control_task *task);
-/** Learn from REPORT; its sender is told of failed targets if it is outside
+/** Process REPORT.  Its sender is sent the failed targets if it is outside
  * the set and this host is in it. */
 void control_outcomes_receive (struct control_task *task,
                                const struct control_source *source,
@@ -269,84 +274,88 @@
 
 /* control_platform.c */
 void control_platform_start (struct control_task *task);
-/** Relays watch; others stop. */
+/** Relays start to watch, other hosts stop. */
 void control_platform_wake (struct control_task *task);
-/** Ask the platform at once if what relays tell has become old. */
+/** Read the platform at once if the state that relays pass on has become
+ * old. */
 void control_platform_check_age (struct control_task *task, int64_t now_ms);
-/** Is the watch of host records up, its last call answered? */
+/** Whether host records are being watched and the last call was answered. */
 bool control_platform_hosts_are_current (const struct control_task *task,
                                          int64_t now_ms);
 void control_platform_stop (struct control_task *task);
 
-/* control_freshness.c: is the configuration in force here the newest? */
+/* control_freshness.c: whether the configuration in force here is the
+   newest */
 void control_freshness_start (struct control_task *task);
-/** Is the answer needed: do keys have to stop within a bound? */
+/** Whether freshness has to be proven: keys must be revoked within a bound. */
 bool control_freshness_is_required (const struct control_task *task);
 /** How long a leading relay's watch of configurations may wait. */
 uint32_t control_freshness_watch_ms (const struct control_task *task);
-/** The platform has shown all that was accepted before ASKED_MS. */
+/** The platform has shown all changes accepted before REQUESTED_MS. */
 void control_freshness_note_current (struct control_task *task,
-                                     int64_t asked_ms);
+                                     int64_t requested_ms);
 /** The platform has shown a change, and there may be more. */
 void control_freshness_note_change (struct control_task *task);
-/** Another host answered a heartbeat of this one. */
+/** Another host answered a heartbeat of this one with ANSWER. */
 void control_freshness_receive_ack (struct control_task *task,
                                     const struct peer_heartbeat *answer);
 /** The configuration of VERSION is in force. */
 void control_freshness_set_version_in_force (struct control_task *task,
                                              uint64_t version);
-/** Must this host refuse requests with keys? */
+/** Whether this host must refuse requests with keys. */
 bool control_freshness_is_expired (const struct control_task *task,
                                    int64_t now_ms);
-/** Ask others, and at last the platform, before that is so. */
+/** Ask relays, and finally the platform, before that becomes necessary. */
 void control_freshness_tick (struct control_task *task, int64_t now_ms);
 void control_freshness_stop (struct control_task *task);
 
 /* control_registration.c: this host's own record at the platform */
 void control_registration_start (struct control_task *task);
-/** Write the record anew. */
+/** Write the record again. */
 void control_registration_write (struct control_task *task);
-/** The platform removed the record: at once, then with back-off. */
+/** The platform's copy was removed: write it at once, if repeated with
+ * back-off. */
 void control_registration_restore (struct control_task *task);
 void control_registration_stop (struct control_task *task);
-/** Start TIMER, which tries a call to the platform again, after a back-off
- * that grows with each failure. */
+/** Start TIMER, which repeats a call to the platform, after a back-off that
+ * grows with each failure. */
 void control_retry_later (struct control_task *task, struct ev_timer *timer,
                           uint32_t *backoff_ms);
 
 /* control_cleanup.c */
 void control_cleanup_start (struct control_task *task);
-/** HOST is believed to be in STATE from NOW_MS. */
+/** HOST is in STATE as of NOW_MS. */
 void control_cleanup_note_state (struct control_host *host,
                                  enum member_state state, int64_t now_ms);
-/** Remove the record of at most one host that is gone for good. */
+/** Remove the record of at most one host that is permanently gone. */
 void control_cleanup_tick (struct control_task *task, int64_t now_ms);
 void control_cleanup_stop (struct control_task *task);
 
-/** An object that another host has in a newer version. */
+/** An object of which another host has a newer version. */
 struct control_offer
 {
   uint64_t key;
   uint64_t version;
-  uint64_t held_version; /**< version here; 0: none */
-  size_t held_bytes;     /**< of the value here */
-  uint64_t host;         /**< who offers */
+  uint64_t held_version; /**< version known here; 0: none */
+  size_t held_bytes;     /**< size of the value known here */
+  uint64_t host;         /**< key of the offering host */
 };
 
 /* control_pulls.c */
-/** Shall the host that offers be asked now?  Another may be under way, or a
- * nearer one be waited for; then it is asked later if need be. */
+/** Whether to request the object from the offering host now.  If a request is
+ * already in flight, or a nearer host may offer it, it is requested later if
+ * necessary. */
 bool control_pulls_should_request (struct control_task *task,
                                    const struct control_offer *offer);
-/** VERSION of the object is held. */
+/** VERSION of the object has arrived. */
 void control_pulls_complete (struct control_task *task, uint64_t key,
                              uint64_t version);
 void control_pulls_expire (struct control_task *task, int64_t now_ms);
 void control_pulls_prepare (struct control_task *task);
 void control_pulls_release (struct control_task *task);
 
-/* control_tombstones.c: removals of what comes and goes by itself */
-/** Are removed objects of KIND kept for a bounded time only? */
+/* control_tombstones.c: removals of hosts and targets */
+/** Whether removals of objects of KIND are kept for a limited time only. */
 bool control_tombstones_apply_to (const char *kind);
 void control_tombstones_create (struct control_task *task);
 void control_tombstones_destroy (struct control_task *task);
@@ -354,17 +363,17 @@
 void control_tombstones_add (struct control_task *task,
                              const struct control_object *object);
 void control_tombstones_expire (struct control_task *task, int64_t now_ms);
-/** The platform's list of KIND as of REVISION was taken in. */
+/** The platform's list of KIND as of REVISION has been applied. */
 void control_tombstones_note_list (struct control_task *task, const char *kind,
                                    uint64_t revision);
-/** Is what a peer pushed an object that was removed long ago? */
+/** Whether an object pushed by a peer was removed long ago. */
 bool control_tombstones_is_outdated (struct control_task *task,
                                      const char *kind, const char *name,
                                      uint64_t version, const char *value);
 
 /* control_sets.c */
-/** Choose relays, neighbours and host sets anew, a bounded number a turn.
- * @return whether there is more to do. */
+/** Select relays, neighbours and host sets again, a bounded number per call.
+ * @return whether there is more to do */
 bool control_sets_refresh (struct control_task *task);
 void control_sets_free_service (struct control_service *service);
 
--- a/node/control/control_limits.c
+++ b/node/control/control_limits.c
@@ -7,9 +7,9 @@
 
 enum
 {
-  COLUMNS = 3, /* target key, limit, age in milliseconds */
-  ROWS_MAX = 256,
-  GOSSIP_FANOUT = 6, /* random hosts that each host forwards a change to */
+  LIMIT_COLUMNS = 3, /* target key, limit, age in milliseconds */
+  LIMIT_ROWS_MAX = 256,
+  GOSSIP_FANOUT = 6, /* random hosts to which each host forwards a change */
 };
 
 static uint32_t
@@ -26,20 +26,20 @@
   struct control_task *task = owner;
   const struct bus_limits *announced = &bus_message->limits;
   const size_t count
-      = announced->count < ROWS_MAX ? announced->count : ROWS_MAX;
-  int64_t *values = xcalloc (count * COLUMNS + 1, sizeof *values);
+      = announced->count < LIMIT_ROWS_MAX ? announced->count : LIMIT_ROWS_MAX;
+  int64_t *values = xcalloc (count * LIMIT_COLUMNS + 1, sizeof *values);
   struct peer_message message = { .type = PEER_LIMITS };
   for (size_t i = 0; i < count; i++)
     {
-      values[i * COLUMNS] = (int64_t)announced->rows[i].target;
-      values[i * COLUMNS + 1] = announced->rows[i].rate_millis;
-      values[i * COLUMNS + 2] = announced->rows[i].sent_ago_ms;
+      values[i * LIMIT_COLUMNS] = (int64_t)announced->rows[i].target;
+      values[i * LIMIT_COLUMNS + 1] = announced->rows[i].rate_millis;
+      values[i * LIMIT_COLUMNS + 2] = announced->rows[i].sent_ago_ms;
     }
   snprintf (message.report.service, sizeof message.report.service, "%s",
             announced->service);
-  message.report.columns = COLUMNS;
+  message.report.columns = LIMIT_COLUMNS;
   message.report.values = values;
-  message.report.value_count = count * COLUMNS;
+  message.report.value_count = count * LIMIT_COLUMNS;
   switch (announced->to)
     {
     case LIMIT_TO_SET:
@@ -60,9 +60,9 @@
                         const struct peer_message *peer_message)
 {
   const struct peer_report *report = &peer_message->report;
-  const size_t count = report->value_count / COLUMNS;
-  if (report->columns != COLUMNS || count == 0 || count > ROWS_MAX
-      || report->value_count % COLUMNS != 0)
+  const size_t count = report->value_count / LIMIT_COLUMNS;
+  if (report->columns != LIMIT_COLUMNS || count == 0 || count > LIMIT_ROWS_MAX
+      || report->value_count % LIMIT_COLUMNS != 0)
     return;
   struct bus_message message
       = { .topic = BUS_LIMITS_RECEIVED, .limits = { .count = count } };
@@ -71,7 +71,7 @@
             report->service);
   for (size_t i = 0; i < count; i++)
     {
-      const int64_t *value = report->values + i * COLUMNS;
+      const int64_t *value = report->values + i * LIMIT_COLUMNS;
       message.limits.rows[i]
           = (struct limit_row){ .target = (uint64_t)value[0],
                                 .rate_millis = clamp_uint32 (value[1]),
--- a/node/control/control_members.c
+++ b/node/control/control_members.c
@@ -7,23 +7,23 @@
 #include "base/log.h"
 
 static uint32_t
-relay_age (const struct control_task *task, int64_t now_ms)
+contact_age_ms (const struct control_task *task, int64_t now_ms)
 {
   const int64_t age = now_ms - task->last_contact_ms;
   return age > UINT32_MAX ? UINT32_MAX : (uint32_t)age;
 }
 
-/* The sequence is the time of sending: an answer proves that the host could
-   be reached then, however late it comes. */
+/* The sequence is the time of sending.  An answer proves that the host was
+   reachable at that time, however late it arrives. */
 static struct peer_message
-heartbeat (const struct control_task *task, enum peer_type type,
-           uint64_t sequence)
+make_heartbeat (const struct control_task *task, enum peer_type type,
+                uint64_t sequence)
 {
   return (struct peer_message){
     .type = type,
     .heartbeat
     = { .sequence = sequence,
-        .relay_age_ms = relay_age (task, clock_now_ms ()),
+        .relay_age_ms = contact_age_ms (task, clock_now_ms ()),
         .leaving = task->is_leaving,
         .settings_hash = settings_index_hash (task->index),
         .config_version = freshness_get_proof (&task->freshness).version,
@@ -31,9 +31,10 @@
   };
 }
 
-/* Hosts that the platform doesn't list are known by this only. */
+/* Hosts that aren't on the platform's list are known from this description
+   only. */
 static void
-describe (const struct control_task *task, struct peer_member_update *verdict)
+add_description (const struct control_task *task, struct peer_verdict *verdict)
 {
   const struct control_host *host
       = control_hosts_find (task, verdict->host_key);
@@ -51,19 +52,19 @@
 static void
 send_gossip (struct control_task *task, struct control_host *host)
 {
-  struct member_update news[CONTROL_GOSSIP_UPDATES_MAX];
-  struct peer_member_update verdicts[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
-  const size_t count
-      = membership_gossip (task->membership, news, CONTROL_GOSSIP_UPDATES_MAX);
+  struct member_update updates[CONTROL_GOSSIP_UPDATES_MAX];
+  struct peer_verdict verdicts[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
+  const size_t count = membership_gossip (task->membership, updates,
+                                          CONTROL_GOSSIP_UPDATES_MAX);
   if (count == 0)
     return;
   for (size_t i = 0; i < count; i++)
     {
-      verdicts[i].host_key = news[i].key;
-      verdicts[i].incarnation = news[i].incarnation;
-      verdicts[i].counter = news[i].counter;
-      verdicts[i].state = (uint8_t)news[i].state;
-      describe (task, &verdicts[i]);
+      verdicts[i].host_key = updates[i].key;
+      verdicts[i].incarnation = updates[i].incarnation;
+      verdicts[i].counter = updates[i].counter;
+      verdicts[i].state = (uint8_t)updates[i].state;
+      add_description (task, &verdicts[i]);
     }
   const struct peer_message message
       = { .type = PEER_MEMBERS,
@@ -76,8 +77,8 @@
                                 struct control_host *host, int64_t now_ms)
 {
   struct peer_message message
-      = heartbeat (task, PEER_HEARTBEAT, (uint64_t)now_ms);
-  message.heartbeat.return_requested
+      = make_heartbeat (task, PEER_HEARTBEAT, (uint64_t)now_ms);
+  message.heartbeat.return_wanted
       = membership_requests_return (task->membership, host->key);
   control_hosts_send (task, host, &message);
 }
@@ -96,9 +97,10 @@
     }
 }
 
-/* Guards against two halves of a fleet that never meet again: after a long
-   cut each believes the other dead and watches none of it.  Shows as two
-   fleets with host sets of their own.  One dead host a beat is asked. */
+/* After a long network partition, each half of the fleet considers the other
+   dead and monitors none of its hosts.  Without probes the halves would never
+   reconnect and would remain two fleets with separate host sets.  One dead
+   host is probed per heartbeat interval. */
 static void
 probe_dead (struct control_task *task, int64_t now_ms)
 {
@@ -117,36 +119,37 @@
     }
 }
 
-/* Ask a few others about the hosts that don't answer here. */
+/* Asks a few other hosts to check those that don't answer here. */
 static void
-ask_helpers (struct control_task *task, const uint64_t *watched, size_t count,
-             int64_t now_ms)
+request_indirect_checks (struct control_task *task, const uint64_t *monitored,
+                         size_t count, int64_t now_ms)
 {
-  uint64_t doubted[CONTROL_UNDECIDED_MAX];
-  const size_t doubts = membership_undecided (task->membership, doubted,
-                                              CONTROL_UNDECIDED_MAX);
-  for (size_t d = 0; d < doubts; d++)
+  uint64_t undecided[CONTROL_UNDECIDED_MAX];
+  const size_t undecided_count = membership_undecided (
+      task->membership, undecided, CONTROL_UNDECIDED_MAX);
+  for (size_t u = 0; u < undecided_count; u++)
     {
       const struct peer_message message
           = { .type = PEER_INDIRECT_CHECK,
-              .indirect = { .host_key = doubted[d] } };
+              .indirect = { .host_key = undecided[u] } };
       const size_t start = rng_below (&task->random, count);
-      size_t asked = 0;
-      for (size_t i = 0; i < count && asked < CONTROL_INDIRECT_CHECKERS; i++)
+      size_t requested = 0;
+      for (size_t i = 0; i < count && requested < CONTROL_INDIRECT_CHECKERS;
+           i++)
         {
-          const uint64_t key = watched[(start + i) % count];
+          const uint64_t key = monitored[(start + i) % count];
           struct control_host *host = control_hosts_find (task, key);
-          if (host == NULL || key == doubted[d]
+          if (host == NULL || key == undecided[u]
               || !membership_has_recent_answer (task->membership, now_ms, key))
             continue;
           control_hosts_send (task, host, &message);
-          asked++;
+          requested++;
         }
     }
 }
 
 static void
-judge_staleness (struct control_task *task, int64_t now_ms)
+update_staleness (struct control_task *task, int64_t now_ms)
 {
   const uint32_t limit_ms = task->options.settings->times.stale_after_ms;
   const bool is_stale = now_ms - task->last_contact_ms >= limit_ms
@@ -187,9 +190,9 @@
       control_members_send_heartbeat (task, host, now_ms);
       send_gossip (task, host);
     }
-  ask_helpers (task, keys, count, now_ms);
+  request_indirect_checks (task, keys, count, now_ms);
   probe_dead (task, now_ms);
-  judge_staleness (task, now_ms);
+  update_staleness (task, now_ms);
   control_platform_check_age (task, now_ms);
   control_freshness_tick (task, now_ms);
 }
@@ -217,34 +220,34 @@
   control_hosts_changed (task);
 }
 
-/* Each host passes on how old its news is, by the time it heard the platform
-   or by what others said.  A leading relay takes no other host's word, which
-   might come from itself. */
+/* Each host passes on the age of the newest contact with the platform, its
+   own or one reported by another host.  A leading relay ignores the reports,
+   which might originate from itself. */
 static void
-note_relay (struct control_task *task, const struct peer_heartbeat *beat,
-            int64_t now_ms)
+note_relay_contact (struct control_task *task,
+                    const struct peer_heartbeat *heartbeat, int64_t now_ms)
 {
   if (!task->is_leading)
-    control_members_note_contact (task, now_ms - beat->relay_age_ms);
+    control_members_note_contact (task, now_ms - heartbeat->relay_age_ms);
 }
 
 static void
 handle_heartbeat (struct control_task *task,
                   const struct control_source *source,
-                  const struct peer_heartbeat *beat)
+                  const struct peer_heartbeat *heartbeat)
 {
   const int64_t now_ms = clock_now_ms ();
   membership_note_heartbeat (task->membership, now_ms, source->host->key,
-                             source->host->record.incarnation, beat->leaving,
-                             beat->return_requested);
+                             source->host->record.incarnation,
+                             heartbeat->leaving, heartbeat->return_wanted);
   const struct peer_message answer
-      = heartbeat (task, PEER_HEARTBEAT_ACK, beat->sequence);
+      = make_heartbeat (task, PEER_HEARTBEAT_ACK, heartbeat->sequence);
   control_reply (task, source, &answer);
-  note_relay (task, beat, now_ms);
+  note_relay_contact (task, heartbeat, now_ms);
 }
 
 static void
-answer_checks (struct control_task *task, uint64_t subject)
+complete_indirect_checks (struct control_task *task, uint64_t subject)
 {
   size_t kept = 0;
   for (size_t i = 0; i < task->indirect_check_count; i++)
@@ -267,42 +270,42 @@
 
 static void
 handle_ack (struct control_task *task, const struct control_source *source,
-            const struct peer_heartbeat *beat)
+            const struct peer_heartbeat *heartbeat)
 {
   const int64_t now_ms = clock_now_ms ();
-  if (beat->sequence > (uint64_t)now_ms)
+  if (heartbeat->sequence > (uint64_t)now_ms)
     return;
-  membership_note_answer (task->membership, (int64_t)beat->sequence,
+  membership_note_answer (task->membership, (int64_t)heartbeat->sequence,
                           source->host->key, source->host->record.incarnation);
-  note_relay (task, beat, now_ms);
-  control_freshness_receive_ack (task, beat);
-  answer_checks (task, source->host->key);
+  note_relay_contact (task, heartbeat, now_ms);
+  control_freshness_receive_ack (task, heartbeat);
+  complete_indirect_checks (task, source->host->key);
 }
 
 static void
-handle_check (struct control_task *task, const struct control_source *source,
-              uint64_t subject)
+handle_indirect_check (struct control_task *task,
+                       const struct control_source *source, uint64_t subject)
 {
   const int64_t now_ms = clock_now_ms ();
   struct control_host *host = control_hosts_find (task, subject);
   if (host == NULL || host == task->self)
     return;
-  size_t at = task->indirect_check_count;
-  if (at < CONTROL_INDIRECT_CHECKS_MAX)
+  size_t index = task->indirect_check_count;
+  if (index < CONTROL_INDIRECT_CHECKS_MAX)
     task->indirect_check_count++;
   else
-    at = rng_below (&task->random, CONTROL_INDIRECT_CHECKS_MAX);
-  task->indirect_checks[at] = (struct control_indirect_check){
-    .requester = source->host->key, .subject = subject, .asked_ms = now_ms
+    index = rng_below (&task->random, CONTROL_INDIRECT_CHECKS_MAX);
+  task->indirect_checks[index] = (struct control_indirect_check){
+    .requester = source->host->key, .subject = subject, .requested_ms = now_ms
   };
   control_members_send_heartbeat (task, host, now_ms);
 }
 
-/* Guards against hosts that are gone for good but are spoken of for ever:
-   each one that forgot learns of them again from one that hasn't.  Shows as
-   lists that grow with every host ever replaced. */
+/* Hosts that no longer exist would be gossiped about forever: each host that
+   has removed one learns of it again from one that hasn't.  The lists would
+   grow with every host ever replaced. */
 static bool
-is_forgotten (const struct control_task *task, uint64_t key)
+was_removed (const struct control_task *task, uint64_t key)
 {
   const struct control_host *host = control_hosts_find (task, key);
   if (host == NULL)
@@ -312,12 +315,12 @@
 }
 
 static void
-handle_verdict (struct control_task *task,
-                const struct peer_member_update *verdict, int64_t now_ms)
+handle_update (struct control_task *task, const struct peer_verdict *verdict,
+               int64_t now_ms)
 {
   if (verdict->state > MEMBER_LEAVING
       || (verdict->state >= MEMBER_DEAD
-          && is_forgotten (task, verdict->host_key)))
+          && was_removed (task, verdict->host_key)))
     return;
   struct host_record record = { .incarnation = verdict->incarnation };
   memcpy (record.name, verdict->name, sizeof record.name);
@@ -332,12 +335,12 @@
     control_hosts_update (task, &record);
   if (control_hosts_find (task, verdict->host_key) == NULL)
     return;
-  const struct member_update said
+  const struct member_update update
       = { .key = verdict->host_key,
           .incarnation = verdict->incarnation,
           .counter = verdict->counter,
           .state = (enum member_state)verdict->state };
-  membership_merge (task->membership, now_ms, &said);
+  membership_merge (task->membership, now_ms, &update);
 }
 
 void
@@ -358,7 +361,7 @@
                                 message->heartbeat.settings_hash);
       break;
     case PEER_INDIRECT_CHECK:
-      handle_check (task, source, message->indirect.host_key);
+      handle_indirect_check (task, source, message->indirect.host_key);
       break;
     case PEER_INDIRECT_RESULT:
       if (message->indirect.reachable)
@@ -367,7 +370,7 @@
       break;
     case PEER_MEMBERS:
       for (size_t i = 0; i < message->members.count; i++)
-        handle_verdict (task, &message->members.updates[i], clock_now_ms ());
+        handle_update (task, &message->members.verdicts[i], clock_now_ms ());
       break;
     default:
       break;
--- a/node/control/control_outcomes.c
+++ b/node/control/control_outcomes.c
@@ -16,15 +16,16 @@
 enum
 {
   OUTCOME_COLUMNS = 2, /* key of the target, how the attempt ended */
-  /** After a report the next ones wait so long and go together: short against
-   * the seconds that a target fails for, long against the time that the
-   * message of one outcome takes of a busy host. */
-  REPORT_PAUSE_MS = 50,
+  /** Minimum interval of reports; outcomes in between are sent together.
+   * This is short compared with the seconds for which a target fails, and
+   * long compared with the time that a busy host spends on a message for one
+   * outcome. */
+  REPORT_INTERVAL_MS = 50,
   REPORT_ROWS_MAX = 256,
 };
 
-/** The outcomes of a service: those that the other hosts of its set aren't
- * told yet, and what hosts outside it are told. */
+/** The outcomes of a service: those not yet sent to the other hosts of its
+ * set, and a digest for hosts outside it. */
 struct control_outcomes
 {
   char service[PEER_NAME_SIZE];
@@ -36,21 +37,21 @@
 };
 
 static const struct control_service *
-service_of (const struct control_task *task, const char *name)
+find_service (const struct control_task *task, const char *name)
 {
   const struct control_service *service;
   HASH_FIND_STR (task->services, name, service);
   return service;
 }
 
-/* Keeps the failed targets of services whose set this host is in. */
+/* Keeps the failed targets of services whose set includes this host. */
 static void
-note_in_digest (struct control_outcomes *outcomes,
-                const struct control_service *service, uint64_t host,
-                uint64_t target, enum attempt_end end)
+update_digest (struct control_outcomes *outcomes,
+               const struct control_service *service, uint64_t host,
+               uint64_t target, enum attempt_end end)
 {
-  const bool is_kept = service != NULL && service->includes_self;
-  if (!is_kept)
+  const bool is_needed = service != NULL && service->includes_self;
+  if (!is_needed)
     {
       free (outcomes->digest);
       outcomes->digest = NULL;
@@ -62,21 +63,23 @@
 }
 
 static void
-report (struct control_task *task, struct control_outcomes *outcomes)
+send_report (struct control_task *task, struct control_outcomes *outcomes)
 {
-  const struct control_service *service = service_of (task, outcomes->service);
-  struct peer_message told
+  const struct control_service *service
+      = find_service (task, outcomes->service);
+  struct peer_message message
       = { .type = PEER_OUTCOMES,
           .report = { .columns = OUTCOME_COLUMNS,
                       .values = outcomes->values,
                       .value_count = outcomes->value_count } };
-  memcpy (told.report.service, outcomes->service, sizeof told.report.service);
+  memcpy (message.report.service, outcomes->service,
+          sizeof message.report.service);
   outcomes->reported_ms = clock_now_ms ();
   for (size_t i = 0; service != NULL && i < service->set_count; i++)
     {
       struct control_host *host = control_hosts_find (task, service->set[i]);
       if (host != NULL && host != task->self)
-        control_hosts_send (task, host, &told);
+        control_hosts_send (task, host, &message);
     }
   free (outcomes->values);
   outcomes->values = NULL;
@@ -84,19 +87,19 @@
 }
 
 static void
-report_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
+report_timer_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
   struct control_task *task = watcher->data;
   struct control_outcomes *outcomes;
   DL_FOREACH (task->outcomes, outcomes)
   {
     if (outcomes->value_count > 0)
-      report (task, outcomes);
+      send_report (task, outcomes);
   }
 }
 
 static struct control_outcomes *
-outcomes_of (struct control_task *task, const char *service)
+find_or_add_outcomes (struct control_task *task, const char *service)
 {
   struct control_outcomes *outcomes;
   DL_FOREACH (task->outcomes, outcomes)
@@ -111,31 +114,32 @@
   return outcomes;
 }
 
-/* Guards against hosts that each find out for themselves that a target is
-   ill, at the price of a request every time: what one sees, the others of the
-   service's set hear a moment later.  A host that isn't reached finds out as
-   before. */
+/* Without reports, each host would have to detect an unhealthy target for
+   itself, which costs a request each time.  What one host observes is sent to
+   the others of the service's set a moment later.  A host that a report
+   doesn't reach detects the target for itself. */
 static void
-on_seen (void *owner, const struct bus_message *message)
+on_outcome (void *owner, const struct bus_message *message)
 {
   struct control_task *task = owner;
   const struct bus_outcome *outcome = &message->outcome;
-  struct control_outcomes *outcomes = outcomes_of (task, outcome->service);
-  const size_t at = outcomes->value_count;
-  outcomes->values = xreallocarray (outcomes->values, at + OUTCOME_COLUMNS,
+  struct control_outcomes *outcomes
+      = find_or_add_outcomes (task, outcome->service);
+  const size_t start = outcomes->value_count;
+  outcomes->values = xreallocarray (outcomes->values, start + OUTCOME_COLUMNS,
                                     sizeof *outcomes->values);
-  outcomes->values[at] = (int64_t)outcome->target_key;
-  outcomes->values[at + 1] = (int64_t)outcome->end;
+  outcomes->values[start] = (int64_t)outcome->target_key;
+  outcomes->values[start + 1] = (int64_t)outcome->end;
   outcomes->value_count += OUTCOME_COLUMNS;
-  note_in_digest (outcomes, service_of (task, outcome->service),
-                  task->self->key, outcome->target_key, outcome->end);
+  update_digest (outcomes, find_service (task, outcome->service),
+                 task->self->key, outcome->target_key, outcome->end);
   const bool is_full
       = outcomes->value_count == REPORT_ROWS_MAX * OUTCOME_COLUMNS;
-  if (is_full || clock_now_ms () - outcomes->reported_ms >= REPORT_PAUSE_MS)
-    report (task, outcomes);
+  if (is_full || clock_now_ms () - outcomes->reported_ms >= REPORT_INTERVAL_MS)
+    send_report (task, outcomes);
   else if (!ev_is_active (&task->outcome_timer))
     {
-      ev_timer_set (&task->outcome_timer, REPORT_PAUSE_MS / 1000.0, 0);
+      ev_timer_set (&task->outcome_timer, REPORT_INTERVAL_MS / 1000.0, 0);
       ev_timer_start (task->options.loop, &task->outcome_timer);
     }
 }
@@ -149,12 +153,12 @@
   return false;
 }
 
-/* One host of the set answers HOST: the first one of its data centre, or of
-   all where it has none. */
+/* One host of the set responds to HOST: the first of its data centre, or the
+   first of all if its data centre has none. */
 static bool
-answers (const struct control_task *task,
-         const struct control_service *service,
-         const struct control_host *host)
+is_responder (const struct control_task *task,
+              const struct control_service *service,
+              const struct control_host *host)
 {
   uint64_t first = service->set_count > 0 ? service->set[0] : 0;
   for (size_t i = service->set_count; i-- > 0;)
@@ -167,10 +171,11 @@
   return first == task->self->key;
 }
 
-/* Tells the sender of a report, outside the set, of failed targets. */
+/* Sends the failed targets to the sender of a report that is outside the
+   set. */
 static void
-tell_outsider (struct control_task *task, const struct control_source *source,
-               struct control_outcomes *outcomes)
+send_digest (struct control_task *task, const struct control_source *source,
+             struct control_outcomes *outcomes)
 {
   struct outcome_digest_target targets[OUTCOME_DIGEST_TARGETS_MAX];
   const size_t count = outcome_digest_collect (
@@ -183,22 +188,23 @@
       values[i * OUTCOME_COLUMNS] = (int64_t)targets[i].key;
       values[i * OUTCOME_COLUMNS + 1] = (int64_t)targets[i].end;
     }
-  struct peer_message told
+  struct peer_message message
       = { .type = PEER_OUTCOMES,
           .report = { .columns = OUTCOME_COLUMNS,
                       .values = values,
                       .value_count = count * OUTCOME_COLUMNS } };
-  memcpy (told.report.service, outcomes->service, sizeof told.report.service);
-  control_reply (task, source, &told);
+  memcpy (message.report.service, outcomes->service,
+          sizeof message.report.service);
+  control_reply (task, source, &message);
   LOG_INFO ("failed-targets-told", LOG_STR ("service", outcomes->service),
             LOG_STR ("host", source->host->record.name),
             LOG_INT ("targets", count));
 }
 
-/* Makes an outcome of another host known here. */
+/* Posts an outcome reported by another host. */
 static void
-hear (struct control_task *task, const char *service, uint64_t target,
-      enum attempt_end end)
+post_outcome (struct control_task *task, const char *service, uint64_t target,
+              enum attempt_end end)
 {
   struct bus_message message
       = { .topic = BUS_OUTCOME_RECEIVED,
@@ -214,35 +220,36 @@
 {
   if (report->columns != OUTCOME_COLUMNS)
     return;
-  const struct control_service *service = service_of (task, report->service);
+  const struct control_service *service = find_service (task, report->service);
   if (service == NULL)
     return;
-  struct control_outcomes *outcomes = outcomes_of (task, report->service);
+  struct control_outcomes *outcomes
+      = find_or_add_outcomes (task, report->service);
   for (size_t i = 0; i + 1 < report->value_count; i += OUTCOME_COLUMNS)
     {
       const int64_t end = report->values[i + 1];
       if (end < 0 || end > ATTEMPT_CANCELLED)
         continue;
       const uint64_t target = (uint64_t)report->values[i];
-      note_in_digest (outcomes, service, source->host->key, target,
-                      (enum attempt_end)end);
-      hear (task, report->service, target, (enum attempt_end)end);
+      update_digest (outcomes, service, source->host->key, target,
+                     (enum attempt_end)end);
+      post_outcome (task, report->service, target, (enum attempt_end)end);
     }
   if (outcomes->digest != NULL && !is_in_set (service, source->host->key)
-      && answers (task, service, source->host))
-    tell_outsider (task, source, outcomes);
+      && is_responder (task, service, source->host))
+    send_digest (task, source, outcomes);
 }
 
 void
 control_outcomes_start (struct control_task *task)
 {
-  bus_subscribe (task->options.bus, BUS_OUTCOME_OBSERVED, on_seen, task);
+  bus_subscribe (task->options.bus, BUS_OUTCOME_SEEN, on_outcome, task);
 }
 
 void
 control_outcomes_prepare (struct control_task *task)
 {
-  ev_timer_init (&task->outcome_timer, report_cb, 0, 0);
+  ev_timer_init (&task->outcome_timer, report_timer_cb, 0, 0);
   task->outcome_timer.data = task;
 }
 
--- a/node/control/control_platform.c
+++ b/node/control/control_platform.c
@@ -10,34 +10,37 @@
 
 enum
 {
-  /** A watch that told something waits so long before the next, so that a
-   * burst of changes is one call; a tenth of the seconds within which a change
-   * must be in force.  Where hundreds of targets come and go, each relay makes
-   * a call after each pause. */
-  RELAY_PAUSE_MS = 300,
-  /** The others hear from the relays meanwhile and watch only in case they
-   * don't: when the news that reaches them grows old, they go on at once. With
-   * hundreds of hosts their watches are most of the platform's calls. */
-  OTHERS_PAUSE_MS = 8000,
-  /** Heartbeats that news takes from a relay to any host, at most. */
-  NEWS_BEATS = 3,
+  /** Delay of a relay's next watch after one that returned changes, so that a
+   * burst of changes takes one call.  It is a tenth of the seconds within
+   * which a change must be in force.  Where hundreds of targets come and go,
+   * each relay makes one call per delay. */
+  RELAY_WATCH_DELAY_MS = 300,
+  /** The same delay for other hosts.  They receive changes from the relays
+   * and watch only in case they don't: when their last contact gets old, they
+   * continue at once.  With hundreds of hosts, their watches are most of the
+   * platform's calls. */
+  OTHERS_WATCH_DELAY_MS = 8000,
+  /** Maximum number of heartbeat intervals for a contact to spread from a
+   * relay to any host. */
+  SPREAD_HEARTBEATS = 3,
 };
 
-/* News is as old as the kind of settings that was heard of longest ago. */
+/* The age of the contact is that of the kind of settings that was read the
+   longest ago. */
 static void
-note_news (struct control_task *task)
+note_contact (struct control_task *task)
 {
-  int64_t heard_ms = INT64_MAX;
+  int64_t contact_ms = INT64_MAX;
   for (size_t i = 0; i < task->feed_count; i++)
     if (strcmp (task->feeds[i].kind, PLATFORM_KIND_HOST) != 0
-        && task->feeds[i].last_current_reply_ms < heard_ms)
-      heard_ms = task->feeds[i].last_current_reply_ms;
-  if (heard_ms != INT64_MAX)
-    control_members_note_contact (task, heard_ms);
+        && task->feeds[i].last_current_reply_ms < contact_ms)
+      contact_ms = task->feeds[i].last_current_reply_ms;
+  if (contact_ms != INT64_MAX)
+    control_members_note_contact (task, contact_ms);
 }
 
 static void
-answered (struct control_feed *feed)
+feed_succeeded (struct control_feed *feed)
 {
   const int64_t now_ms = clock_now_ms ();
   if (feed->age == PLATFORM_READ_LATEST)
@@ -49,12 +52,12 @@
                 LOG_INT ("revision", feed->revision));
     }
   feed->backoff_ms = 0;
-  note_news (feed->task);
+  note_contact (feed->task);
 }
 
 static void
-apply (struct control_feed *feed, const char *name, uint64_t version,
-       const char *value)
+apply_object (struct control_feed *feed, const char *name, uint64_t version,
+              const char *value)
 {
   struct control_task *task = feed->task;
   if (value == NULL && strcmp (feed->kind, PLATFORM_KIND_TARGET) == 0
@@ -67,14 +70,14 @@
 apply_reply (struct control_feed *feed, const struct platform_reply *reply)
 {
   for (size_t i = 0; i < reply->count; i++)
-    apply (feed, reply->objects[i].name, reply->objects[i].version,
-           reply->objects[i].value);
+    apply_object (feed, reply->objects[i].name, reply->objects[i].version,
+                  reply->objects[i].value);
   if (reply->revision > feed->revision)
     feed->revision = reply->revision;
 }
 
 static bool
-reply_holds (const struct platform_reply *reply, const char *name)
+reply_contains (const struct platform_reply *reply, const char *name)
 {
   for (size_t i = 0; i < reply->count; i++)
     if (strcmp (reply->objects[i].name, name) == 0)
@@ -82,11 +85,11 @@
   return false;
 }
 
-/* Guards against a removal that nobody saw: it happened while no relay
-   watched, and a list doesn't show what is gone.  Shows as a removed service
-   that is served for ever.  Versions come from one growing sequence, so what
-   a list of REVISION lacks, at or below that revision, was removed by then;
-   what is newer than the list is left alone. */
+/* A removal may happen while no relay watches, and a list doesn't show
+   removed objects.  A removed service would then be served forever.  Versions
+   come from one increasing sequence, so an object that is missing from a list
+   of REVISION and has a version at or below it was removed by then.  Objects
+   newer than the list are kept. */
 static void
 remove_missing (struct control_feed *feed, const struct platform_reply *reply)
 {
@@ -97,14 +100,14 @@
   {
     if (object->value == NULL || object->version >= reply->revision
         || strcmp (object->kind, feed->kind) != 0
-        || reply_holds (reply, object->name))
+        || reply_contains (reply, object->name))
       continue;
-    apply (feed, object->name, reply->revision, NULL);
+    apply_object (feed, object->name, reply->revision, NULL);
   }
 }
 
-/* A list holds all there is; a watch that shows changes may hold the first of
-   them only. */
+/* A list contains all objects.  A watch that returns changes may contain only
+   the first of them. */
 static void
 note_freshness (const struct control_feed *feed,
                 const struct platform_reply *reply)
@@ -113,7 +116,7 @@
       || strcmp (feed->kind, PLATFORM_KIND_CONFIG) != 0)
     return;
   if (!feed->is_listed || reply->count == 0)
-    control_freshness_note_current (feed->task, feed->asked_ms);
+    control_freshness_note_current (feed->task, feed->requested_ms);
   else
     control_freshness_note_change (feed->task);
 }
@@ -129,9 +132,9 @@
   control_retry_later (feed->task, &feed->retry, &feed->backoff_ms);
 }
 
-/* Settings are there once every kind but the hosts has been listed. */
+/* Settings are available once every kind except hosts has been listed. */
 static void
-note_listed (struct control_task *task)
+update_has_settings (struct control_task *task)
 {
   for (size_t i = 0; i < task->feed_count; i++)
     if (!task->feeds[i].is_listed
@@ -144,54 +147,55 @@
 list_done (void *owner, const struct platform_reply *reply)
 {
   struct control_feed *feed = owner;
-  feed->is_waiting = false;
+  feed->is_pending = false;
   if (reply->status != STATUS_OK)
     {
       feed_failed (feed, reply);
       return;
     }
-  answered (feed);
+  feed_succeeded (feed);
   apply_reply (feed, reply);
   remove_missing (feed, reply);
   note_freshness (feed, reply);
   feed->is_listed = true;
   feed->was_refused = false;
-  note_listed (feed->task);
+  update_has_settings (feed->task);
   control_tombstones_note_list (feed->task, feed->kind, reply->revision);
   feed_next (feed);
 }
 
-/* Guards against relays that are all cut from the platform and know it not, or
-   are killed at once: the others would wait for their long watch.  A relay's
-   news is two seconds old at most, and each heartbeat on the way adds half a
-   second.  Relays begin to ask once they have settled, so news can't be old
-   before that. */
+/* All relays may be disconnected from the platform without noticing, or be
+   killed at once; the other hosts would then wait for their long watch to end.
+   The state of a relay is at most two seconds old, and each heartbeat on the
+   way adds half a second.  Relays start to watch once they have settled, so
+   the contact can't be old before that. */
 static bool
-news_is_old (const struct control_task *task)
+contact_is_old (const struct control_task *task)
 {
   const struct control_times *times = &task->options.settings->times;
-  const int64_t most_ms = (int64_t)times->relay_watch_ms
-                          + (int64_t)NEWS_BEATS * times->heartbeat_ms;
-  const int64_t since_ms = task->last_contact_ms > task->settled_ms
+  const int64_t max_age_ms
+      = (int64_t)times->relay_watch_ms
+        + (int64_t)SPREAD_HEARTBEATS * times->heartbeat_ms;
+  const int64_t start_ms = task->last_contact_ms > task->settled_ms
                                ? task->last_contact_ms
                                : task->settled_ms;
-  return task->settled_ms > 0 && clock_now_ms () - since_ms > most_ms;
+  return task->settled_ms > 0 && clock_now_ms () - start_ms > max_age_ms;
 }
 
-/* Does the host have to find out for itself what is new? */
+/* Whether this host has to read the newest state from the platform itself. */
 static bool
-asks_often (const struct control_task *task)
+reads_newest (const struct control_task *task)
 {
-  return task->is_leading || task->is_stale || news_is_old (task);
+  return task->is_leading || task->is_stale || contact_is_old (task);
 }
 
 static void
-feed_pause (struct control_feed *feed)
+feed_delay (struct control_feed *feed)
 {
   ev_timer_stop (feed->task->options.loop, &feed->retry);
-  const int pause_ms
-      = asks_often (feed->task) ? RELAY_PAUSE_MS : OTHERS_PAUSE_MS;
-  ev_timer_set (&feed->retry, pause_ms / 1000.0, 0);
+  const int delay_ms = reads_newest (feed->task) ? RELAY_WATCH_DELAY_MS
+                                                 : OTHERS_WATCH_DELAY_MS;
+  ev_timer_set (&feed->retry, delay_ms / 1000.0, 0);
   ev_timer_start (feed->task->options.loop, &feed->retry);
 }
 
@@ -199,7 +203,7 @@
 watch_done (void *owner, const struct platform_reply *reply)
 {
   struct control_feed *feed = owner;
-  feed->is_waiting = false;
+  feed->is_pending = false;
   if (reply->status == STATUS_REFUSED)
     {
       feed->is_listed = false;
@@ -212,21 +216,22 @@
     }
   else
     {
-      answered (feed);
+      feed_succeeded (feed);
       apply_reply (feed, reply);
       note_freshness (feed, reply);
     }
   if (reply->status == STATUS_OK && reply->count > 0)
-    feed_pause (feed);
+    feed_delay (feed);
   else
     feed_next (feed);
 }
 
-/* What all hosts but the relays ask is a tenth of the price when it may be
-   seconds old; the relays tell them sooner.  A first list may be old as well:
-   the watch goes on from its revision.  After a watch was refused it may not,
-   else its revision could be one that the platform has forgotten, too. */
-static enum platform_read_mode
+/* A read that may return state a few seconds old costs a tenth of one of the
+   newest state, and hosts other than relays receive changes from the relays
+   sooner anyway.  A first list may be old as well, since the watch continues
+   from its revision.  After a refused watch it may not: the platform could
+   have forgotten the revision of an old list, too. */
+static enum platform_age
 list_age (const struct control_feed *feed)
 {
   return feed->was_refused ? PLATFORM_READ_LATEST : PLATFORM_READ_STALE;
@@ -235,20 +240,21 @@
 static enum platform_read_mode
 watch_age (const struct control_feed *feed)
 {
-  return asks_often (feed->task) ? PLATFORM_READ_LATEST : PLATFORM_READ_STALE;
+  return reads_newest (feed->task) ? PLATFORM_AGE_NONE : PLATFORM_AGE_ANY;
 }
 
-/* Guards against a watch that went deaf: the platform dropped it and tells
-   nobody.  Shows as a host that misses all changes until its watch is over.
-   Relays ask again every few seconds and tell the others; for all hosts to do
-   so would cost the platform ten times the calls.  Hosts are known by their
-   heartbeats sooner than by their records, so those may be late. */
+/* The platform may drop a watch without closing its connection.  The host
+   then misses all changes until the watch times out.  Relays therefore watch
+   for a few seconds at a time and pass changes on to the others; if all hosts
+   did so, the platform would get ten times the calls.  Hosts are known by
+   their heartbeats sooner than by their records, so host records may arrive
+   late. */
 static uint32_t
 watch_ms (const struct control_feed *feed)
 {
   const struct control_task *task = feed->task;
   const struct control_times *times = &task->options.settings->times;
-  const bool is_short = asks_often (task)
+  const bool is_short = reads_newest (task)
                         && strcmp (feed->kind, PLATFORM_KIND_HOST) != 0
                         && times->relay_watch_ms < times->watch_ms;
   if (!is_short)
@@ -258,45 +264,46 @@
              : times->relay_watch_ms;
 }
 
-/* A host that has become a relay, or hears of none any more, ends the pause
-   or the long watch that is under way. */
+/* Ends the delay or the long watch in flight of a host that has become a
+   relay or has lost contact with the relays. */
 static void
-shorten_watch (struct control_feed *feed)
+end_long_watch (struct control_feed *feed)
 {
   struct control_task *task = feed->task;
-  if (asks_often (task) && feed->backoff_ms == 0)
+  if (reads_newest (task) && feed->backoff_ms == 0)
     ev_timer_stop (task->options.loop, &feed->retry);
-  if (!feed->is_waiting || !feed->is_listed
+  if (!feed->is_pending || !feed->is_listed
       || feed->watch_timeout_ms <= watch_ms (feed))
     return;
   platform_cancel (task->options.platform, feed);
-  feed->is_waiting = false;
+  feed->is_pending = false;
 }
 
-/* All list once; then relays watch, and the others hear from them. */
+/* Every host lists once.  Then relays watch, and the others receive changes
+   from them. */
 static void
 feed_next (struct control_feed *feed)
 {
   struct control_task *task = feed->task;
-  if (feed->is_waiting || ev_is_active (&feed->retry))
+  if (feed->is_pending || ev_is_active (&feed->retry))
     return;
   if (!feed->is_listed)
     {
-      feed->is_waiting = true;
+      feed->is_pending = true;
       feed->revision = 0;
       feed->age = list_age (feed);
-      feed->asked_ms = clock_now_ms ();
+      feed->requested_ms = clock_now_ms ();
       platform_list (task->options.platform, feed->kind, feed->age, list_done,
                      feed);
       return;
     }
-  /* A stale host watches for itself, to find back. */
+  /* A stale host watches the platform itself to recover. */
   if (!feed->is_watched_by_all && !task->is_relay && !task->is_stale)
     return;
-  feed->is_waiting = true;
+  feed->is_pending = true;
   feed->watch_timeout_ms = watch_ms (feed);
   feed->age = watch_age (feed);
-  feed->asked_ms = clock_now_ms ();
+  feed->requested_ms = clock_now_ms ();
   platform_watch (task->options.platform, feed->kind, feed->revision,
                   feed->watch_timeout_ms, feed->age, watch_done, feed);
 }
@@ -320,27 +327,29 @@
 }
 
 static void
-add_feed (struct control_task *task, const char *kind, bool is_for_all)
+add_feed (struct control_task *task, const char *kind, bool is_watched_by_all)
 {
   struct control_feed *feed = &task->feeds[task->feed_count++];
   feed->task = task;
   feed->kind = kind;
-  feed->is_watched_by_all = is_for_all;
+  feed->is_watched_by_all = is_watched_by_all;
   ev_timer_init (&feed->retry, feed_retry_cb, 0, 0);
   feed->retry.data = feed;
 }
 
-/* The feed of hosts is the last; see control_platform_hosts_are_current(). */
+/* The feed of hosts is the last one; control_platform_hosts_are_current()
+   relies on that. */
 void
 control_platform_start (struct control_task *task)
 {
-  const bool is_for_all = task->options.settings->modes.all_watch_registry;
+  const bool is_watched_by_all
+      = task->options.settings->modes.all_watch_registry;
   if (task->registry == NULL)
     add_feed (task, PLATFORM_KIND_SERVICE, false);
   else
     {
-      add_feed (task, PLATFORM_KIND_CONFIG, is_for_all);
-      add_feed (task, PLATFORM_KIND_TARGET, is_for_all);
+      add_feed (task, PLATFORM_KIND_CONFIG, is_watched_by_all);
+      add_feed (task, PLATFORM_KIND_TARGET, is_watched_by_all);
     }
   add_feed (task, PLATFORM_KIND_HOST, false);
   for (size_t i = 0; i < task->feed_count; i++)
@@ -353,7 +362,7 @@
 {
   for (size_t i = 0; i < task->feed_count; i++)
     {
-      shorten_watch (&task->feeds[i]);
+      end_long_watch (&task->feeds[i]);
       feed_next (&task->feeds[i]);
     }
 }
@@ -363,7 +372,7 @@
 {
   const bool watches = task->registry != NULL
                        && task->options.settings->modes.all_watch_registry;
-  if (watches && !task->is_leading && news_is_old (task))
+  if (watches && !task->is_leading && contact_is_old (task))
     control_platform_wake (task);
 }
 
--- a/node/control/control_poison.c
+++ b/node/control/control_poison.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  /** All but a few hosts in a thousand are reached in a few rounds; periodic
+  /** Reaches all but a few hosts in a thousand within a few rounds; periodic
    * refreshes reach the rest. */
   GOSSIP_FANOUT = 6,
 };
--- a/node/control/control_poison_store.c
+++ b/node/control/control_poison_store.c
@@ -56,14 +56,14 @@
   control_retry_later (task, &task->poison.retry, &task->poison.backoff_ms);
 }
 
-/* A retry reads the object first and so detects a write whose reply was lost.
- */
+/* A retry reads the object first and so detects a write whose response was
+   lost. */
 static void
 put_done (void *owner, const struct platform_reply *reply)
 {
   struct control_poison_store *store = owner;
   struct control_task *task = store->task;
-  store->is_waiting = false;
+  store->is_pending = false;
   if (reply->status != STATUS_OK && reply->status != STATUS_NOT_FOUND)
     {
       retry_later (task, reply);
@@ -87,7 +87,7 @@
       = exists ? write->value != NULL
                      && strcmp (reply->objects[0].value, write->value) == 0
                : write->value == NULL;
-  store->is_waiting = false;
+  store->is_pending = false;
   if (reply->status != STATUS_OK && reply->status != STATUS_NOT_FOUND)
     retry_later (task, reply);
   else if (is_done)
@@ -97,7 +97,7 @@
     }
   else
     {
-      store->is_waiting = true;
+      store->is_pending = true;
       platform_put (task->options.platform, PLATFORM_KIND_POISON, write->name,
                     exists ? reply->objects[0].version : PLATFORM_VERSION_NONE,
                     write->value, put_done, store);
@@ -108,10 +108,10 @@
 next_write (struct control_task *task)
 {
   struct control_poison_store *store = &task->poison;
-  if (store->is_waiting || store->writes == NULL
+  if (store->is_pending || store->writes == NULL
       || ev_is_active (&store->retry))
     return;
-  store->is_waiting = true;
+  store->is_pending = true;
   platform_get (task->options.platform, PLATFORM_KIND_POISON,
                 store->writes->name, get_done, store);
 }
@@ -158,8 +158,9 @@
   HASH_ADD_STR (store->stored_names, name, name);
 }
 
-/* Guards against a stale block on the platform: several hosts store the same
-   block, and one may write it after another has removed it. */
+/* Several hosts store the same block, and one may write it after another has
+   removed it.  The block would remain on the platform, so each host that has
+   stored it removes it. */
 void
 control_poison_store_clear (struct control_task *task,
                             const struct fingerprint *fingerprint)
@@ -192,8 +193,8 @@
 }
 
 static void
-read_object (struct control_task *task, const struct platform_object *object,
-             struct poison_row *rows, size_t *count)
+load_block (struct control_task *task, const struct platform_object *object,
+            struct poison_row *rows, size_t *count)
 {
   struct poison_record record;
   if (poison_record_parse (object->name, object->value, &record) != STATUS_OK)
@@ -202,15 +203,16 @@
                 LOG_STR ("why", status_message ()));
       return;
     }
-  const int64_t left_ms = record.expires_unix_ms - clock_unix_ms ();
-  if (left_ms < -POISON_BLOCK_RETENTION_MS)
+  const int64_t remaining_ms = record.expires_unix_ms - clock_unix_ms ();
+  if (remaining_ms < -POISON_BLOCK_RETENTION_MS)
     {
       add_write (task, object->name, NULL);
       return;
     }
   record.row.left_ms = 0;
-  if (left_ms > 0)
-    record.row.left_ms = left_ms < UINT32_MAX ? (uint32_t)left_ms : UINT32_MAX;
+  if (remaining_ms > 0)
+    record.row.left_ms
+        = remaining_ms < UINT32_MAX ? (uint32_t)remaining_ms : UINT32_MAX;
   rows[(*count)++] = record.row;
 }
 
@@ -232,7 +234,7 @@
   size_t count = 0;
   for (size_t i = 0; i < reply->count && count < POISON_ENTRIES_MAX; i++)
     if (reply->objects[i].value != NULL)
-      read_object (task, &reply->objects[i], rows, &count);
+      load_block (task, &reply->objects[i], rows, &count);
   LOG_INFO ("poison-listed", LOG_INT ("blocked", count));
   control_poison_deliver (task, "", rows, count);
 }
--- a/node/control/control_pulls.c
+++ b/node/control/control_pulls.c
@@ -10,56 +10,56 @@
 
 enum
 {
-  /** A host that was asked answers within this, or another one is: time for a
-   * value of half a megabyte over a slow link. */
-  ANSWER_MS = 500,
-  /** A large value is fetched from another data centre after a random part of
-   * this, if no host near by has it sooner: then few hosts fetch it from afar
-   * and the rest from those. */
-  FAR_DELAY_MS = 200,
-  /** What didn't come in this time is forgotten; offers come with each
-   * heartbeat for as long as there is a difference. */
-  EXPIRES_MS = 10000,
-  /** A value of so many bytes is large: a configuration of many routes, no
-   * record of a host or target. */
-  LARGE_BYTES = 4096,
+  /** Time for a requested host to answer before another one is requested:
+   * enough for a value of half a megabyte over a slow link. */
+  RESPONSE_TIMEOUT_MS = 500,
+  /** A large value is fetched from another data centre after a random delay
+   * of up to this, unless a host in the own data centre has it sooner.  Few
+   * hosts then fetch it from afar, and the rest from those. */
+  REMOTE_DELAY_MAX_MS = 200,
+  /** A pull without a result is removed after this time.  Offers are repeated
+   * with each heartbeat for as long as there is a difference. */
+  PULL_LIFETIME_MS = 10000,
+  /** Values of this size or more are large: a configuration of many routes,
+   * but no record of a host or target. */
+  LARGE_VALUE_BYTES = 4096,
 };
 
 /** An object that is being fetched from another host. */
 struct control_pull
 {
-  uint64_t key;     /**< of the object */
-  uint64_t version; /**< that was offered */
-  uint64_t held;    /**< version here */
-  uint64_t host;    /**< who is or will be asked */
-  int64_t due_ms;   /**< when it is asked */
-  bool is_asked;
+  uint64_t key;          /**< of the object */
+  uint64_t version;      /**< that was offered */
+  uint64_t held_version; /**< version here */
+  uint64_t host;         /**< key of the host that is or will be requested */
+  int64_t due_ms;        /**< when it is requested */
+  bool is_requested;
   UT_hash_handle hh;
 };
 
 static bool
-is_near (const struct control_task *task, uint64_t host_key)
+is_in_own_dc (const struct control_task *task, uint64_t host_key)
 {
   const struct control_host *host = control_hosts_find (task, host_key);
   return host != NULL && strcmp (host->record.dc, task->self->record.dc) == 0;
 }
 
 static void
-ask (struct control_task *task, struct control_pull *pull)
+request_object (struct control_task *task, struct control_pull *pull)
 {
   struct control_host *host = control_hosts_find (task, pull->host);
   struct peer_settings_entry entry
-      = { .key = pull->key, .version = pull->held };
+      = { .key = pull->key, .version = pull->held_version };
   const struct peer_message message
       = { .type = PEER_SETTINGS_PULL,
           .settings = { .entries = &entry, .count = 1 } };
-  pull->is_asked = true;
+  pull->is_requested = true;
   if (host != NULL)
     control_hosts_send (task, host, &message);
 }
 
 static struct control_pull *
-find (const struct control_task *task, uint64_t key)
+find_pull (const struct control_task *task, uint64_t key)
 {
   struct control_pull *pull;
   HASH_FIND (hh, task->pulls, &key, sizeof key, pull);
@@ -67,12 +67,12 @@
 }
 
 static void
-arm (struct control_task *task, int64_t due_ms, int64_t now_ms)
+schedule (struct control_task *task, int64_t due_ms, int64_t now_ms)
 {
   if (ev_is_active (&task->pull_timer))
     return;
-  const int64_t left_ms = due_ms > now_ms ? due_ms - now_ms : 0;
-  ev_timer_set (&task->pull_timer, (double)left_ms / 1000.0, 0);
+  const int64_t delay_ms = due_ms > now_ms ? due_ms - now_ms : 0;
+  ev_timer_set (&task->pull_timer, (double)delay_ms / 1000.0, 0);
   ev_timer_start (task->options.loop, &task->pull_timer);
 }
 
@@ -85,21 +85,21 @@
   struct control_pull *pull;
   for (pull = task->pulls; pull != NULL; pull = pull->hh.next)
     {
-      if (pull->is_asked)
+      if (pull->is_requested)
         continue;
       if (pull->due_ms <= now_ms)
-        ask (task, pull);
+        request_object (task, pull);
       else if (pull->due_ms < next_ms)
         next_ms = pull->due_ms;
     }
   if (next_ms != INT64_MAX)
-    arm (task, next_ms, now_ms);
+    schedule (task, next_ms, now_ms);
 }
 
 static struct control_pull *
-begin (struct control_task *task, uint64_t key)
+find_or_add_pull (struct control_task *task, uint64_t key)
 {
-  struct control_pull *pull = find (task, key);
+  struct control_pull *pull = find_pull (task, key);
   if (pull == NULL)
     {
       pull = xcalloc (1, sizeof *pull);
@@ -109,42 +109,43 @@
   return pull;
 }
 
-/* Guards against a value that is fetched from each neighbour that offers it:
-   all of them hear of a change within milliseconds.  Shows as a change of a
-   large configuration that fills the links of hundreds of hosts. */
+/* All neighbours of a host receive a change within milliseconds and offer it.
+   Fetched from each of them, a change of a large configuration would fill the
+   links of hundreds of hosts. */
 static bool
-is_under_way (const struct control_pull *pull, uint64_t version,
+is_in_flight (const struct control_pull *pull, uint64_t version,
               int64_t now_ms)
 {
   return pull != NULL && pull->version >= version
-         && now_ms - pull->due_ms < ANSWER_MS;
+         && now_ms - pull->due_ms < RESPONSE_TIMEOUT_MS;
 }
 
 bool
 control_pulls_should_request (struct control_task *task,
-                              const struct control_offer *o)
+                              const struct control_offer *offer)
 {
   const int64_t now_ms = clock_now_ms ();
-  struct control_pull *pull = find (task, o->key);
-  const bool near = is_near (task, o->host);
-  const bool waits = o->held_bytes >= LARGE_BYTES && !near;
-  if (is_under_way (pull, o->version, now_ms) && (waits || pull->is_asked))
+  struct control_pull *pull = find_pull (task, offer->key);
+  const bool is_local = is_in_own_dc (task, offer->host);
+  const bool is_delayed = offer->held_bytes >= LARGE_VALUE_BYTES && !is_local;
+  if (is_in_flight (pull, offer->version, now_ms)
+      && (is_delayed || pull->is_requested))
     return false;
-  pull = begin (task, o->key);
-  pull->version = o->version;
-  pull->held = o->held_version;
-  pull->host = o->host;
-  pull->is_asked = !waits;
+  pull = find_or_add_pull (task, offer->key);
+  pull->version = offer->version;
+  pull->held_version = offer->held_version;
+  pull->host = offer->host;
+  pull->is_requested = !is_delayed;
   pull->due_ms = now_ms;
-  if (!waits)
+  if (!is_delayed)
     return true;
-  pull->due_ms += (int64_t)rng_below (&task->random, FAR_DELAY_MS);
-  arm (task, pull->due_ms, now_ms);
+  pull->due_ms += (int64_t)rng_below (&task->random, REMOTE_DELAY_MAX_MS);
+  schedule (task, pull->due_ms, now_ms);
   return false;
 }
 
 static void
-drop (struct control_task *task, struct control_pull *pull)
+remove_pull (struct control_task *task, struct control_pull *pull)
 {
   HASH_DEL (task->pulls, pull);
   free (pull);
@@ -154,29 +155,29 @@
 control_pulls_complete (struct control_task *task, uint64_t key,
                         uint64_t version)
 {
-  struct control_pull *pull = find (task, key);
+  struct control_pull *pull = find_pull (task, key);
   if (pull != NULL && pull->version <= version)
-    drop (task, pull);
+    remove_pull (task, pull);
 }
 
 static struct control_pull *
 find_expired (const struct control_task *task, int64_t now_ms)
 {
   struct control_pull *pull = task->pulls;
-  while (pull != NULL && now_ms - pull->due_ms < EXPIRES_MS)
+  while (pull != NULL && now_ms - pull->due_ms < PULL_LIFETIME_MS)
     pull = pull->hh.next;
   return pull;
 }
 
-/* Guards against a list that grows for ever: what was offered may be gone
-   before it is fetched, or be refused when it comes.  One goes a heartbeat,
-   which is more than come to this. */
+/* An offered object may be removed before it is fetched, or be refused on
+   arrival, so the list would grow without bound.  One pull is removed per
+   heartbeat interval, which is more often than they fail. */
 void
 control_pulls_expire (struct control_task *task, int64_t now_ms)
 {
   struct control_pull *pull = find_expired (task, now_ms);
   if (pull != NULL)
-    drop (task, pull);
+    remove_pull (task, pull);
 }
 
 void
--- a/node/control/control_query.c
+++ b/node/control/control_query.c
@@ -9,21 +9,22 @@
 
 enum
 {
-  /** In a larger fleet only the service's hosts and the relays are asked. */
-  ASK_ALL_MAX = 64,
+  /** In a larger fleet, only the service's hosts and the relays are
+   * queried. */
+  QUERY_ALL_HOSTS_MAX = 64,
 };
 
-enum ask_state
+enum query_state
 {
-  ASK_SILENT,
-  ASK_IN_FORCE,
-  ASK_BEHIND
+  QUERY_UNANSWERED,
+  QUERY_IN_FORCE,
+  QUERY_OUTDATED
 };
 
-struct asked_host
+struct queried_host
 {
   uint64_t key;
-  enum ask_state state;
+  enum query_state state;
 };
 
 struct control_query
@@ -32,19 +33,19 @@
   uint64_t id;
   char service[PEER_NAME_SIZE];
   uint64_t version;
-  struct asked_host *hosts;
+  struct queried_host *hosts;
   size_t count;
   size_t answered;
-  struct ev_timer limit;
+  struct ev_timer timeout_timer;
   control_in_force_done *done;
   void *owner;
   struct control_query *prev;
   struct control_query *next;
 };
 
-/* What is in force here, or the version of its removal. */
+/* The version in force here, or that of the removal. */
 static uint64_t
-own_version (const struct control_task *task, const char *name)
+local_version (const struct control_task *task, const char *name)
 {
   const struct control_service *service;
   HASH_FIND_STR (task->services, name, service);
@@ -55,12 +56,12 @@
 }
 
 static void
-ask_free (struct control_query *ask)
+query_free (struct control_query *query)
 {
-  ev_timer_stop (ask->task->options.loop, &ask->limit);
-  DL_DELETE (ask->task->queries, ask);
-  free (ask->hosts);
-  free (ask);
+  ev_timer_stop (query->task->options.loop, &query->timeout_timer);
+  DL_DELETE (query->task->queries, query);
+  free (query->hosts);
+  free (query);
 }
 
 static const char *
@@ -71,93 +72,94 @@
 }
 
 static void
-report (struct control_query *ask)
+finish (struct control_query *query)
 {
-  struct control_in_force result = { .queried = ask->count };
-  result.outdated = xcalloc (ask->count, sizeof *result.outdated);
-  result.unanswered = xcalloc (ask->count, sizeof *result.unanswered);
-  for (size_t i = 0; i < ask->count; i++)
+  struct control_in_force result = { .queried = query->count };
+  result.outdated = xcalloc (query->count, sizeof *result.outdated);
+  result.unanswered = xcalloc (query->count, sizeof *result.unanswered);
+  for (size_t i = 0; i < query->count; i++)
     {
-      const char *name = host_name (ask->task, ask->hosts[i].key);
-      switch (ask->hosts[i].state)
+      const char *name = host_name (query->task, query->hosts[i].key);
+      switch (query->hosts[i].state)
         {
-        case ASK_IN_FORCE:
+        case QUERY_IN_FORCE:
           result.in_force++;
           break;
-        case ASK_BEHIND:
+        case QUERY_OUTDATED:
           result.outdated[result.outdated_count++] = name;
           break;
-        case ASK_SILENT:
+        case QUERY_UNANSWERED:
           result.unanswered[result.unanswered_count++] = name;
           break;
         }
     }
-  control_in_force_done *done = ask->done;
-  void *owner = ask->owner;
-  ask_free (ask);
+  control_in_force_done *done = query->done;
+  void *owner = query->owner;
+  query_free (query);
   done (owner, &result);
   free (result.outdated);
   free (result.unanswered);
 }
 
 static void
-limit_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
+timeout_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
-  report (watcher->data);
+  finish (watcher->data);
 }
 
 static void
-note_answer (struct control_query *ask, uint64_t key, uint64_t version)
+record_answer (struct control_query *query, uint64_t key, uint64_t version)
 {
-  for (size_t i = 0; i < ask->count; i++)
+  for (size_t i = 0; i < query->count; i++)
     {
-      struct asked_host *host = &ask->hosts[i];
-      if (host->key != key || host->state == ASK_IN_FORCE)
+      struct queried_host *host = &query->hosts[i];
+      if (host->key != key || host->state == QUERY_IN_FORCE)
         continue;
-      if (host->state == ASK_SILENT)
-        ask->answered++;
-      host->state = version >= ask->version ? ASK_IN_FORCE : ASK_BEHIND;
+      if (host->state == QUERY_UNANSWERED)
+        query->answered++;
+      host->state
+          = version >= query->version ? QUERY_IN_FORCE : QUERY_OUTDATED;
     }
-  if (ask->answered < ask->count)
+  if (query->answered < query->count)
     return;
-  ev_timer_stop (ask->task->options.loop, &ask->limit);
-  ev_timer_set (&ask->limit, 0, 0);
-  ev_timer_start (ask->task->options.loop, &ask->limit);
+  ev_timer_stop (query->task->options.loop, &query->timeout_timer);
+  ev_timer_set (&query->timeout_timer, 0, 0);
+  ev_timer_start (query->task->options.loop, &query->timeout_timer);
 }
 
 static void
-add_host (struct control_query *ask, uint64_t key)
+add_host (struct control_query *query, uint64_t key)
 {
-  for (size_t i = 0; i < ask->count; i++)
-    if (ask->hosts[i].key == key)
+  for (size_t i = 0; i < query->count; i++)
+    if (query->hosts[i].key == key)
       return;
-  ask->hosts[ask->count++] = (struct asked_host){ .key = key };
+  query->hosts[query->count++] = (struct queried_host){ .key = key };
 }
 
 static void
-choose_hosts (struct control_query *ask)
+select_hosts (struct control_query *query)
 {
-  const struct control_task *task = ask->task;
+  const struct control_task *task = query->task;
   const size_t known = HASH_COUNT (task->hosts);
   const struct control_service *service;
-  HASH_FIND_STR (task->services, ask->service, service);
+  HASH_FIND_STR (task->services, query->service, service);
   const size_t set_count = service == NULL ? 0 : service->set_count;
-  ask->hosts
-      = xcalloc (known + set_count + task->relays.count, sizeof *ask->hosts);
-  if (known <= ASK_ALL_MAX)
+  query->hosts
+      = xcalloc (known + set_count + task->relays.count, sizeof *query->hosts);
+  if (known <= QUERY_ALL_HOSTS_MAX)
     {
       const struct control_host *host;
       for (host = task->hosts; host != NULL; host = host->hh.next)
         if (membership_state (task->membership, host->key) != MEMBER_LEAVING
             || host == task->self)
-          add_host (ask, host->key);
+          add_host (query, host->key);
       return;
     }
-  add_host (ask, task->self->key);
+  add_host (query, task->self->key);
   for (size_t i = 0; i < set_count; i++)
-    add_host (ask, service->set[i]);
+    add_host (query, service->set[i]);
   for (uint32_t i = 0; i < task->relays.count; i++)
-    add_host (ask, task->fleet[task->relays.hosts[i]].key);
+    add_host (query, task->fleet[task->relays.hosts[i]].key);
 }
 
 void
@@ -165,29 +167,30 @@
                         uint64_t version, uint32_t timeout_ms,
                         control_in_force_done *done, void *owner)
 {
-  struct control_query *ask = xcalloc (1, sizeof *ask);
-  ask->task = task;
-  ask->id = ++task->last_query_id;
-  ask->version = version;
-  ask->done = done;
-  ask->owner = owner;
-  strncpy (ask->service, service, sizeof ask->service - 1);
-  ev_timer_init (&ask->limit, limit_cb, timeout_ms / 1000.0, 0);
-  ask->limit.data = ask;
-  ev_timer_start (task->options.loop, &ask->limit);
-  DL_APPEND (task->queries, ask);
-  choose_hosts (ask);
+  struct control_query *query = xcalloc (1, sizeof *query);
+  query->task = task;
+  query->id = ++task->last_query_id;
+  query->version = version;
+  query->done = done;
+  query->owner = owner;
+  strncpy (query->service, service, sizeof query->service - 1);
+  ev_timer_init (&query->timeout_timer, timeout_cb, timeout_ms / 1000.0, 0);
+  query->timeout_timer.data = query;
+  ev_timer_start (task->options.loop, &query->timeout_timer);
+  DL_APPEND (task->queries, query);
+  select_hosts (query);
   struct peer_message message
-      = { .type = PEER_IN_FORCE_REQUEST,
-          .in_force = { .request_id = ask->id, .version = version } };
-  memcpy (message.in_force.service, ask->service, sizeof ask->service);
-  for (size_t i = 0; i < ask->count; i++)
+      = { .type = PEER_IN_FORCE_ASK,
+          .in_force = { .ask_id = query->id, .version = version } };
+  memcpy (message.in_force.service, query->service, sizeof query->service);
+  for (size_t i = 0; i < query->count; i++)
     {
-      struct control_host *host = control_hosts_find (task, ask->hosts[i].key);
+      struct control_host *host
+          = control_hosts_find (task, query->hosts[i].key);
       if (host != NULL && host != task->self)
         control_hosts_send (task, host, &message);
     }
-  note_answer (ask, task->self->key, own_version (task, service));
+  record_answer (query, task->self->key, local_version (task, service));
 }
 
 void
@@ -199,16 +202,17 @@
     {
       struct peer_message answer = *message;
       answer.type = PEER_IN_FORCE_ANSWER;
-      answer.in_force.version = own_version (task, message->in_force.service);
+      answer.in_force.version
+          = local_version (task, message->in_force.service);
       control_reply (task, source, &answer);
       return;
     }
-  struct control_query *ask;
-  DL_FOREACH (task->queries, ask)
+  struct control_query *query;
+  DL_FOREACH (task->queries, query)
   {
-    if (ask->id != message->in_force.request_id)
+    if (query->id != message->in_force.ask_id)
       continue;
-    note_answer (ask, source->host->key, message->in_force.version);
+    record_answer (query, source->host->key, message->in_force.version);
     return;
   }
 }
@@ -216,22 +220,22 @@
 void
 control_cancel_queries (struct control_task *task, void *owner)
 {
-  struct control_query *ask;
+  struct control_query *query;
   struct control_query *next;
-  DL_FOREACH_SAFE (task->queries, ask, next)
+  DL_FOREACH_SAFE (task->queries, query, next)
   {
-    if (ask->owner == owner)
-      ask_free (ask);
+    if (query->owner == owner)
+      query_free (query);
   }
 }
 
 void
 control_query_release (struct control_task *task)
 {
-  struct control_query *ask;
+  struct control_query *query;
   struct control_query *next;
-  DL_FOREACH_SAFE (task->queries, ask, next)
+  DL_FOREACH_SAFE (task->queries, query, next)
   {
-    ask_free (ask);
+    query_free (query);
   }
 }
--- a/node/control/control_records.h
+++ b/node/control/control_records.h
@@ -1,6 +1,6 @@
 /** @file
- * What the control task keeps of objects, services, reads and writes of the
- * platform; only its own sources include it.
+ * Records that the control task keeps of objects, services, and calls to the
+ * platform; only its own sources include this file.
  */
 #ifndef NODE_CONTROL_CONTROL_RECORDS_H
 #define NODE_CONTROL_CONTROL_RECORDS_H
@@ -21,7 +21,7 @@
 
 struct control_host;
 
-/** One object of the platform, as newest known here. */
+/** An object of the platform in the newest version known here. */
 struct control_object
 {
   uint64_t key; /**< settings_key() */
@@ -32,7 +32,7 @@
   UT_hash_handle hh;
 };
 
-/** The removal of a target that isn't believed yet. */
+/** A deferred removal of a target. */
 struct control_removal
 {
   char name[PEER_NAME_SIZE];
@@ -41,97 +41,97 @@
   struct control_removal *prev, *next;
 };
 
-/** The removal of an object, kept for a bounded time. */
+/** The removal of an object, kept for a limited time. */
 struct control_tombstone
 {
   uint64_t key;
   uint64_t version;
-  int64_t removed_ms; /**< when it came */
+  int64_t removed_ms; /**< when the removal arrived */
 };
 
 /** A service in force here. */
 struct control_service
 {
   char name[PEER_NAME_SIZE];
-  uint64_t key;        /**< hash of the name of its group */
-  uint64_t version;    /**< in force; a newer bad one may be held */
-  uint64_t rate;       /**< that its targets may get, also those that leave */
-  uint64_t generation; /**< of hosts that its set was chosen from */
+  uint64_t key;     /**< hash of its group's name */
+  uint64_t version; /**< in force; a newer, invalid one may be stored */
+  uint64_t rate;    /**< maximum of its targets, drained ones included */
+  uint64_t fleet_generation; /**< that its set was selected from */
   bool is_published;
   bool includes_self;
   uint64_t set_hash; /**< of hosts and their incarnations */
-  uint64_t *set;     /**< keys of its hosts, best placed first */
+  uint64_t *set;     /**< keys of its hosts, in order of rank */
   size_t set_count;
   UT_hash_handle hh;
 };
 
-/** Where a message came from; the answer goes back the same way. */
+/** The origin of a message; replies are sent the same way. */
 struct control_source
 {
   struct control_host *host;
-  struct peer_conn *conn; /**< one of both */
+  struct peer_conn *conn; /**< either this or `link` is set */
   struct peer_link *link;
 };
 
-/** What is read of one kind from the platform. */
+/** The state of reading objects of one kind from the platform. */
 struct control_feed
 {
   struct control_task *task;
   const char *kind;
   uint64_t revision;
-  bool is_listed;            /**< revision is one to watch from */
-  bool is_waiting;           /**< a call is under way */
-  uint32_t watch_timeout_ms; /**< of the watch under way */
+  bool is_listed;            /**< `revision` is one to watch from */
+  bool is_pending;           /**< a call is in flight */
+  uint32_t watch_timeout_ms; /**< of the watch in flight */
   bool is_watched_by_all;    /**< every host watches, not only relays */
-  int64_t asked_ms;          /**< when the call under way was made */
-  bool was_refused; /**< the platform didn't know the revision any more */
-  enum platform_read_mode age;   /**< that the call under way asked for */
-  int64_t last_current_reply_ms; /**< when an answer of no age came */
-  int64_t recovered_ms; /**< when a call was answered after one had failed */
+  int64_t requested_ms;      /**< when the call in flight was made */
+  bool was_refused;          /**< the platform no longer knew the revision */
+  enum platform_age age;     /**< maximum age that the call in flight allows */
+  int64_t last_current_reply_ms; /**< time of the last newest state */
+  int64_t recovered_ms; /**< when a call succeeded after one had failed */
   uint32_t backoff_ms;
   struct ev_timer retry;
 };
 
-/** This host's own object at the platform. */
+/** This host's own object on the platform. */
 struct control_registration
 {
   struct control_task *task;
-  bool is_waiting;
-  bool is_registered; /**< the platform holds our record as it is */
-  bool must_read;     /**< the platform may hold another version */
-  uint64_t version;   /**< that the platform holds, as far as is known */
+  bool is_pending;
+  bool is_registered; /**< the platform has the current record */
+  bool must_read;     /**< the platform may have another version */
+  uint64_t version;   /**< last known version on the platform */
   uint32_t backoff_ms;
-  uint32_t restore_backoff_ms; /**< for a record removed again and again */
+  uint32_t restore_backoff_ms; /**< for a record that is removed repeatedly */
   int64_t last_removed_ms;     /**< when it was last removed */
   struct ev_timer retry;
 };
 
-/** Removal of the records of hosts that are gone, one at a time. */
+/** Removal of the records of dead hosts, one at a time. */
 struct control_cleanup
 {
-  bool is_waiting;
-  char name[HOST_NAME_SIZE]; /**< being removed */
+  bool is_pending;
+  char name[HOST_NAME_SIZE]; /**< of the record being removed */
   uint64_t version;
   int64_t retry_at_ms;
   int64_t last_tick_ms;
   struct counter *forgotten_total;
 };
 
-/** A question to the platform whether the configuration is the newest. */
+/** A query to the platform whether the configuration is the newest. */
 struct control_freshness_query
 {
   struct control_task *task;
-  bool is_waiting;
-  int64_t asked_ms;
-  uint64_t revision; /**< changes up to it have been seen */
+  bool is_pending;
+  int64_t requested_ms;
+  uint64_t revision; /**< changes up to it have been received */
 };
 
-/** A heartbeat sent for another host that can't get an answer. */
+/** A heartbeat sent on behalf of another host that gets no answer. */
 struct control_indirect_check
 {
   uint64_t requester;
   uint64_t subject;
-  int64_t asked_ms;
+  int64_t requested_ms;
 };
 
 struct control_handler_entry
@@ -147,8 +147,8 @@
 struct control_poison_write;
 struct control_pull;
 
-/** Blocked requests in the platform, listed at start and written one at a
- * time. */
+/** Blocked requests stored on the platform, listed at start and written one
+ * at a time. */
 struct control_poison_store
 {
   struct control_task *task;
@@ -156,7 +156,7 @@
   /** The blocks that this host has written to the platform. */
   struct control_poison_stored_name *stored_names;
   size_t write_count;
-  bool is_waiting;
+  bool is_pending;
   struct ev_timer retry;
   uint32_t backoff_ms;
   struct ev_timer list_retry;
--- a/node/control/control_registration.c
+++ b/node/control/control_registration.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  BACKOFF_FIRST_MS = 200,
+  BACKOFF_MIN_MS = 200,
   BACKOFF_MAX_MS = 5000,
 };
 
@@ -17,11 +17,11 @@
 control_retry_later (struct control_task *task, struct ev_timer *timer,
                      uint32_t *backoff_ms)
 {
-  const double part = 0.5 + 0.5 * rng_unit (&task->random);
+  const double jitter = 0.5 + 0.5 * rng_unit (&task->random);
   if (*backoff_ms == 0)
-    *backoff_ms = BACKOFF_FIRST_MS;
+    *backoff_ms = BACKOFF_MIN_MS;
   ev_timer_stop (task->options.loop, timer);
-  ev_timer_set (timer, *backoff_ms * part / 1000.0, 0);
+  ev_timer_set (timer, *backoff_ms * jitter / 1000.0, 0);
   ev_timer_start (task->options.loop, timer);
   *backoff_ms *= 2;
   if (*backoff_ms > BACKOFF_MAX_MS)
@@ -29,7 +29,7 @@
 }
 
 static char *
-own_record (const struct control_task *task)
+format_own_record (const struct control_task *task)
 {
   struct host_record record = task->self->record;
   record.leaving = task->is_leaving;
@@ -69,8 +69,8 @@
 write_record (struct control_registration *registration, uint64_t expected)
 {
   struct control_task *task = registration->task;
-  char *value = own_record (task);
-  registration->is_waiting = true;
+  char *value = format_own_record (task);
+  registration->is_pending = true;
   platform_put (task->options.platform, PLATFORM_KIND_HOST,
                 task->self->record.name, expected, value, put_done,
                 registration);
@@ -78,7 +78,7 @@
 }
 
 static bool
-is_ours (const struct control_task *task, const char *value)
+is_own_record (const struct control_task *task, const char *value)
 {
   struct host_record record;
   if (host_record_parse (task->self->record.name, value, &record) != STATUS_OK)
@@ -87,35 +87,35 @@
          && record.leaving == task->is_leaving;
 }
 
-/* Write over what the platform holds, unless that is ours already. */
+/* Overwrite the platform's record unless it is this host's current one. */
 static void
-settle (struct control_registration *registration,
-        const struct platform_object *object)
+update_record (struct control_registration *registration,
+               const struct platform_object *object)
 {
   if (object->value == NULL)
     write_record (registration, PLATFORM_VERSION_NONE);
-  else if (is_ours (registration->task, object->value))
+  else if (is_own_record (registration->task, object->value))
     registered (registration, object->version, object->value);
   else
     write_record (registration, object->version);
 }
 
-/* After a lost answer the object is read back: it holds our incarnation if
-   the write took effect. */
+/* After a lost response the object is read back; it contains the own
+   incarnation if the write took effect. */
 static void
 put_done (void *owner, const struct platform_reply *reply)
 {
   struct control_registration *registration = owner;
-  registration->is_waiting = false;
+  registration->is_pending = false;
   registration->must_read = reply->status != STATUS_OK;
   if (reply->status == STATUS_REFUSED && reply->count == 1)
     {
-      settle (registration, &reply->objects[0]);
+      update_record (registration, &reply->objects[0]);
       return;
     }
   if (reply->status == STATUS_OK && reply->count == 1)
     {
-      char *value = own_record (registration->task);
+      char *value = format_own_record (registration->task);
       registered (registration, reply->objects[0].version, value);
       free (value);
       return;
@@ -127,7 +127,7 @@
 get_done (void *owner, const struct platform_reply *reply)
 {
   struct control_registration *registration = owner;
-  registration->is_waiting = false;
+  registration->is_pending = false;
   if (reply->status == STATUS_NOT_FOUND)
     {
       write_record (registration, PLATFORM_VERSION_NONE);
@@ -138,23 +138,24 @@
       registration_failed (registration, reply);
       return;
     }
-  settle (registration, &reply->objects[0]);
+  update_record (registration, &reply->objects[0]);
 }
 
-/* The first try writes at the version that is known, or as if there were none:
-   that fits all but hosts that start again, and spares a call for each. */
+/* The first attempt writes with the last known version, or as if there were
+   no record.  That is right for all hosts except restarted ones, and saves a
+   call for each. */
 static void
 registration_next (struct control_registration *registration)
 {
   struct control_task *task = registration->task;
-  if (registration->is_waiting || registration->is_registered)
+  if (registration->is_pending || registration->is_registered)
     return;
   if (!registration->must_read)
     {
       write_record (registration, registration->version);
       return;
     }
-  registration->is_waiting = true;
+  registration->is_pending = true;
   platform_get (task->options.platform, PLATFORM_KIND_HOST,
                 task->self->record.name, get_done, registration);
 }
@@ -171,15 +172,16 @@
 {
   struct control_registration *registration = &task->registration;
   ev_timer_stop (task->options.loop, &registration->retry);
-  if (registration->is_waiting)
+  if (registration->is_pending)
     platform_cancel (task->options.platform, registration);
-  registration->is_waiting = false;
+  registration->is_pending = false;
   registration->is_registered = false;
   registration_next (registration);
 }
 
-/* Guards against two that write and remove the record in turn as fast as
-   they can: only the first removal in a while is answered at once. */
+/* Another program may keep removing the record.  So that both don't remove and
+   write it as fast as they can, only the first removal in a while is reverted
+   at once. */
 void
 control_registration_restore (struct control_task *task)
 {
--- a/node/control/control_registry.c
+++ b/node/control/control_registry.c
@@ -62,7 +62,7 @@
   if (value == NULL)
     {
       LOG_WARN ("config-removed", LOG_INT ("version", version),
-                LOG_STR ("in-force", "the configuration as before"));
+                LOG_STR ("in-force", "the previous configuration"));
       return;
     }
   registry_apply_config (task->registry, name, value);
--- a/node/control/control_removals.c
+++ b/node/control/control_removals.c
@@ -12,25 +12,26 @@
 
 enum
 {
-  /** Targets whose records lapsed while the platform was away have registered
-   * again within two seconds of its return; a little is added for the way. */
-  BACK_AFTER_MS = 2300,
+  /** Targets whose records expired during a platform outage register again
+   * within two seconds of its end; some time is added for the delivery. */
+  REREGISTER_TIMEOUT_MS = 2300,
 };
 
 static void
-arm (struct control_task *task)
+schedule (struct control_task *task)
 {
   const struct control_removal *first = task->removals;
   ev_timer_stop (task->options.loop, &task->removal_timer);
   if (first == NULL)
     return;
-  const int64_t left_ms = first->due_ms - clock_now_ms ();
-  ev_timer_set (&task->removal_timer, left_ms > 0 ? left_ms / 1000.0 : 0., 0.);
+  const int64_t delay_ms = first->due_ms - clock_now_ms ();
+  ev_timer_set (&task->removal_timer, delay_ms > 0 ? delay_ms / 1000.0 : 0.,
+                0.);
   ev_timer_start (task->options.loop, &task->removal_timer);
 }
 
 static void
-on_due (struct ev_loop *loop, ev_timer *timer, int events)
+due_cb (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct control_task *task = timer->data;
   const int64_t now_ms = clock_now_ms ();
@@ -45,13 +46,13 @@
                             removal->version, NULL);
     free (removal);
   }
-  arm (task);
+  schedule (task);
 }
 
 void
 control_removals_start (struct control_task *task)
 {
-  ev_timer_init (&task->removal_timer, on_due, 0., 0.);
+  ev_timer_init (&task->removal_timer, due_cb, 0., 0.);
   task->removal_timer.data = task;
 }
 
@@ -68,18 +69,18 @@
   }
 }
 
-/* Guards against an outage of the platform that takes all targets with it:
-   their records lapse since no heartbeat is taken, and the first answer after
-   it shows them gone while they serve as ever.  Shows as a service without
-   targets for two seconds.  Those that live register again within that time,
-   under a higher version, and their removal then changes nothing.  One that
-   said that it leaves is believed at once. */
+/* During a platform outage no heartbeats of targets are accepted, so their
+   records expire, and the first response after it shows them removed while
+   they still serve.  The service would have no targets for two seconds.  Live
+   targets register again within that time with a higher version, and their
+   removal then has no effect.  The removal of a drained target is applied at
+   once. */
 bool
 control_removals_hold (struct control_task *task, const char *name,
-                       uint64_t version, int64_t regained_ms)
+                       uint64_t version, int64_t recovered_ms)
 {
-  const int64_t due_ms = regained_ms + BACK_AFTER_MS;
-  if (regained_ms == 0 || clock_now_ms () >= due_ms
+  const int64_t due_ms = recovered_ms + REREGISTER_TIMEOUT_MS;
+  if (recovered_ms == 0 || clock_now_ms () >= due_ms
       || !registry_target_is_active (task->registry, name))
     return false;
   struct control_removal *removal = xcalloc (1, sizeof *removal);
@@ -90,7 +91,7 @@
   LOG_INFO ("removal-held", LOG_STR ("target", name),
             LOG_INT ("version", version),
             LOG_INT ("for_ms", due_ms - clock_now_ms ()),
-            LOG_STR ("why", "the platform was away"));
-  arm (task);
+            LOG_STR ("why", "the platform was unavailable"));
+  schedule (task);
   return true;
 }
--- a/node/control/control_seeds.c
+++ b/node/control/control_seeds.c
@@ -2,8 +2,8 @@
 
 #include "base/clock.h"
 
-/* A seed is asked like a neighbour; its answer shows whether it holds other
-   settings. */
+/* A seed gets a heartbeat like a neighbour; its answer shows whether its
+   settings differ. */
 static void
 seed_ready (void *owner, struct peer_link *link)
 {
--- a/node/control/control_send.c
+++ b/node/control/control_send.c
@@ -6,7 +6,7 @@
 
 #include "base/xmalloc.h"
 
-/** A message to this host itself, encoded. */
+/** An encoded message to this host itself. */
 struct control_local_message
 {
   char *bytes;
@@ -29,28 +29,28 @@
 {
   struct control_task *task = watcher->data;
   struct control_local_message *queue = task->local_messages;
-  struct control_local_message *local;
+  struct control_local_message *entry;
   struct control_local_message *next;
   task->local_messages = NULL;
-  DL_FOREACH_SAFE (queue, local, next)
+  DL_FOREACH_SAFE (queue, entry, next)
   {
     struct peer_message message;
-    if (peer_message_decode (local->bytes, local->size, &message) == STATUS_OK)
+    if (peer_message_decode (entry->bytes, entry->size, &message) == STATUS_OK)
       {
         control_call_handler (task, task->self->record.name, &message);
         peer_message_release (&message);
       }
-    free (local->bytes);
-    free (local);
+    free (entry->bytes);
+    free (entry);
   }
 }
 
 static void
 send_to_self (struct control_task *task, const struct peer_message *message)
 {
-  struct control_local_message *local = xcalloc (1, sizeof *local);
-  local->bytes = peer_message_encode (message, &local->size);
-  DL_APPEND (task->local_messages, local);
+  struct control_local_message *entry = xcalloc (1, sizeof *entry);
+  entry->bytes = peer_message_encode (message, &entry->size);
+  DL_APPEND (task->local_messages, entry);
   if (!ev_is_active (&task->local_timer))
     ev_timer_start (task->options.loop, &task->local_timer);
 }
@@ -61,7 +61,7 @@
 {
   struct control_host *host = control_hosts_by_name (task, to);
   if (host == NULL)
-    return status_set (STATUS_NOT_FOUND, "no host is called %s", to);
+    return status_set (STATUS_NOT_FOUND, "no host is named %s", to);
   if (host != task->self)
     return control_hosts_send (task, host, message);
   send_to_self (task, message);
@@ -86,12 +86,12 @@
 void
 control_send_release (struct control_task *task)
 {
-  struct control_local_message *local;
+  struct control_local_message *entry;
   struct control_local_message *next;
   ev_timer_stop (task->options.loop, &task->local_timer);
-  DL_FOREACH_SAFE (task->local_messages, local, next)
+  DL_FOREACH_SAFE (task->local_messages, entry, next)
   {
-    free (local->bytes);
-    free (local);
+    free (entry->bytes);
+    free (entry);
   }
 }
--- a/node/control/control_services.c
+++ b/node/control/control_services.c
@@ -33,7 +33,7 @@
 }
 
 static uint64_t
-rate_of (const struct service_spec *spec)
+required_rate (const struct service_spec *spec)
 {
   uint64_t slots = 0;
   for (size_t i = 0; i < spec->target_count; i++)
@@ -41,14 +41,14 @@
   return host_set_required_rate (slots, spec->limits.goal_ms);
 }
 
-/* All services of a group have one set. */
+/* All services of a group have the same set. */
 static void
-choose_anew (struct control_task *task, uint64_t key)
+reselect_group (struct control_task *task, uint64_t key)
 {
   struct control_service *service;
   for (service = task->services; service != NULL; service = service->hh.next)
     if (service->key == key)
-      service->generation = 0;
+      service->fleet_generation = 0;
 }
 
 void
@@ -63,12 +63,12 @@
     }
   const uint64_t key
       = hash_string (spec->group[0] != '\0' ? spec->group : spec->name);
-  const uint64_t rate = rate_of (spec);
+  const uint64_t rate = required_rate (spec);
   if (service->key != key || service->rate != rate)
     {
       service->key = key;
       service->rate = rate;
-      choose_anew (task, key);
+      reselect_group (task, key);
     }
   service->version = spec->version;
   LOG_INFO ("service-in-force", LOG_STR ("service", spec->name),
--- a/node/control/control_sets.c
+++ b/node/control/control_sets.c
@@ -11,8 +11,9 @@
 
 enum
 {
-  /** Scores computed in one turn of the loop: well below a millisecond, so
-   * that a change of hosts doesn't hold up requests at many services. */
+  /** Scores computed per loop iteration.  This takes well below a
+   * millisecond, so that a change of hosts doesn't delay requests when there
+   * are many services. */
   SCORES_PER_TURN = 20000,
 };
 
@@ -26,7 +27,7 @@
 }
 
 static struct fleet_host
-placed (const struct control_host *host)
+make_fleet_host (const struct control_host *host)
 {
   const uint32_t strength = host->record.capacity;
   return (struct fleet_host){ .key = host->key,
@@ -36,7 +37,7 @@
 }
 
 static void
-gather (struct control_task *task)
+collect_usable_hosts (struct control_task *task)
 {
   const struct control_host *host;
   task->fleet = xreallocarray (task->fleet, HASH_COUNT (task->hosts),
@@ -44,20 +45,20 @@
   task->fleet_count = 0;
   for (host = task->hosts; host != NULL; host = host->hh.next)
     if (is_candidate (task, host))
-      task->fleet[task->fleet_count++] = placed (host);
+      task->fleet[task->fleet_count++] = make_fleet_host (host);
 }
 
-/* With nobody believed live, beat to whoever is known: it may be us who was
-   cut off. */
+/* If no other host is usable, send heartbeats to all known ones: this host
+   may be the one that was disconnected. */
 static size_t
-gather_all (const struct control_task *task, struct fleet_host *fleet)
+collect_known_hosts (const struct control_task *task, struct fleet_host *fleet)
 {
   const struct control_host *host;
   size_t count = 0;
   for (host = task->hosts; host != NULL; host = host->hh.next)
     if (host != task->self
         && membership_state (task->membership, host->key) != MEMBER_LEAVING)
-      fleet[count++] = placed (host);
+      fleet[count++] = make_fleet_host (host);
   return count;
 }
 
@@ -71,16 +72,16 @@
 }
 
 static void
-watch_neighbours (struct control_task *task)
+monitor_neighbours (struct control_task *task)
 {
-  const struct fleet_host self = placed (task->self);
+  const struct fleet_host self = make_fleet_host (task->self);
   struct fleet_host *all = NULL;
   const struct fleet_host *fleet = task->fleet;
   size_t fleet_count = task->fleet_count;
   if (!knows_others (task))
     {
       all = xcalloc (HASH_COUNT (task->hosts), sizeof *all);
-      fleet_count = gather_all (task, all);
+      fleet_count = collect_known_hosts (task, all);
       fleet = all;
     }
   struct fleet_choice choice;
@@ -92,11 +93,11 @@
   membership_monitor (task->membership, clock_now_ms (), keys, choice.count);
 }
 
-/* Guards against a fleet whose hosts start together: each knows only itself
-   for a moment, takes itself for the only relay, and asks the platform for all
-   there is at the full price. */
+/* When the hosts of a fleet start together, each knows only itself for a
+   moment and would consider itself the only relay.  All of them would read the
+   newest state of everything from the platform, at the full cost. */
 static bool
-leads (const struct control_task *task)
+is_leading_relay (const struct control_task *task)
 {
   if (task->settled_ms == 0)
     return false;
@@ -107,17 +108,17 @@
 }
 
 static void
-choose_leading (struct control_task *task, uint32_t per_dc)
+select_leading_relays (struct control_task *task, uint32_t per_dc)
 {
-  const uint32_t most
+  const uint32_t max_count
       = relays_leading_count (task->fleet, task->fleet_count, per_dc);
   task->leading = task->relays;
-  if (task->leading.count > most)
-    task->leading.count = most;
+  if (task->leading.count > max_count)
+    task->leading.count = max_count;
 }
 
 static void
-choose_relays (struct control_task *task)
+select_relays (struct control_task *task)
 {
   uint32_t per_dc = task->options.settings->relays_per_dc;
   if (per_dc > FLEET_HOSTS_PER_DC_MAX)
@@ -126,8 +127,8 @@
   const bool was_relay = task->is_relay;
   const bool was_leading = task->is_leading;
   task->is_relay = control_hosts_is_relay (task, task->self->key);
-  choose_leading (task, per_dc);
-  task->is_leading = leads (task);
+  select_leading_relays (task, per_dc);
+  task->is_leading = is_leading_relay (task);
   if (was_relay != task->is_relay || was_leading != task->is_leading)
     LOG_INFO ("relay", LOG_INT ("is_relay", task->is_relay),
               LOG_INT ("is_leading", task->is_leading),
@@ -142,16 +143,16 @@
           .host_set = { .self = service->includes_self,
                         .count = service->set_count,
                         .fleet_count = task->fleet_count } };
-  struct bus_host_set *posted = &message.host_set;
-  memcpy (posted->service, service->name, sizeof posted->service);
-  posted->hosts = xcalloc (service->set_count, sizeof *posted->hosts);
+  struct bus_host_set *host_set = &message.host_set;
+  memcpy (host_set->service, service->name, sizeof host_set->service);
+  host_set->hosts = xcalloc (service->set_count, sizeof *host_set->hosts);
   for (size_t i = 0; i < service->set_count; i++)
     {
       const struct host_record *record
           = &control_hosts_find (task, service->set[i])->record;
-      memcpy (posted->hosts[i].name, record->name, sizeof record->name);
-      memcpy (posted->hosts[i].dc, record->dc, sizeof record->dc);
-      memcpy (posted->hosts[i].caller_address, record->caller_address,
+      memcpy (host_set->hosts[i].name, record->name, sizeof record->name);
+      memcpy (host_set->hosts[i].dc, record->dc, sizeof record->dc);
+      memcpy (host_set->hosts[i].caller_address, record->caller_address,
               sizeof record->caller_address);
     }
   bus_post (task->options.bus, &message);
@@ -160,10 +161,11 @@
             LOG_INT ("self", service->includes_self));
 }
 
-/* Tells a set from another one with the same hosts started anew, whose
+/* Distinguishes a set from one of the same hosts after restarts, whose
    addresses may differ. */
 static uint64_t
-signature (const struct control_task *task, const struct fleet_choice *choice)
+compute_set_hash (const struct control_task *task,
+                  const struct fleet_choice *choice)
 {
   uint64_t hash = choice->count;
   for (uint32_t i = 0; i < choice->count; i++)
@@ -176,7 +178,8 @@
   return hash;
 }
 
-/* What the targets of all services that share SERVICE's set may get. */
+/* The maximum request rate of the targets of all services that share
+   SERVICE's set. */
 static uint64_t
 group_rate (const struct control_task *task,
             const struct control_service *service)
@@ -190,18 +193,18 @@
 }
 
 static void
-choose_set (struct control_task *task, struct control_service *service)
+select_set (struct control_task *task, struct control_service *service)
 {
-  struct host_set_requirement need
+  struct host_set_requirement requirement
       = { .per_dc = task->options.settings->set_hosts_per_dc,
           .rate = group_rate (task, service) };
-  if (need.per_dc > FLEET_HOSTS_PER_DC_MAX)
-    need.per_dc = FLEET_HOSTS_PER_DC_MAX;
+  if (requirement.per_dc > FLEET_HOSTS_PER_DC_MAX)
+    requirement.per_dc = FLEET_HOSTS_PER_DC_MAX;
   struct fleet_choice choice;
-  host_set_choose (service->key, task->fleet, task->fleet_count, &need,
+  host_set_choose (service->key, task->fleet, task->fleet_count, &requirement,
                    &choice);
-  service->generation = task->fleet_generation;
-  const uint64_t hash = signature (task, &choice);
+  service->fleet_generation = task->fleet_generation;
+  const uint64_t hash = compute_set_hash (task, &choice);
   if (service->is_published && service->set_hash == hash)
     return;
   service->is_published = true;
@@ -220,15 +223,15 @@
 }
 
 static void
-gather_anew (struct control_task *task)
+refresh_fleet (struct control_task *task)
 {
   task->hosts_changed = false;
   task->fleet_generation++;
-  gather (task);
-  choose_relays (task);
+  collect_usable_hosts (task);
+  select_relays (task);
   quota_coordinators_choose (task->fleet, task->fleet_count,
                              &task->coordinators);
-  watch_neighbours (task);
+  monitor_neighbours (task);
   control_platform_wake (task);
   const struct bus_message message = { .topic = BUS_MEMBERS };
   bus_post (task->options.bus, &message);
@@ -238,16 +241,16 @@
 control_sets_refresh (struct control_task *task)
 {
   if (task->hosts_changed || task->fleet_generation == 0)
-    gather_anew (task);
+    refresh_fleet (task);
   size_t scores = 0;
   struct control_service *service;
   for (service = task->services; service != NULL; service = service->hh.next)
     {
-      if (service->generation == task->fleet_generation)
+      if (service->fleet_generation == task->fleet_generation)
         continue;
       if (scores > SCORES_PER_TURN)
         return true;
-      choose_set (task, service);
+      select_set (task, service);
       scores += task->fleet_count + HASH_COUNT (task->services);
     }
   return false;
--- a/node/control/control_settings.c
+++ b/node/control/control_settings.c
@@ -18,8 +18,8 @@
 }
 
 static struct control_object *
-hold (struct control_task *task, uint64_t key, const char *kind,
-      const char *name, uint64_t version, const char *value)
+store_object (struct control_task *task, uint64_t key, const char *kind,
+              const char *name, uint64_t version, const char *value)
 {
   struct control_object *object = find_object (task, key);
   if (object == NULL)
@@ -36,11 +36,11 @@
   return object;
 }
 
-/* A value that can't be used is held, so that it isn't asked for again, but
-   the version in force stays. */
+/* An invalid value is stored, so that it isn't requested again, but the
+   version in force stays. */
 static void
-take_service (struct control_task *task, const char *name, uint64_t version,
-              const char *value)
+apply_service (struct control_task *task, const char *name, uint64_t version,
+               const char *value)
 {
   struct service_spec *spec;
   if (value == NULL)
@@ -53,10 +53,11 @@
     control_services_enforce (task, spec);
 }
 
-/* Another process with our name, or somebody who removed our record. */
+/* Handles another process with the same host name, and a removal of this
+   host's record. */
 static void
-take_own_record (struct control_task *task, uint64_t version,
-                 const char *value)
+apply_own_record (struct control_task *task, uint64_t version,
+                  const char *value)
 {
   struct host_record record;
   const char *name = task->self->record.name;
@@ -73,13 +74,13 @@
 }
 
 static void
-take_host (struct control_task *task, const char *name, uint64_t version,
-           const char *value)
+apply_host (struct control_task *task, const char *name, uint64_t version,
+            const char *value)
 {
   struct control_host *host = control_hosts_by_name (task, name);
   if (host == task->self)
     {
-      take_own_record (task, version, value);
+      apply_own_record (task, version, value);
       return;
     }
   if (value == NULL)
@@ -107,9 +108,10 @@
   control_members_apply_changes (task);
 }
 
-/* Tell the hosts we have links to; they pull what they lack. */
+/* Offers an object to the monitored hosts, which pull it if theirs is
+   older. */
 static void
-offer (struct control_task *task, uint64_t key, uint64_t version)
+offer_object (struct control_task *task, uint64_t key, uint64_t version)
 {
   struct peer_settings_entry entry = { .key = key, .version = version };
   const struct peer_message message
@@ -126,18 +128,18 @@
     }
 }
 
-typedef void take_object (struct control_task *task, const char *name,
-                          uint64_t version, const char *value);
+typedef void object_handler (struct control_task *task, const char *name,
+                             uint64_t version, const char *value);
 
-/* What takes in objects of KIND at this host; NULL when nothing does. */
-static take_object *
-taker_of (const struct control_task *task, const char *kind)
+/* The handler of objects of KIND; NULL if this host ignores them. */
+static object_handler *
+find_object_handler (const struct control_task *task, const char *kind)
 {
   const bool has_registry = task->registry != NULL;
   if (strcmp (kind, PLATFORM_KIND_HOST) == 0)
-    return take_host;
+    return apply_host;
   if (strcmp (kind, PLATFORM_KIND_SERVICE) == 0)
-    return has_registry ? NULL : take_service;
+    return has_registry ? NULL : apply_service;
   if (strcmp (kind, PLATFORM_KIND_TARGET) == 0)
     return has_registry ? control_registry_apply_target : NULL;
   if (strcmp (kind, PLATFORM_KIND_CONFIG) == 0)
@@ -149,18 +151,19 @@
 control_settings_apply (struct control_task *task, const char *kind,
                         const char *name, uint64_t version, const char *value)
 {
-  take_object *take = taker_of (task, kind);
-  if (take == NULL || strlen (name) >= PEER_NAME_SIZE)
+  object_handler *handler = find_object_handler (task, kind);
+  if (handler == NULL || strlen (name) >= PEER_NAME_SIZE)
     return false;
   const uint64_t key = settings_key (kind, name);
   if (!settings_index_update (task->index, key, version))
     return false;
   control_pulls_complete (task, key, version);
-  struct control_object *object = hold (task, key, kind, name, version, value);
+  struct control_object *object
+      = store_object (task, key, kind, name, version, value);
   if (value == NULL && control_tombstones_apply_to (kind))
     control_tombstones_add (task, object);
-  take (task, name, version, value);
-  offer (task, key, version);
+  handler (task, name, version, value);
+  offer_object (task, key, version);
   return true;
 }
 
@@ -178,8 +181,8 @@
                                             .count = SETTINGS_BUCKETS } };
 }
 
-/* Two hosts that differ right after a change mostly have an offer under way;
-   comparing at once each time would cost 2 KB a heartbeat. */
+/* Settings that differ right after a change are mostly being offered already.
+   Comparing them at once each time would cost 2 KB per heartbeat. */
 void
 control_settings_compare (struct control_task *task,
                           const struct control_source *source, uint64_t hash)
@@ -200,7 +203,7 @@
   control_reply (task, source, &message);
 }
 
-/** Entries gathered until a message is full. */
+/** Entries collected until a message is full. */
 struct batch
 {
   struct control_task *task;
@@ -266,7 +269,7 @@
 }
 
 static size_t
-held_bytes (const struct control_task *task, uint64_t key)
+value_bytes (const struct control_task *task, uint64_t key)
 {
   const struct control_object *object = find_object (task, key);
   return object != NULL && object->value != NULL ? strlen (object->value) : 0;
@@ -281,15 +284,17 @@
   for (size_t i = 0; i < offered->count; i++)
     {
       const struct peer_settings_entry *entry = &offered->entries[i];
-      const uint64_t held = settings_index_version (task->index, entry->key);
+      const uint64_t known_version
+          = settings_index_version (task->index, entry->key);
       const struct control_offer offer
           = { .key = entry->key,
               .version = entry->version,
-              .held_version = held,
-              .held_bytes = held_bytes (task, entry->key),
+              .held_version = known_version,
+              .held_bytes = value_bytes (task, entry->key),
               .host = source->host->key };
-      if (entry->version > held && control_pulls_should_request (task, &offer))
-        batch_add (&batch, entry->key, held);
+      if (entry->version > known_version
+          && control_pulls_should_request (task, &offer))
+        batch_add (&batch, entry->key, known_version);
     }
   batch_send (&batch);
 }
--- a/node/control/control_task.c
+++ b/node/control/control_task.c
@@ -14,11 +14,11 @@
 
 enum
 {
-  /** Changes that come together are answered together. */
-  REFRESH_MS = 20,
-  REFRESH_MORE_MS = 1,
-  /** Enough known hosts to need the seeds no more. */
-  SEEDS_UNTIL_HOSTS = 3,
+  /** Changes that arrive together are processed together. */
+  REFRESH_DELAY_MS = 20,
+  REFRESH_CONTINUE_MS = 1,
+  /** With this many known hosts the seeds are no longer needed. */
+  SEED_HOSTS_MIN = 3,
 };
 
 void
@@ -78,10 +78,10 @@
     }
 }
 
-/* The host at the other end; NULL for our own name and for an earlier start
-   of a host that has been replaced. */
+/* The host at the other end of a connection.  NULL for this host's own name
+   and for an earlier start of a host that has been restarted. */
 static struct control_host *
-host_of (struct control_task *task, const struct peer_hello *hello)
+find_sender (struct control_task *task, const struct peer_hello *hello)
 {
   struct host_record record
       = { .incarnation = hello->incarnation, .capacity = hello->capacity };
@@ -105,7 +105,7 @@
 {
   struct control_task *task = owner;
   const struct control_source source
-      = { .host = host_of (task, peer_conn_hello (conn)), .conn = conn };
+      = { .host = find_sender (task, peer_conn_hello (conn)), .conn = conn };
   if (source.host != NULL)
     control_receive (task, &source, message);
 }
@@ -115,7 +115,7 @@
                       const struct peer_message *message)
 {
   const struct control_source source
-      = { .host = host_of (task, peer_link_hello (link)), .link = link };
+      = { .host = find_sender (task, peer_link_hello (link)), .link = link };
   if (source.host != NULL)
     control_receive (task, &source, message);
 }
@@ -140,7 +140,7 @@
 {
   if (ev_is_active (&task->refresh_timer))
     return;
-  ev_timer_set (&task->refresh_timer, REFRESH_MS / 1000.0, 0);
+  ev_timer_set (&task->refresh_timer, REFRESH_DELAY_MS / 1000.0, 0);
   ev_timer_start (task->options.loop, &task->refresh_timer);
 }
 
@@ -159,12 +159,12 @@
     control_members_gossip (task);
   if (!control_sets_refresh (task) || ev_is_active (watcher))
     return;
-  ev_timer_set (watcher, REFRESH_MORE_MS / 1000.0, 0);
+  ev_timer_set (watcher, REFRESH_CONTINUE_MS / 1000.0, 0);
   ev_timer_start (loop, watcher);
 }
 
 static void
-settle (struct control_task *task, int64_t now_ms)
+update_settled (struct control_task *task, int64_t now_ms)
 {
   const int64_t settle_ms = (int64_t)CONTROL_SETTLE_HEARTBEATS
                             * task->options.settings->times.heartbeat_ms;
@@ -175,24 +175,24 @@
 }
 
 static void
-beat_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
+heartbeat_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
   struct control_task *task = watcher->data;
   const int64_t now_ms = clock_now_ms ();
-  settle (task, now_ms);
+  update_settled (task, now_ms);
   control_members_tick (task, now_ms);
   control_cleanup_tick (task, now_ms);
   control_tombstones_expire (task, now_ms);
   control_pulls_expire (task, now_ms);
   control_hosts_close_idle (task, now_ms);
-  if (task->has_settings && HASH_COUNT (task->hosts) >= SEEDS_UNTIL_HOSTS)
+  if (task->has_settings && HASH_COUNT (task->hosts) >= SEED_HOSTS_MIN)
     control_seeds_close (task);
   control_report_count (task);
 }
 
 static void
-advertise (char address[HOST_ADDRESS_SIZE], const char *advertised,
-           const char *bound)
+set_address (char address[HOST_ADDRESS_SIZE], const char *advertised,
+             const char *bound)
 {
   snprintf (address, HOST_ADDRESS_SIZE, "%s",
             host_settings_advertised_address (advertised, bound));
@@ -207,12 +207,12 @@
           .capacity = host_capacity (&settings->resources) };
   memcpy (record.name, settings->name, sizeof record.name);
   memcpy (record.dc, settings->dc, sizeof record.dc);
-  advertise (record.caller_address, settings->caller_advertised,
-             settings->caller_address);
-  advertise (record.peer_address, settings->peer_advertised,
-             settings->peer_address);
-  advertise (record.operator_address, settings->operator_advertised,
-             settings->operator_address);
+  set_address (record.caller_address, settings->caller_advertised,
+               settings->caller_address);
+  set_address (record.peer_address, settings->peer_advertised,
+               settings->peer_address);
+  set_address (record.operator_address, settings->operator_advertised,
+               settings->operator_address);
   if (record.incarnation == 0)
     record.incarnation = incarnation_make ();
   task->self = control_hosts_update (task, &record);
@@ -260,15 +260,16 @@
 start_timers (struct control_task *task)
 {
   struct ev_loop *loop = task->options.loop;
-  const double beat_s = task->options.settings->times.heartbeat_ms / 1000.0;
-  ev_timer_init (&task->heartbeat_timer, beat_cb,
-                 beat_s * rng_unit (&task->random), beat_s);
+  const double heartbeat_s
+      = task->options.settings->times.heartbeat_ms / 1000.0;
+  ev_timer_init (&task->heartbeat_timer, heartbeat_cb,
+                 heartbeat_s * rng_unit (&task->random), heartbeat_s);
   task->heartbeat_timer.data = task;
   ev_timer_start (loop, &task->heartbeat_timer);
 }
 
 static void
-make_membership (struct control_task *task)
+create_membership (struct control_task *task)
 {
   const struct control_times *times = &task->options.settings->times;
   const struct membership_options options
@@ -299,7 +300,7 @@
   control_poison_store_prepare (task);
   control_pulls_prepare (task);
   describe_self (task);
-  make_membership (task);
+  create_membership (task);
   enum status status = peer_secret_load (options->settings->secret_file,
                                          &task->identity.secret);
   if (status == STATUS_OK)
--- a/node/control/control_tombstones.c
+++ b/node/control/control_tombstones.c
@@ -7,15 +7,15 @@
 
 enum
 {
-  /** More than a busy hour of replacements. */
+  /** More than the replacements of a busy hour. */
   TOMBSTONES_MAX = 2048,
-  /** Tombstones are kept so many times forget_after_ms. */
-  KEEP_TIMES = 6,
+  /** Tombstones are kept for this many times forget_after_ms. */
+  RETENTION_FACTOR = 6,
 };
 
-/* The floor of KIND, or NULL. */
+/* The version floor of KIND, or NULL. */
 static uint64_t *
-floor_of (struct control_task *task, const char *kind)
+version_floor (struct control_task *task, const char *kind)
 {
   if (strcmp (kind, PLATFORM_KIND_HOST) == 0)
     return &task->host_version_floor;
@@ -35,9 +35,9 @@
 control_tombstones_note_list (struct control_task *task, const char *kind,
                               uint64_t revision)
 {
-  uint64_t *lowest = floor_of (task, kind);
-  if (lowest != NULL && revision > *lowest)
-    *lowest = revision;
+  uint64_t *floor = version_floor (task, kind);
+  if (floor != NULL && revision > *floor)
+    *floor = revision;
 }
 
 void
@@ -52,9 +52,10 @@
   free (task->tombstones);
 }
 
-/* The host may have registered again since: then there is nothing to drop. */
+/* The host may have registered again since; then there is no removal to
+   drop. */
 static void
-drop_oldest (struct control_task *task)
+remove_oldest (struct control_task *task)
 {
   const struct control_tombstone *oldest
       = &task->tombstones[task->tombstone_first];
@@ -78,7 +79,7 @@
 {
   settings_index_retire (task->index, object->key);
   if (task->tombstone_count == TOMBSTONES_MAX)
-    drop_oldest (task);
+    remove_oldest (task);
   const size_t end
       = (task->tombstone_first + task->tombstone_count) % TOMBSTONES_MAX;
   task->tombstones[end]
@@ -91,31 +92,31 @@
 void
 control_tombstones_expire (struct control_task *task, int64_t now_ms)
 {
-  const int64_t keep_ms
-      = (int64_t)KEEP_TIMES * task->options.settings->times.forget_after_ms;
+  const int64_t retention_ms = (int64_t)RETENTION_FACTOR
+                               * task->options.settings->times.forget_after_ms;
   while (task->tombstone_count > 0
          && now_ms - task->tombstones[task->tombstone_first].removed_ms
-                >= keep_ms)
-    drop_oldest (task);
+                >= retention_ms)
+    remove_oldest (task);
 }
 
-/* Guards against a record that outlives its tombstone: a peer that was away
-   for long offers it once more.  Shows as a host that is gone and is listed,
-   and taken into sets, again.  Versions of a kind come from one sequence, so
-   a name unknown here at or below a version whose list or tombstone was seen
-   is a removed one.  The platform itself is always believed, and a live host
-   that was refused so is still known by its own heartbeats.  Nor is a
-   tombstone taken for a name that isn't known: it guards nothing, and would
-   be passed on between new hosts for ever. */
+/* A peer that was disconnected for long may offer the record of a host whose
+   tombstone has expired.  The removed host would be listed and selected for
+   sets again.  Versions of a kind come from one sequence, so a name that is
+   unknown here with a version at or below that of a known list or tombstone is
+   a removed one.  Objects from the platform itself are always accepted, and a
+   live host whose record is refused is still known by its heartbeats.  A
+   tombstone of an unknown name is refused as well: it has no effect and would
+   be passed on between new hosts forever. */
 bool
 control_tombstones_is_outdated (struct control_task *task, const char *kind,
                                 const char *name, uint64_t version,
                                 const char *value)
 {
-  const uint64_t *lowest = floor_of (task, kind);
-  if (lowest == NULL)
+  const uint64_t *floor = version_floor (task, kind);
+  if (floor == NULL)
     return false;
   if (settings_index_version (task->index, settings_key (kind, name)) != 0)
     return false;
-  return value == NULL || version <= *lowest;
+  return value == NULL || version <= *floor;
 }
--- a/node/control/host_record.c
+++ b/node/control/host_record.c
@@ -16,7 +16,7 @@
 };
 
 static void
-read_members (struct options *options, struct host_record *record)
+read_fields (struct options *options, struct host_record *record)
 {
   int64_t incarnation = 0;
   int64_t strength = 0;
@@ -48,13 +48,14 @@
     return status;
   struct options options;
   options_begin (&options, name, "", tree);
-  read_members (&options, record);
+  read_fields (&options, record);
   status = options_end (&options);
   json_object_put (tree);
   if (status == STATUS_OK && strcmp (name, record->name) != 0)
-    return status_set (STATUS_INVALID,
-                       "host object %s calls itself %s: give both one name",
-                       name, record->name);
+    return status_set (
+        STATUS_INVALID,
+        "host object %s contains the name %s: use the same name", name,
+        record->name);
   return status;
 }
 
--- a/node/control/host_record.h
+++ b/node/control/host_record.h
@@ -1,5 +1,6 @@
 /** @file
- * The value of a `host` object: what one host tells the fleet of itself.
+ * The value of a `host` object on the platform, which describes one host to
+ * the fleet.
  */
 #ifndef NODE_CONTROL_HOST_RECORD_H
 #define NODE_CONTROL_HOST_RECORD_H
@@ -18,15 +19,15 @@
   char peer_address[PEER_ADDRESS_SIZE];
   char operator_address[PEER_ADDRESS_SIZE];
   uint64_t incarnation;
-  uint32_t capacity; /**< requests a second it can carry; 0: not known */
+  uint32_t capacity; /**< requests a second that it can serve; 0: not known */
   bool leaving;
 };
 
-/** Parse the JSON TEXT of object NAME, which its `name` must repeat. */
+/** Parse the JSON TEXT of object NAME.  Its `name` must be the same. */
 enum status host_record_parse (const char *name, const char *text,
                                struct host_record *record);
 
-/** The JSON text of RECORD, in new memory. */
+/** Format RECORD as JSON; the caller frees the result. */
 char *host_record_format (const struct host_record *record);
 
 #endif
--- a/node/control/outcome_digest.c
+++ b/node/control/outcome_digest.c
@@ -11,9 +11,9 @@
   return i;
 }
 
-/* The place for a new target: a free one, or that of the oldest failure. */
+/* The index for a new target: a free one, or that of the oldest failure. */
 static uint32_t
-make_room (struct outcome_digest *digest)
+find_slot (struct outcome_digest *digest)
 {
   if (digest->target_count < OUTCOME_DIGEST_TARGETS_MAX)
     return digest->target_count++;
@@ -35,24 +35,24 @@
 outcome_digest_add (struct outcome_digest *digest, int64_t now_ms,
                     uint64_t host, uint64_t target, enum attempt_end end)
 {
-  uint32_t at = find_target (digest, target);
-  const bool is_known = at < digest->target_count;
+  uint32_t index = find_target (digest, target);
+  const bool is_known = index < digest->target_count;
   if (is_failure (end))
     {
       if (!is_known)
-        at = make_room (digest);
-      digest->targets[at] = (struct outcome_digest_target){
+        index = find_slot (digest);
+      digest->targets[index] = (struct outcome_digest_target){
         .key = target, .host = host, .failed_ms = now_ms, .end = end
       };
     }
   else if (is_known && end == ATTEMPT_ANSWERED)
-    digest->targets[at] = digest->targets[--digest->target_count];
+    digest->targets[index] = digest->targets[--digest->target_count];
 }
 
-/* The row of a host; a new one takes the place of that which was told longest
-   ago. */
+/* The entry of a host.  A new one replaces the entry that was sent a digest
+   the longest ago. */
 static struct outcome_digest_host *
-host_of (struct outcome_digest *digest, int64_t now_ms, uint64_t key)
+find_or_add_host (struct outcome_digest *digest, int64_t now_ms, uint64_t key)
 {
   uint32_t oldest = 0;
   for (uint32_t i = 0; i < digest->host_count; i++)
@@ -74,13 +74,14 @@
 outcome_digest_collect (struct outcome_digest *digest, int64_t now_ms,
                         uint64_t host, struct outcome_digest_target *targets)
 {
-  struct outcome_digest_host *row = host_of (digest, now_ms, host);
-  if (now_ms - row->sent_ms < OUTCOME_DIGEST_INTERVAL_MS)
+  struct outcome_digest_host *recipient
+      = find_or_add_host (digest, now_ms, host);
+  if (now_ms - recipient->sent_ms < OUTCOME_DIGEST_INTERVAL_MS)
     return 0;
   int64_t since_ms = now_ms - OUTCOME_DIGEST_AGE_MAX_MS;
-  if (since_ms < row->sent_ms)
-    since_ms = row->sent_ms;
-  row->sent_ms = now_ms;
+  if (since_ms < recipient->sent_ms)
+    since_ms = recipient->sent_ms;
+  recipient->sent_ms = now_ms;
   size_t count = 0;
   for (uint32_t i = 0; i < digest->target_count; i++)
     if (digest->targets[i].failed_ms >= since_ms
--- a/node/control/outcome_digest.h
+++ b/node/control/outcome_digest.h
@@ -1,10 +1,10 @@
 /** @file
- * The failed targets of one service, as a host of its set tells them to hosts
- * outside it.
+ * The failed targets of one service, which a host of the service's set sends
+ * to hosts outside it.
  *
- * Guards against requests that reach a host outside the set, as of a caller
- * with an old address answer: such a host meets each target too seldom to know
- * which ones fail, and has few retries to make that good.
+ * Requests can reach a host outside the set, for example from a caller with
+ * an old list of addresses.  Such a host uses each target too rarely to detect
+ * which ones fail, and has few retries to compensate.
  */
 #ifndef NODE_CONTROL_OUTCOME_DIGEST_H
 #define NODE_CONTROL_OUTCOME_DIGEST_H
@@ -16,17 +16,17 @@
 
 enum
 {
-  OUTCOME_DIGEST_TARGETS_MAX = 128, /**< the latest ones are kept */
-  OUTCOME_DIGEST_HOSTS_MAX = 64,    /**< the latest ones that were told */
-  OUTCOME_DIGEST_AGE_MAX_MS = 4000, /**< older failures say little */
-  OUTCOME_DIGEST_INTERVAL_MS = 500  /**< between two digests for one host */
+  OUTCOME_DIGEST_TARGETS_MAX = 128, /**< the latest failures are kept */
+  OUTCOME_DIGEST_HOSTS_MAX = 64,    /**< the latest recipients are kept */
+  OUTCOME_DIGEST_AGE_MAX_MS = 4000, /**< older failures matter little */
+  OUTCOME_DIGEST_INTERVAL_MS = 500, /**< minimum, between digests for a host */
 };
 
 /** A target whose last known attempt failed. */
 struct outcome_digest_target
 {
   uint64_t key;
-  uint64_t host; /**< that saw it fail */
+  uint64_t host; /**< key of the host that observed the failure */
   int64_t failed_ms;
   enum attempt_end end;
 };
@@ -38,7 +38,7 @@
   int64_t sent_ms;
 };
 
-/** Empty when it is all zeros. */
+/** A zero-initialised digest is empty. */
 struct outcome_digest
 {
   struct outcome_digest_target targets[OUTCOME_DIGEST_TARGETS_MAX];
@@ -47,16 +47,17 @@
   uint32_t host_count;
 };
 
-/** An attempt of the host with key HOST at the target with key TARGET ended.
- */
+/** Record that an attempt of the host with key HOST at the target with key
+ * TARGET ended. */
 void outcome_digest_add (struct outcome_digest *digest, int64_t now_ms,
                          uint64_t host, uint64_t target, enum attempt_end end);
 
-/** What the host with key HOST is to be told: targets that have failed since
- * it was told last, none if that was a moment ago.  What it has seen itself is
- * left out: it would count twice.
+/** Collect what to send to the host with key HOST: targets that have failed
+ * since the last digest for it, or none if that was sent less than
+ * OUTCOME_DIGEST_INTERVAL_MS ago.  Failures that it has observed itself are
+ * left out, since it would count them twice.
  * @param targets receives up to OUTCOME_DIGEST_TARGETS_MAX
- * @return how many */
+ * @return the number of targets */
 size_t outcome_digest_collect (struct outcome_digest *digest, int64_t now_ms,
                                uint64_t host,
                                struct outcome_digest_target *targets);
--- a/node/control/poison_message.h
+++ b/node/control/poison_message.h
@@ -1,6 +1,6 @@
 /** @file
  * Encodes poison rows as a peer report of type PEER_POISON; `service` is ""
- * if the rows are of several services.
+ * if the rows belong to several services.
  */
 #ifndef NODE_CONTROL_POISON_MESSAGE_H
 #define NODE_CONTROL_POISON_MESSAGE_H
--- a/node/control/poison_record.h
+++ b/node/control/poison_record.h
@@ -1,9 +1,11 @@
 /** @file
- * Platform record of a blocked request, which survives a restart of all hosts.
+ * Record of a blocked request on the platform, which survives a restart of
+ * all hosts.
  *
  * The object's name is the request's fingerprint, its value
  * {"service": "holds", "head": "16 hexadecimal digits", "epoch": 0,
- *  "strikes": 1, "until_ms": 1790000000000}, with `until_ms` in Unix time.
+ * "strikes": 1, "until_ms": 1790000000000},
+ * with `until_ms` in Unix time.
  */
 #ifndef NODE_CONTROL_POISON_RECORD_H
 #define NODE_CONTROL_POISON_RECORD_H
--- a/node/control/tests/control_cleanup_test.cc
+++ b/node/control/tests/control_cleanup_test.cc
@@ -33,10 +33,10 @@
     for (int i = from; i < to; i++)
       add_quick ("h" + std::to_string (i), "d" + std::to_string (i))
           .start (loop);
-    ASSERT_TRUE (until ([&] { return all_meet (); }));
+    ASSERT_TRUE (until ([&] { return all_live (); }));
   }
 
-  /* The record of a host that nobody will ever reach. */
+  /* Stores the record of a host that can't be reached. */
   void
   put_record (const std::string &name, uint64_t incarnation, bool leaving)
   {
@@ -61,7 +61,7 @@
   }
 
   size_t
-  records ()
+  record_count ()
   {
     size_t count = 0;
     for (const auto &[name, object] : store.kinds["host"])
@@ -92,7 +92,7 @@
   }
 
   int64_t
-  forgotten () const
+  forgotten_count () const
   {
     int64_t sum = 0;
     for (const auto &n : nodes)
@@ -102,7 +102,7 @@
   }
 
   void
-  pass (int64_t wait_ms)
+  run_for (int64_t wait_ms)
   {
     const int64_t end_ms = clock_now_ms () + wait_ms;
     until ([&] { return clock_now_ms () >= end_ms; });
@@ -110,17 +110,18 @@
 };
 }
 
-/* A host dies for good and nobody deletes its record.  Each host would list
-   it for ever.  One relay removes the record, all forget the host, and one
-   that starts in an outage gets no tombstone to pass on. */
-TEST_F (ControlCleanup, ADeadHostIsForgotten)
+/* A host fails permanently, and nobody deletes its record, so each host would
+   list it forever.  One relay removes the record, all hosts remove the host,
+   and a host that starts during a platform outage gets no tombstone to pass
+   on. */
+TEST_F (ControlCleanup, DeadHostIsRemoved)
 {
   start_quick (0, 3);
   nodes[1]->stop ();
   EXPECT_TRUE (until ([&] { return !has_record ("h1"); }));
   EXPECT_TRUE (until ([&] { return all_forgot ("h1"); }));
-  EXPECT_EQ (forgotten (), 1);
-  EXPECT_EQ (records (), 2u);
+  EXPECT_EQ (forgotten_count (), 1);
+  EXPECT_EQ (record_count (), 2u);
   store.put ("service", "holds", service_text ("holds", 4));
   node &late
       = add_quick ("late", "d9", { nodes[0]->address, nodes[2]->address });
@@ -134,44 +135,45 @@
   EXPECT_EQ (late.task->tombstone_count, 0u);
 }
 
-/* A host that was away registers again at the very moment its old record is
-   removed.  It must stay listed: the removal is refused. */
-TEST_F (ControlCleanup, AHostBackAtTheLastMomentKeepsItsRecord)
+/* A host registers again just before its old record is removed.  It must stay
+   listed: the removal is refused. */
+TEST_F (ControlCleanup, HostThatRegistersAgainKeepsItsRecord)
 {
   start_quick (0, 3);
   nodes[1]->stop ();
   int removals = 0;
-  const auto come_back = [&] (const fake_platform::call &c) {
+  const auto register_again = [&] (const fake_platform::call &c) {
     if (c.removes && c.name == "h1" && removals++ == 0)
       put_record ("h1", UINT64_C (1) << 62, false);
   };
-  nodes[0]->platform.before_put = come_back;
-  nodes[2]->platform.before_put = come_back;
+  nodes[0]->platform.before_put = register_again;
+  nodes[2]->platform.before_put = register_again;
   EXPECT_TRUE (until ([&] { return removals > 0; }));
-  pass (200);
+  run_for (200);
   EXPECT_TRUE (has_record ("h1"));
-  EXPECT_EQ (forgotten (), 0);
+  EXPECT_EQ (forgotten_count (), 0);
   EXPECT_EQ (removals, 1);
 }
 
-/* A host is believed dead, starts again under its name and is live when the
-   first wait would end.  A wait that was broken must not remove its record. */
-TEST_F (ControlCleanup, ABreakEndsTheWait)
+/* A dead host restarts under its name and is live when the first wait would
+   end.  An interrupted wait must not remove its record. */
+TEST_F (ControlCleanup, RestartOfAHostEndsTheWait)
 {
   start_quick (0, 3);
   nodes[1]->stop ();
   EXPECT_TRUE (until (
       [&] { return is_dead (*nodes[0], "h1") && is_dead (*nodes[2], "h1"); }));
   nodes[1]->start (loop);
-  EXPECT_TRUE (until ([&] { return all_meet (); }));
-  pass (2 * FORGET_MS);
-  EXPECT_EQ (forgotten (), 0);
+  EXPECT_TRUE (until ([&] { return all_live (); }));
+  run_for (2 * FORGET_MS);
+  EXPECT_EQ (forgotten_count (), 0);
   EXPECT_EQ (nodes[1]->platform.writes, 2);
 }
 
-/* A cut: the smaller side reaches the platform and none of the others.  It
-   must not remove their records; when it is the larger side again, it may. */
-TEST_F (ControlCleanup, TheSmallerSideRemovesNobody)
+/* A network partition in which the smaller side reaches the platform but none
+   of the other hosts.  It must not remove their records.  Once it is the
+   larger side again, it may. */
+TEST_F (ControlCleanup, MinorityRemovesNoHost)
 {
   start_quick (0, 5);
   for (int i = 2; i < 5; i++)
@@ -180,16 +182,17 @@
     return is_dead (*nodes[0], "h2") && is_dead (*nodes[0], "h3")
            && is_dead (*nodes[0], "h4");
   }));
-  pass (2 * FORGET_MS);
-  EXPECT_EQ (records (), 5u);
-  EXPECT_EQ (forgotten (), 0);
+  run_for (2 * FORGET_MS);
+  EXPECT_EQ (record_count (), 5u);
+  EXPECT_EQ (forgotten_count (), 0);
   start_quick (5, 7);
-  EXPECT_TRUE (until ([&] { return records () == 4; }));
+  EXPECT_TRUE (until ([&] { return record_count () == 4; }));
 }
 
-/* The platform is down, then its answers to removals are lost.  Nothing may
-   be read back or be lost: the watch tells that the record is gone. */
-TEST_F (ControlCleanup, AnOutageHoldsAndALostAnswerNeedsNoReading)
+/* The platform is down, and then the responses to removals are lost.  Nothing
+   needs to be read back or may be missed: the watch shows that the record is
+   gone. */
+TEST_F (ControlCleanup, LostResponseToARemovalIsNotReadBack)
 {
   start_quick (0, 3);
   nodes[1]->stop ();
@@ -197,7 +200,7 @@
     nodes[i]->platform.is_down = true;
   EXPECT_TRUE (until ([&] { return is_dead (*nodes[0], "h1"); }));
   for (int i : { 0, 2 })
-    nodes[i]->platform.lost_answers = 1;
+    nodes[i]->platform.lost_responses = 1;
   const int gets = nodes[0]->platform.gets + nodes[2]->platform.gets;
   for (int i : { 0, 2 })
     nodes[i]->platform.is_down = false;
@@ -206,9 +209,9 @@
   EXPECT_EQ (nodes[0]->platform.gets + nodes[2]->platform.gets, gets);
 }
 
-/* The platform doesn't answer.  No removal may be tried by what the watch
-   said long ago. */
-TEST_F (ControlCleanup, NothingIsTriedWhileThePlatformIsDown)
+/* The platform doesn't answer.  No removal may be attempted on the strength
+   of an old response to the watch. */
+TEST_F (ControlCleanup, NoRemovalDuringAPlatformOutage)
 {
   start_quick (0, 3);
   nodes[1]->stop ();
@@ -216,20 +219,21 @@
     nodes[i]->platform.is_down = true;
   EXPECT_TRUE (until ([&] { return is_dead (*nodes[0], "h1"); }));
   EXPECT_TRUE (until ([&] { return is_dead (*nodes[2], "h1"); }));
-  /* Let the watches fail, and let the wait end but not the staleness. */
+  /* Let the watches fail and the wait end, but don't let the hosts become
+     stale. */
   for (int i : { 0, 2 })
     nodes[i]->settings.times.stale_after_ms = 60000;
-  const auto due = [&] {
+  const auto is_due = [&] {
     const auto *host = control_hosts_by_name (nodes[0]->task, "h1");
     return clock_now_ms () - host->gone_since_ms > 2 * FORGET_MS;
   };
-  EXPECT_TRUE (until (due));
+  EXPECT_TRUE (until (is_due));
   EXPECT_EQ (nodes[0]->platform.removals + nodes[2]->platform.removals, 0);
 }
 
-/* A relay froze while it believed a host dead, and thaws much later.  The
-   host may be back since; its wait must begin again. */
-TEST_F (ControlCleanup, AFrozenRelayWaitsAgain)
+/* A relay is suspended while a host is dead for it, and resumes much later.
+   The host may have come back since, so the wait must start again. */
+TEST_F (ControlCleanup, SuspendedRelayWaitsAgain)
 {
   start_quick (0, 3);
   nodes[1]->stop ();
@@ -248,9 +252,9 @@
     }
 }
 
-/* A live host's record is removed by mistake, then by somebody who does it
-   over and over.  It must be back at once, and not write as fast as it can. */
-TEST_F (ControlCleanup, AWronglyRemovedHostIsBack)
+/* The record of a live host is removed by mistake, and then repeatedly.  It
+   must be restored at once, but not be rewritten as fast as possible. */
+TEST_F (ControlCleanup, WronglyRemovedHostRegistersAgain)
 {
   start_quick (0, 3);
   store.remove ("host", "h1");
@@ -272,9 +276,9 @@
   EXPECT_TRUE (until ([&] { return has_record ("h1"); }));
 }
 
-/* A thousand hosts were replaced under new names in some hours.  What each
-   host holds, counts and hashes must not grow with them. */
-TEST_F (ControlCleanup, AThousandReplacedHostsLeaveBoundedState)
+/* A thousand hosts were replaced under new names within hours.  What each
+   host stores, counts and hashes must not grow with them. */
+TEST_F (ControlCleanup, ThousandReplacedHostsLeaveBoundedState)
 {
   store.put ("service", "gone", service_text ("gone", 4));
   for (int i = 0; i < 1000; i++)
@@ -283,15 +287,15 @@
   store.remove ("service", "gone");
   EXPECT_GT (HASH_COUNT (nodes[0]->task->objects), 1000u);
   for (auto &n : nodes)
-    n->platform.holds_removals = true;
-  pass (2 * FORGET_MS);
+    n->platform.delays_removals = true;
+  run_for (2 * FORGET_MS);
   for (auto &n : nodes)
     {
       EXPECT_EQ (n->platform.removals, 1) << "one at a time";
-      n->platform.holds_removals = false;
+      n->platform.delays_removals = false;
     }
-  EXPECT_TRUE (until ([&] { return records () == 3; }));
-  EXPECT_EQ (forgotten (), 1000);
+  EXPECT_TRUE (until ([&] { return record_count () == 3; }));
+  EXPECT_EQ (forgotten_count (), 1000);
   EXPECT_TRUE (until ([&] {
     return std::all_of (nodes.begin (), nodes.end (), [] (const auto &n) {
       const control_task *task = n->task;
@@ -302,10 +306,10 @@
   }));
 }
 
-/* A peer comes back after all tombstones are gone and still holds the record
-   of a host that was removed.  It offers it; nobody may list that host again,
-   and the peer lets go of it once it hears the platform. */
-TEST_F (ControlCleanup, ALateOfferBringsNobodyBack)
+/* A peer reconnects after all tombstones have expired and still has the
+   record of a removed host, which it offers.  No host may list the removed one
+   again, and the peer removes it once it reads the platform. */
+TEST_F (ControlCleanup, LateOfferDoesNotRestoreAHost)
 {
   put_record ("r0", 1, false);
   const fake_store snapshot = store;
@@ -320,7 +324,7 @@
   node &late = add_quick ("late", "d9");
   late.platform.snapshot = &snapshot;
   late.start (loop);
-  EXPECT_TRUE (until ([&] { return all_meet (); }));
+  EXPECT_TRUE (until ([&] { return all_live (); }));
   EXPECT_TRUE (knows (late, "r0"));
   EXPECT_TRUE (until ([&] {
     for (int i = 0; i < 3; i++)
@@ -331,9 +335,10 @@
   EXPECT_TRUE (until ([&] { return !knows (late, "r0"); }));
 }
 
-/* Hosts that left can't be told from live ones that a peer speaks of: word of
-   one that is gone must not introduce it to those who forgot it. */
-TEST_F (ControlCleanup, WordOfADeadHostIntroducesNobody)
+/* A host that has removed another one can't tell it from a new one that a peer
+   reports.  A membership update about a dead host must therefore not add it
+   again; one about a live host must. */
+TEST_F (ControlCleanup, GossipOfADeadHostAddsNoHost)
 {
   start_quick (0, 2);
   peer_member_update verdict = {};
@@ -356,10 +361,10 @@
   EXPECT_TRUE (knows (*nodes[0], "old"));
 }
 
-/* Tombstones that each new host takes from an older one and passes on would
-   never end.  For a host that isn't known there is nothing to guard; for one
-   that is, the removal must count. */
-TEST_F (ControlCleanup, ATombstoneIsTakenForAKnownHostOnly)
+/* Tombstones that each new host accepts from an older one and passes on would
+   never expire.  One for an unknown host has no effect and is refused; one for
+   a known host must be applied. */
+TEST_F (ControlCleanup, TombstoneIsAcceptedForAKnownHostOnly)
 {
   start_quick (0, 2);
   control_task *task = nodes[0]->task;
@@ -382,9 +387,9 @@
   EXPECT_FALSE (control_hosts_by_name (task, "h1")->is_listed);
 }
 
-/* A late word calls a removed host live, the next one dead.  Once it is
-   forgotten nothing of it may be left to speak of for ever. */
-TEST_F (ControlCleanup, AForgottenHostIsSpokenOfNoMore)
+/* A delayed update reports a removed host live, the next one dead.  Once the
+   host is removed, it must no longer be gossiped about. */
+TEST_F (ControlCleanup, RemovedHostIsNotGossiped)
 {
   start_quick (0, 2);
   control_task *task = nodes[0]->task;
@@ -410,12 +415,12 @@
   verdict.counter = 1;
   control_receive (task, &source, &message);
   EXPECT_TRUE (until ([&] { return !knows (*nodes[0], "r0"); }));
-  member_update spoken[CONTROL_GOSSIP_UPDATES_MAX];
+  member_update updates[CONTROL_GOSSIP_UPDATES_MAX];
   for (int i = 0; i < 200; i++)
     {
-      const size_t count = membership_gossip (task->membership, spoken,
+      const size_t count = membership_gossip (task->membership, updates,
                                               CONTROL_GOSSIP_UPDATES_MAX);
       for (size_t v = 0; v < count; v++)
-        ASSERT_NE (spoken[v].key, key);
+        ASSERT_NE (updates[v].key, key);
     }
 }
--- a/node/control/tests/control_fixture.h
+++ b/node/control/tests/control_fixture.h
@@ -1,5 +1,5 @@
 /** @file
- * Whole control tasks on one loop over one platform in memory.
+ * Complete control tasks on one event loop, with one platform in memory.
  */
 #ifndef NODE_CONTROL_TESTS_CONTROL_FIXTURE_H
 #define NODE_CONTROL_TESTS_CONTROL_FIXTURE_H
@@ -50,7 +50,7 @@
          + std::to_string (slots) + "}]}";
 }
 
-/* One host: its task, its bus and what the bus told. */
+/* One host: its task, its bus, and what was posted on the bus. */
 struct node
 {
   node (struct ev_loop *loop, fake_store *store, const std::string &name,
@@ -121,14 +121,14 @@
   static void
   on_bus (void *owner, const bus_message *message)
   {
-    auto *self = (node *)owner;
+    auto *host = (node *)owner;
     if (message->topic == BUS_SERVICE_IN_FORCE)
       {
         const auto *spec = message->service_in_force.spec;
-        EXPECT_GT (spec->version, self->highest[spec->name]) << "reverted";
-        self->highest[spec->name] = spec->version;
-        self->in_force[spec->name] = spec->version;
-        auto &targets = self->targets[spec->name];
+        EXPECT_GT (spec->version, host->highest[spec->name]) << "reverted";
+        host->highest[spec->name] = spec->version;
+        host->in_force[spec->name] = spec->version;
+        auto &targets = host->targets[spec->name];
         targets.clear ();
         for (size_t i = 0; i < spec->target_count; i++)
           targets.push_back (spec->targets[i].name);
@@ -136,22 +136,22 @@
     else if (message->topic == BUS_CONFIG_IN_FORCE)
       {
         const uint64_t version = message->config_in_force.config->version;
-        EXPECT_GT (version, self->config_version) << "reverted";
-        self->config_version = version;
-        freshness_set_version_in_force (&self->proofs, version);
+        EXPECT_GT (version, host->config_version) << "reverted";
+        host->config_version = version;
+        freshness_set_version_in_force (&host->proofs, version);
       }
     else if (message->topic == BUS_FRESHNESS)
-      freshness_add_proof (&self->proofs, &message->freshness);
+      freshness_add_proof (&host->proofs, &message->freshness);
     else if (message->topic == BUS_SERVICE_REMOVED)
       {
         const auto &removed = message->service_removed;
-        EXPECT_GT (removed.version, self->highest[removed.name]);
-        self->highest[removed.name] = removed.version;
-        self->in_force.erase (removed.name);
+        EXPECT_GT (removed.version, host->highest[removed.name]);
+        host->highest[removed.name] = removed.version;
+        host->in_force.erase (removed.name);
       }
     else if (message->topic == BUS_HOST_SET)
       {
-        auto &set = self->sets[message->host_set.service];
+        auto &set = host->sets[message->host_set.service];
         set.clear ();
         for (size_t i = 0; i < message->host_set.count; i++)
           set.push_back (message->host_set.hosts[i].name);
@@ -198,17 +198,18 @@
     return *nodes.back ();
   }
 
-  /* N hosts in as many data centres, which all know of each other. */
+  /* Starts N hosts in as many data centres and waits until they know each
+     other. */
   void
   start (int n)
   {
     for (int i = 0; i < n; i++)
       add ("h" + std::to_string (i), "d" + std::to_string (i)).start (loop);
-    EXPECT_TRUE (until ([&] { return all_meet (); }));
+    EXPECT_TRUE (until ([&] { return all_live (); }));
   }
 
   bool
-  all_meet () const
+  all_live () const
   {
     for (const auto &a : nodes)
       for (const auto &b : nodes)
--- a/node/control/tests/control_freshness_test.cc
+++ b/node/control/tests/control_freshness_test.cc
@@ -1,4 +1,5 @@
-/* Hosts that find out whether the configuration in force is the newest. */
+/* Tests how hosts determine whether the configuration in force is the
+   newest. */
 #include "node/control/tests/control_fixture.h"
 
 extern "C"
@@ -8,9 +9,9 @@
 
 namespace
 {
-/* Bounds in proportion to heartbeats as they are usually: ten heartbeats. */
+/* The usual bound is ten heartbeat intervals; here it is twenty. */
 const uint32_t bound_ms = 1000;
-const uint32_t beat_ms = 50;
+const uint32_t heartbeat_interval_ms = 50;
 
 std::string
 config_text (int version, const std::string &workspaces = ",\"workspaces\":[]")
@@ -25,7 +26,7 @@
 {
 protected:
   void
-  start_keyed (int count)
+  start_hosts (int count)
   {
     store.put ("config", "main", config_text (1));
     for (int i = 0; i < count; i++)
@@ -34,12 +35,12 @@
         n.settings.modes.has_registry = true;
         n.settings.modes.all_watch_registry = true;
         n.settings.access.revoke_ms = bound_ms;
-        n.settings.times.heartbeat_ms = beat_ms;
+        n.settings.times.heartbeat_ms = heartbeat_interval_ms;
         n.settings.times.relay_watch_ms = bound_ms;
         n.settings.times.watch_ms = 3600 * 1000;
         n.start (loop);
       }
-    EXPECT_TRUE (until ([&] { return all_meet (); }));
+    EXPECT_TRUE (until ([&] { return all_live (); }));
   }
 
   static bool
@@ -55,32 +56,32 @@
                         [] (const auto &n) { return is_fresh (*n); });
   }
 
-  /* Turn for so many times the bound.
+  /* Runs the loop for BOUNDS times the bound.
      @return whether all hosts were fresh all the time */
   bool
   all_stay_fresh (int bounds)
   {
     const double end = ev_now (loop) + bounds * bound_ms / 1000.0;
-    bool were_fresh = true;
+    bool was_fresh = true;
     EXPECT_TRUE (until ([&] {
-      were_fresh = were_fresh && all_fresh ();
+      was_fresh = was_fresh && all_fresh ();
       return ev_now (loop) >= end;
     }));
-    return were_fresh;
+    return was_fresh;
   }
 };
 
 TEST_F (ControlFreshness, AllHostsBecomeAndStayFresh)
 {
-  start_keyed (5);
+  start_hosts (5);
   ASSERT_TRUE (until ([&] { return all_fresh (); }));
   EXPECT_TRUE (all_stay_fresh (1));
 }
 
-/* Without workspaces nobody asks more often than before. */
-TEST_F (ControlFreshness, NothingIsAskedWhereNoKeysAre)
+/* Without workspaces there are no additional calls to the platform. */
+TEST_F (ControlFreshness, NoQueriesWithoutWorkspaces)
 {
-  start_keyed (2);
+  start_hosts (2);
   store.put ("config", "main", config_text (2, ""));
   ASSERT_TRUE (until ([&] {
     return nodes[0]->config_version == 2 && nodes[1]->config_version == 2;
@@ -96,12 +97,12 @@
   EXPECT_LE (after - before, 12u);
 }
 
-/* The platform turns one host away and serves the others, and operators go on
-   taking keys away meanwhile.  The host would have to refuse all requests with
-   keys once the bound is over; a question to a neighbour spares it that. */
-TEST_F (ControlFreshness, AHostThatThePlatformTurnsAwayHearsFromNeighbours)
+/* The platform refuses one host and serves the others, while operators revoke
+   keys.  Without queries to its neighbours, the host would have to refuse all
+   requests with keys once the bound is exceeded. */
+TEST_F (ControlFreshness, DisconnectedHostGetsProofsFromNeighbours)
 {
-  start_keyed (5);
+  start_hosts (5);
   ASSERT_TRUE (until ([&] { return all_fresh (); }));
   for (const auto &n : nodes)
     {
@@ -111,10 +112,10 @@
     }
 }
 
-/* All relays are turned away: others ask in their place. */
-TEST_F (ControlFreshness, OneHostThatIsServedIsEnough)
+/* The platform refuses all relays: other hosts query it instead. */
+TEST_F (ControlFreshness, OneConnectedHostIsEnough)
 {
-  start_keyed (4);
+  start_hosts (4);
   ASSERT_TRUE (until ([&] { return all_fresh (); }));
   for (size_t served = 0; served < nodes.size (); served++)
     {
@@ -124,11 +125,12 @@
     }
 }
 
-/* The platform is away for all.  Nobody can know of a key that is taken away
-   at its return, however often hosts tell each other what they knew. */
-TEST_F (ControlFreshness, NobodyIsFreshInAnOutageForLongerThanTheBound)
+/* The platform is unavailable to all hosts.  None of them can know of a key
+   that is revoked when it recovers, however often they exchange what they
+   knew. */
+TEST_F (ControlFreshness, OutageEndsFreshnessAfterTheBound)
 {
-  start_keyed (4);
+  start_hosts (4);
   ASSERT_TRUE (until ([&] { return all_fresh (); }));
   for (const auto &n : nodes)
     n->platform.is_down = true;
@@ -145,16 +147,16 @@
   EXPECT_TRUE (until ([&] { return all_fresh (); }));
 }
 
-/* The platform's watches go deaf, and a key is taken away.  What a watch that
-   waits has not shown proves nothing. */
-TEST_F (ControlFreshness, ADeafWatchProvesNothing)
+/* The platform's watches stop returning changes, and a key is revoked.  A
+   watch that waits proves nothing about changes that it hasn't returned. */
+TEST_F (ControlFreshness, SilentWatchProvesNothing)
 {
-  start_keyed (1);
+  start_hosts (1);
   node &n = *nodes[0];
   ASSERT_TRUE (until ([&] { return all_fresh (); }));
   for (int version = 2; version < 6; version++)
     {
-      n.platform.go_deaf ();
+      n.platform.silence_watches ();
       store.put ("config", "main", config_text (version));
       const int64_t accepted_ms = clock_now_ms ();
       ASSERT_TRUE (until ([&] {
@@ -167,10 +169,10 @@
     }
 }
 
-/* Requests wait at a host that has just started: it asks at once. */
-TEST_F (ControlFreshness, AHostThatStartsAsksWhenRequestsWait)
+/* Requests wait at a host that has just started: it queries at once. */
+TEST_F (ControlFreshness, StartingHostQueriesWhenRequestsWait)
 {
-  start_keyed (3);
+  start_hosts (3);
   ASSERT_TRUE (until ([&] { return all_fresh (); }));
   node &n = *nodes[2];
   n.stop ();
@@ -180,9 +182,9 @@
   ASSERT_TRUE (until ([&] { return n.config_version > 0; }));
   bus_message wanted = {};
   wanted.topic = BUS_FRESHNESS_REQUESTED;
-  const int64_t asked_ms = clock_now_ms ();
+  const int64_t requested_ms = clock_now_ms ();
   bus_post (n.bus, &wanted);
   ASSERT_TRUE (until ([&] { return is_fresh (n); }));
-  EXPECT_LT (clock_now_ms () - asked_ms, (int64_t)bound_ms);
+  EXPECT_LT (clock_now_ms () - requested_ms, (int64_t)bound_ms);
 }
 } // namespace
--- a/node/control/tests/control_outcomes_test.cc
+++ b/node/control/tests/control_outcomes_test.cc
@@ -13,7 +13,7 @@
     FAILED_TARGET = 11,
     GOOD_TARGET = 12,
   };
-  std::map<node *, std::multiset<uint64_t>> heard;
+  std::map<node *, std::multiset<uint64_t>> received;
 
   void
   SetUp () override
@@ -22,16 +22,16 @@
       {
         node &added = add ("h" + std::to_string (i), "d0");
         added.start (loop);
-        bus_subscribe (added.bus, BUS_OUTCOME_RECEIVED, on_heard,
-                       &heard[&added]);
+        bus_subscribe (added.bus, BUS_OUTCOME_RECEIVED, on_received,
+                       &received[&added]);
       }
-    ASSERT_TRUE (until ([&] { return all_meet (); }));
+    ASSERT_TRUE (until ([&] { return all_live (); }));
     store.put ("service", "holds", service_text ("holds", 4));
     ASSERT_TRUE (until ([&] { return all_agree (); }));
   }
 
   static void
-  on_heard (void *owner, const bus_message *message)
+  on_received (void *owner, const bus_message *message)
   {
     auto *keys = static_cast<std::multiset<uint64_t> *> (owner);
     keys->insert (message->outcome.target_key);
@@ -65,7 +65,7 @@
   }
 
   static void
-  see (node &at, uint64_t target, attempt_end end)
+  post_outcome (node &at, uint64_t target, attempt_end end)
   {
     bus_message message = {};
     message.topic = BUS_OUTCOME_OBSERVED;
@@ -76,37 +76,37 @@
   }
 };
 
-/* Guards against requests that fail at a host outside the set, which meets
- * each target too seldom to know that it fails. */
-TEST_F (ControlOutcomes, AHostOutsideTheSetIsToldOfFailedTargets)
+/* A host outside the set uses each target too rarely to detect that it fails,
+   so its requests would fail. */
+TEST_F (ControlOutcomes, HostOutsideTheSetReceivesFailedTargets)
 {
   node *inside = find (true);
   node *outside = find (false);
   ASSERT_NE (inside, nullptr);
   ASSERT_NE (outside, nullptr);
-  see (*inside, FAILED_TARGET, ATTEMPT_FAILED);
-  see (*inside, GOOD_TARGET, ATTEMPT_ANSWERED);
-  see (*outside, GOOD_TARGET, ATTEMPT_ANSWERED);
+  post_outcome (*inside, FAILED_TARGET, ATTEMPT_FAILED);
+  post_outcome (*inside, GOOD_TARGET, ATTEMPT_ANSWERED);
+  post_outcome (*outside, GOOD_TARGET, ATTEMPT_ANSWERED);
   EXPECT_TRUE (
-      until ([&] { return heard[outside].count (FAILED_TARGET) == 1; }));
-  EXPECT_EQ (heard[outside].count (GOOD_TARGET), 0u);
+      until ([&] { return received[outside].count (FAILED_TARGET) == 1; }));
+  EXPECT_EQ (received[outside].count (GOOD_TARGET), 0u);
 }
 
-/* Guards against hosts outside the set that are told though they send nothing:
- * there are thousands of them. */
-TEST_F (ControlOutcomes, AHostThatSendsNothingIsToldNothing)
+/* Hosts outside the set that send no reports must receive nothing: there are
+   thousands of them. */
+TEST_F (ControlOutcomes, HostWithoutReportsReceivesNothing)
 {
   node *inside = find (true);
   node *outside = find (false);
   ASSERT_NE (inside, nullptr);
   ASSERT_NE (outside, nullptr);
-  see (*inside, FAILED_TARGET, ATTEMPT_FAILED);
-  see (*outside, GOOD_TARGET, ATTEMPT_ANSWERED);
+  post_outcome (*inside, FAILED_TARGET, ATTEMPT_FAILED);
+  post_outcome (*outside, GOOD_TARGET, ATTEMPT_ANSWERED);
   EXPECT_TRUE (
-      until ([&] { return heard[outside].count (FAILED_TARGET) == 1; }));
+      until ([&] { return received[outside].count (FAILED_TARGET) == 1; }));
   for (const auto &n : nodes)
     EXPECT_TRUE (n.get () == outside || in_set (*n)
-                 || heard[n.get ()].empty ());
+                 || received[n.get ()].empty ());
 }
 
 }
--- a/node/control/tests/control_poison_test.cc
+++ b/node/control/tests/control_poison_test.cc
@@ -53,7 +53,7 @@
   }
 
   size_t
-  stored () const
+  stored_count () const
   {
     size_t count = 0;
     const auto found = store.kinds.find (PLATFORM_KIND_POISON);
@@ -80,8 +80,8 @@
   std::map<node *, std::vector<poison_row>> received;
 };
 
-/* Guards against a cleared block that remains stored because one host wrote it
-   after another had removed it. */
+/* A cleared block would remain stored if one host wrote it after another had
+   removed it. */
 TEST_F (ControlPoison, ClearedBlockIsRemovedByHostThatStoredIt)
 {
   node &host = add ("h0", "d0");
@@ -89,20 +89,21 @@
   ASSERT_TRUE (until ([&] { return control_has_settings (host.task); }));
   put_record (2, 60000);
   announce (host, make_block (1), POISON_TO_RANDOM_FEW, true);
-  ASSERT_TRUE (until ([&] { return stored () == 2; }));
+  ASSERT_TRUE (until ([&] { return stored_count () == 2; }));
   for (const uint64_t number : { 2, 1 })
     {
       poison_row cleared = make_block (number);
       cleared.strikes = 0;
       announce (host, cleared, POISON_TO_RANDOM_FEW, false);
     }
-  EXPECT_TRUE (until ([&] { return stored () == 1; }));
+  EXPECT_TRUE (until ([&] { return stored_count () == 1; }));
   EXPECT_EQ (store.kinds[PLATFORM_KIND_POISON].size (), 2u);
   for (const auto &[name, object] : store.kinds[PLATFORM_KIND_POISON])
     EXPECT_EQ (object.removed, name.back () == '1') << name;
 }
 
-/* Guards against a block that is not stored because the platform was down. */
+/* A block must be stored although the platform was down when it was
+   announced. */
 TEST_F (ControlPoison, BlockIsStoredAfterPlatformRecovers)
 {
   node &host = add ("h0", "d0");
@@ -112,28 +113,28 @@
   announce (host, make_block (1), POISON_TO_RANDOM_FEW, true);
   announce (host, make_block (2), POISON_TO_RANDOM_FEW, true);
   ev_run (loop, EVRUN_NOWAIT);
-  EXPECT_EQ (stored (), 0u);
+  EXPECT_EQ (stored_count (), 0u);
   host.platform.is_down = false;
-  EXPECT_TRUE (until ([&] { return stored () == 2; }));
+  EXPECT_TRUE (until ([&] { return stored_count () == 2; }));
   poison_row cleared = make_block (1);
   cleared.strikes = 0;
   announce (host, cleared, POISON_TO_RANDOM_FEW, true);
-  EXPECT_TRUE (until ([&] { return stored () == 1; }));
+  EXPECT_TRUE (until ([&] { return stored_count () == 1; }));
 }
 
-/* Guards against a lost or repeated write when the reply is lost. */
+/* A write must be neither lost nor repeated when its response is lost. */
 TEST_F (ControlPoison, WriteIsRetriedAfterLostReply)
 {
   node &host = add ("h0", "d0");
   host.start (loop);
   ASSERT_TRUE (until ([&] { return control_has_settings (host.task); }));
-  host.platform.lost_answers = 1;
+  host.platform.lost_responses = 1;
   announce (host, make_block (1), POISON_TO_RANDOM_FEW, true);
   announce (host, make_block (2), POISON_TO_RANDOM_FEW, true);
-  EXPECT_TRUE (until ([&] { return stored () == 2; }));
+  EXPECT_TRUE (until ([&] { return stored_count () == 2; }));
 }
 
-/* Guards against a restarted fleet that sends a blocked request. */
+/* After a restart of the whole fleet, blocked requests must remain blocked. */
 TEST_F (ControlPoison, StartingHostLoadsStoredBlocks)
 {
   put_record (1, 30000);
@@ -152,11 +153,11 @@
       }
     else
       EXPECT_EQ (row.left_ms, 0u);
-  EXPECT_TRUE (until ([&] { return stored () == 3; }));
+  EXPECT_TRUE (until ([&] { return stored_count () == 3; }));
 }
 
-/* Guards against a block that does not reach hosts outside the service's set
-   or in other data centres. */
+/* A block must reach hosts outside the service's set and in other data
+   centres. */
 TEST_F (ControlPoison, BlockReachesAllHostsAndCrashReachesSet)
 {
   store.put (PLATFORM_KIND_SERVICE, "holds", service_text ("holds", 4));
@@ -182,6 +183,6 @@
   EXPECT_TRUE (until ([&] { return all_received (1); }));
   announce (*nodes[0], make_block (2), POISON_TO_RANDOM_FEW, false);
   EXPECT_TRUE (until ([&] { return all_received (2); }));
-  EXPECT_EQ (stored (), 0u);
+  EXPECT_EQ (stored_count (), 0u);
 }
 } // namespace
--- a/node/control/tests/control_pulls_test.cc
+++ b/node/control/tests/control_pulls_test.cc
@@ -15,8 +15,8 @@
 protected:
   enum
   {
-    SMALL = 200,
-    LARGE = 200000,
+    SMALL_VALUE_BYTES = 200,
+    LARGE_VALUE_BYTES = 200000,
   };
 
   void
@@ -26,12 +26,13 @@
     add ("near-1", "d0").start (loop);
     add ("near-2", "d0").start (loop);
     add ("far", "d1").start (loop);
-    ASSERT_TRUE (until ([&] { return all_meet (); }));
+    ASSERT_TRUE (until ([&] { return all_live (); }));
   }
 
-  /* Does h0 ask FROM at once for VERSION of an object of HELD_BYTES? */
+  /* Whether h0 requests VERSION of an object of HELD_BYTES from FROM at
+     once. */
   bool
-  wants (const std::string &from, uint64_t version, size_t held_bytes)
+  should_request (const std::string &from, uint64_t version, size_t held_bytes)
   {
     const control_offer offer
         = { 77, version, 1, held_bytes, hash_string (from.c_str ()) };
@@ -39,55 +40,57 @@
   }
 };
 
-/* A configuration of a thousand routes changes, and within milliseconds all
- * seven neighbours of a host offer it.  Fetched from each of them, every
- * change moves seven times its size over a link of 20 Mbit/s, at hundreds of
- * hosts at once. */
-TEST_F (ControlPulls, AValueIsFetchedFromOneOfThoseWhoOfferIt)
+/* A configuration of a thousand routes changes, and all seven neighbours of a
+   host offer it within milliseconds.  Fetched from each of them, every change
+   would transfer seven times its size over a link of 20 Mbit/s, at hundreds of
+   hosts at once. */
+TEST_F (ControlPulls, ValueIsFetchedFromOneOfTheOfferingHosts)
 {
-  EXPECT_TRUE (wants ("near-1", 5, SMALL));
-  EXPECT_FALSE (wants ("near-2", 5, SMALL));
-  EXPECT_FALSE (wants ("far", 4, SMALL));
-  EXPECT_TRUE (wants ("near-2", 6, SMALL));
+  EXPECT_TRUE (should_request ("near-1", 5, SMALL_VALUE_BYTES));
+  EXPECT_FALSE (should_request ("near-2", 5, SMALL_VALUE_BYTES));
+  EXPECT_FALSE (should_request ("far", 4, SMALL_VALUE_BYTES));
+  EXPECT_TRUE (should_request ("near-2", 6, SMALL_VALUE_BYTES));
   control_pulls_complete (nodes[0]->task, 77, 6);
-  EXPECT_TRUE (wants ("far", 7, SMALL));
+  EXPECT_TRUE (should_request ("far", 7, SMALL_VALUE_BYTES));
 }
 
-/* Who was asked is killed before it answers: another one is asked. */
-TEST_F (ControlPulls, WhoDoesNotAnswerIsNotWaitedForLong)
+/* The requested host is killed before it answers: another one is requested. */
+TEST_F (ControlPulls, HostWithoutAnswerIsReplacedSoon)
 {
-  EXPECT_TRUE (wants ("near-1", 5, SMALL));
-  bool is_asked = false;
+  EXPECT_TRUE (should_request ("near-1", 5, SMALL_VALUE_BYTES));
+  bool is_requested = false;
   EXPECT_TRUE (until ([&] {
-    is_asked = is_asked || wants ("near-2", 5, SMALL);
-    return is_asked;
+    is_requested
+        = is_requested || should_request ("near-2", 5, SMALL_VALUE_BYTES);
+    return is_requested;
   }));
 }
 
-TEST_F (ControlPulls, ALargeValueComesFromNearByIfItIsThereSoon)
+TEST_F (ControlPulls, LargeValueIsFetchedFromTheOwnDataCentreFirst)
 {
-  EXPECT_FALSE (wants ("far", 5, LARGE));
-  EXPECT_TRUE (wants ("near-1", 5, LARGE));
-  EXPECT_FALSE (wants ("far", 5, LARGE));
+  EXPECT_FALSE (should_request ("far", 5, LARGE_VALUE_BYTES));
+  EXPECT_TRUE (should_request ("near-1", 5, LARGE_VALUE_BYTES));
+  EXPECT_FALSE (should_request ("far", 5, LARGE_VALUE_BYTES));
 }
 
-/* Targets come and go by the thousand; some are offered and gone before they
- * are fetched.  What is kept of them must not grow. */
-TEST_F (ControlPulls, WhatNeverCameIsForgotten)
+/* Thousands of targets are added and removed; some are offered and removed
+   before they are fetched.  The state kept for them must not grow. */
+TEST_F (ControlPulls, PullWithoutResultExpires)
 {
   control_task *task = nodes[0]->task;
-  EXPECT_TRUE (wants ("near-1", 5, SMALL));
+  EXPECT_TRUE (should_request ("near-1", 5, SMALL_VALUE_BYTES));
   control_pulls_expire (task, clock_now_ms () + 5000);
   EXPECT_NE (task->pulls, nullptr);
   control_pulls_expire (task, clock_now_ms () + 20000);
   EXPECT_EQ (task->pulls, nullptr);
 }
 
-/* No host near by has the value: it comes from afar all the same. */
-TEST_F (ControlPulls, ALargeValueThatOnlyAFarHostHasIsFetched)
+/* No host of the own data centre has the value: it is fetched from a remote
+   one. */
+TEST_F (ControlPulls, LargeValueIsFetchedFromARemoteHost)
 {
   std::string text = service_text ("holds", 4);
-  text.insert (text.size () - 1, std::string (LARGE, ' '));
+  text.insert (text.size () - 1, std::string (LARGE_VALUE_BYTES, ' '));
   const uint64_t first = store.put ("service", "holds", text);
   ASSERT_TRUE (until ([&] { return all_have ("holds", first); }));
   for (int i = 0; i < 3; i++)
