--- a/node/control/tests/control_registry_test.cc
+++ b/node/control/tests/control_registry_test.cc
@@ -38,23 +38,23 @@
     for (int i = 0; i < n; i++)
       add_registry ("h" + std::to_string (i), "d" + std::to_string (i))
           .start (loop);
-    EXPECT_TRUE (until ([&] { return all_meet (); }));
+    EXPECT_TRUE (until ([&] { return all_live (); }));
   }
 
   void
-  turn_for (double seconds)
+  run_for (double seconds)
   {
     const double end = ev_now (loop) + seconds;
     EXPECT_TRUE (until ([&] { return ev_now (loop) >= end; }));
   }
 
-  /* The platform fails the watches of N, and has forgotten its history. */
+  /* The platform fails the watches of N and has lost its history. */
   void
-  go_down (node &n)
+  start_outage (node &n)
   {
     ASSERT_TRUE (until ([&] { return n.platform.has_call ("watch"); }));
     n.platform.is_down = true;
-    n.platform.forgets = true;
+    n.platform.forgets_revisions = true;
   }
 
   bool
@@ -65,10 +65,11 @@
     });
   }
 
-  /* Hosts of one data centre that all watch, the relay soon again and the
-     others for longer than any test. */
+  /* Starts hosts of one data centre that all watch, the relay with a short
+     timeout and the others with one longer than any test. */
   void
-  start_watching (int count, std::chrono::milliseconds beat = 20ms)
+  start_watching (int count,
+                  std::chrono::milliseconds heartbeat_interval = 20ms)
   {
     for (int i = 0; i < count; i++)
       {
@@ -76,14 +77,14 @@
         n.settings.modes.all_watch_registry = true;
         n.settings.times.watch_ms = 3600 * 1000;
         n.settings.times.relay_watch_ms = 200;
-        n.settings.times.heartbeat_ms = (uint32_t)beat.count ();
+        n.settings.times.heartbeat_ms = (uint32_t)heartbeat_interval.count ();
         n.start (loop);
       }
   }
 
-  /* How many ask now for a configuration of AGE. */
+  /* The number of hosts that now watch the configuration with AGE. */
   long
-  askers (platform_read_mode age) const
+  watching_count (platform_age age) const
   {
     return std::count_if (nodes.begin (), nodes.end (), [&] (const auto &n) {
       return n->platform.has_call ("watch", "config", age);
@@ -113,39 +114,40 @@
       until ([&] { return all_have_config (5) && all_have_targets ({}); }));
 }
 
-/* The platform drops its history and with it the watches: their connections
-   stay open and tell nothing.  An operator changes a route in that moment.
-   Hosts that wait for their long watch to end route by the old version for
-   20 seconds; relays ask again sooner, find the change and tell the rest. */
-TEST_F (ControlRegistry, ADeafWatchIsFoundSoonAndByOneHostForAll)
+/* The platform loses its history and with it the watches: their connections
+   stay open and return nothing.  An operator changes a route at that moment.
+   Hosts that waited for their long watch to end would route by the old version
+   for 20 seconds.  Relays watch again sooner, find the change and send it to
+   the others. */
+TEST_F (ControlRegistry, SilentWatchIsDetectedByTheRelay)
 {
   start_watching (3);
   store.put ("config", "main", config_text (4));
-  ASSERT_TRUE (until ([&] { return all_meet () && all_have_config (4); }));
+  ASSERT_TRUE (until ([&] { return all_live () && all_have_config (4); }));
   for (auto &n : nodes)
-    n->platform.go_deaf ();
+    n->platform.silence_watches ();
   store.put ("config", "main", config_text (5));
   EXPECT_TRUE (until ([&] { return all_have_config (5); }));
 }
 
-/* Every host asks the platform for the newest after each change: with a
-   hundred hosts that is most of what the platform is asked, and what it bills.
-   Only the relay needs to; the others hear from it, and what they ask may be
-   old.  Once the platform has forgotten a revision, an old list could be one
-   of those that it has forgotten, and the watch would be refused for ever. */
-TEST_F (ControlRegistry, OnlyTheRelayAsksForTheNewest)
+/* If every host read the newest state after each change, a hundred hosts
+   would cause most of the calls to the platform, and of its cost.  Only the
+   relay has to; the others receive changes from it, and may read older state.
+   Once the platform has forgotten a revision, an old list may have one that is
+   forgotten as well, and the watch would be refused forever. */
+TEST_F (ControlRegistry, OnlyTheRelayReadsTheNewestState)
 {
   start_watching (4);
   store.put ("config", "main", config_text (4));
-  ASSERT_TRUE (until ([&] { return all_meet () && all_have_config (4); }));
+  ASSERT_TRUE (until ([&] { return all_live () && all_have_config (4); }));
   EXPECT_TRUE (until ([&] {
-    return askers (PLATFORM_READ_LATEST) == 1
-           && askers (PLATFORM_READ_STALE) == 3;
+    return watching_count (PLATFORM_AGE_NONE) == 1
+           && watching_count (PLATFORM_AGE_ANY) == 3;
   }));
   for (auto &n : nodes)
     {
       n->platform.newest_lists = 0;
-      n->platform.forgets = true;
+      n->platform.forgets_revisions = true;
     }
   EXPECT_TRUE (until ([&] {
     return std::all_of (nodes.begin (), nodes.end (), [] (const auto &n) {
@@ -155,45 +157,45 @@
 }
 
 /* Hundreds of hosts start at once, and each knows only itself at first.  If
-   each took itself for the relay, all would ask for the newest of everything,
-   at ten times the price, just when the platform is busiest. */
-TEST_F (ControlRegistry, HostsThatStartTogetherDoNotAllAskForTheNewest)
+   each considered itself the relay, all would read the newest state of
+   everything, at ten times the cost and when the platform is busiest. */
+TEST_F (ControlRegistry, HostsThatStartTogetherDoNotAllReadTheNewestState)
 {
   start_watching (6, 100ms);
   const double end = ev_now (loop) + 1;
-  long most = 0;
+  long max_count = 0;
   EXPECT_TRUE (until ([&] {
-    most = std::max (most, askers (PLATFORM_READ_LATEST));
+    max_count = std::max (max_count, watching_count (PLATFORM_AGE_NONE));
     return ev_now (loop) >= end;
   }));
-  EXPECT_EQ (most, 1);
+  EXPECT_EQ (max_count, 1);
   store.put ("config", "main", config_text (4));
   EXPECT_TRUE (until ([&] { return all_have_config (4); }));
 }
 
-/* The one relay of the fleet is cut from the platform, not from the others.
-   The platform drops its history, so the others' watches are deaf as well, and
-   an operator changes a route.  All wait for 20 seconds for a relay that hears
-   nothing. */
-TEST_F (ControlRegistry, ARelayThatIsCutFromThePlatformIsNotWaitedFor)
+/* The only relay of the fleet is disconnected from the platform, but not from
+   the other hosts.  The platform loses its history, so that the others'
+   watches return nothing either, and an operator changes a route.  All hosts
+   would wait 20 seconds for a relay that receives nothing. */
+TEST_F (ControlRegistry, DisconnectedRelayIsNotWaitedFor)
 {
   start_watching (3);
   store.put ("config", "main", config_text (4));
-  ASSERT_TRUE (until ([&] { return all_meet () && all_have_config (4); }));
-  turn_for (0.5);
-  /* Whoever is the relay: the last one that can still ask is not. */
+  ASSERT_TRUE (until ([&] { return all_live () && all_have_config (4); }));
+  run_for (0.5);
+  /* Whichever host is the relay, the last one that can still read isn't. */
   for (size_t i = 0; i < 2; i++)
     nodes[i]->platform.is_down = true;
-  nodes[2]->platform.go_deaf ();
+  nodes[2]->platform.silence_watches ();
   store.put ("config", "main", config_text (5));
   EXPECT_TRUE (until ([&] { return all_have_config (5); }));
 }
 
-/* The platform is away for longer than targets keep their records alive.  At
-   its return its list shows none of them, though all serve as ever; within
-   two seconds they have registered again.  A host that believes the list
-   refuses every request until then. */
-TEST_F (ControlRegistry, TargetsThatLapsedInAnOutageAreKeptForAMoment)
+/* The platform is unavailable for longer than the records of targets live.
+   Afterwards its list shows none of them, though all still serve; within two
+   seconds they have registered again.  A host that applied the list would
+   refuse every request until then. */
+TEST_F (ControlRegistry, TargetsThatExpiredInAnOutageAreKeptForAWhile)
 {
   start_registry (1);
   store.put ("config", "main", config_text (1));
@@ -201,37 +203,38 @@
   store.put ("target", "t2", target_text ());
   ASSERT_TRUE (until ([&] { return all_have_targets ({ "t1", "t2" }); }));
   node &n = *nodes[0];
-  go_down (n);
+  start_outage (n);
   store.remove ("target", "t1");
   store.remove ("target", "t2");
   ASSERT_TRUE (until ([&] { return n.platform.calls.empty (); }));
   n.platform.is_down = false;
-  const uint64_t told = n.version ("holds");
+  const uint64_t published = n.version ("holds");
   ASSERT_TRUE (until ([&] { return n.platform.has_call ("watch"); }));
-  n.platform.forgets = false;
-  turn_for (0.5);
-  EXPECT_EQ (n.version ("holds"), told) << "believed that both are gone";
+  n.platform.forgets_revisions = false;
+  run_for (0.5);
+  EXPECT_EQ (n.version ("holds"), published) << "both targets were removed";
   store.put ("target", "t1", target_text ());
-  /* t2 never comes back; until it is given up nothing is told of either. */
+  /* t2 doesn't register again; until its removal is applied, neither change
+     is published. */
   EXPECT_TRUE (until ([&] { return all_have_targets ({ "t1" }); }));
-  EXPECT_EQ (n.version ("holds"), told + 1);
+  EXPECT_EQ (n.version ("holds"), published + 1);
 }
 
-/* A target says that it leaves, and is gone when the platform comes back:
-   nothing speaks for keeping it. */
-TEST_F (ControlRegistry, ADrainedTargetIsNotKept)
+/* A target is drained, and is gone when the platform recovers: there is no
+   reason to keep it. */
+TEST_F (ControlRegistry, DrainedTargetIsNotKept)
 {
   start_registry (1);
   store.put ("config", "main", config_text (1));
   store.put ("target", "t1", target_text ("drained"));
   ASSERT_TRUE (until ([&] { return all_have_targets ({ "t1" }); }));
   node &n = *nodes[0];
-  go_down (n);
+  start_outage (n);
   store.remove ("target", "t1");
   ASSERT_TRUE (until ([&] { return n.platform.calls.empty (); }));
   n.platform.is_down = false;
   ASSERT_TRUE (until ([&] { return n.platform.has_call ("watch"); }));
-  n.platform.forgets = false;
+  n.platform.forgets_revisions = false;
   EXPECT_TRUE (until ([&] { return all_have_targets ({}); }));
 }
 } // namespace
--- a/node/control/tests/control_task_test.cc
+++ b/node/control/tests/control_task_test.cc
@@ -4,7 +4,7 @@
 {
 };
 
-TEST_F (ControlTask, HostsMeetAndShareWhatTheRelaysSee)
+TEST_F (ControlTask, HostsConnectAndShareSettings)
 {
   start (3);
   const uint64_t version
@@ -16,9 +16,9 @@
   EXPECT_EQ (control_host_set (nodes[2]->task, "holds", names, 4), 3u);
 }
 
-/* The platform is down for long and a host is replaced.  The new one must
-   get the settings from its peers, the highest versions, and serve. */
-TEST_F (ControlTask, AHostThatStartsInAnOutageLoadsFromPeers)
+/* The platform is down for long, and a host is replaced.  The new one must
+   get the settings from its peers, in the highest versions, and serve. */
+TEST_F (ControlTask, HostThatStartsInAnOutageLoadsFromPeers)
 {
   start (2);
   store.put ("service", "holds", service_text ("holds", 4));
@@ -33,15 +33,15 @@
   EXPECT_FALSE (control_has_settings (late.task));
   EXPECT_TRUE (until ([&] { return late.version ("holds") == version; }));
   EXPECT_TRUE (control_has_settings (late.task));
-  EXPECT_TRUE (until ([&] { return all_meet (); }));
+  EXPECT_TRUE (until ([&] { return all_live (); }));
   EXPECT_TRUE (until ([&] { return nodes[0]->set_size ("holds") == 3; }));
 }
 
-/* A host is cut from its peers while a setting changes, and its own reads of
-   the platform are old.  When the cut ends it must take the newer setting,
-   and neither it nor its peers may fall back when the old one is read once
-   more.  Each node checks that its versions only grow. */
-TEST_F (ControlTask, ASettingNeverRevertsAfterACut)
+/* A host is partitioned from its peers while a setting changes, and its own
+   reads of the platform are old.  When the partition ends, it must apply the
+   newer setting, and neither the host nor its peers may revert when the old
+   one is read again.  Each node checks that its versions only grow. */
+TEST_F (ControlTask, SettingNeverRevertsAfterAPartition)
 {
   const uint64_t old
       = store.put ("service", "holds", service_text ("holds", 4));
@@ -67,10 +67,10 @@
   EXPECT_TRUE (until ([&] { return all_have ("holds", last); }));
 }
 
-/* A service is removed while no relay watches, and the platform has
-   forgotten the removal: its list just lacks the service.  Callers mustn't
-   be served by it for ever. */
-TEST_F (ControlTask, ARemovalThatNobodySawIsFound)
+/* A service is removed while no relay watches, and the platform has forgotten
+   the removal: its list just lacks the service.  The service must not be
+   served forever. */
+TEST_F (ControlTask, MissedRemovalIsDetected)
 {
   const uint64_t version
       = store.put ("service", "holds", service_text ("holds", 4));
@@ -81,16 +81,16 @@
   store.kinds["service"].erase ("holds");
   store.put ("service", "other", service_text ("other", 4));
   for (auto &n : nodes)
-    n->platform.forgets = true;
+    n->platform.forgets_revisions = true;
   for (auto &n : nodes)
     n->platform.is_down = false;
   EXPECT_TRUE (until ([&] { return all_have ("holds", 0); }));
   for (auto &n : nodes)
-    n->platform.forgets = false;
+    n->platform.forgets_revisions = false;
   EXPECT_TRUE (until ([&] { return nodes[0]->version ("other") > 0; }));
 }
 
-TEST_F (ControlTask, ABadSettingIsRefusedAndTheOneInForceStays)
+TEST_F (ControlTask, InvalidSettingIsRefusedAndTheOneInForceStays)
 {
   start (2);
   const uint64_t good
@@ -101,14 +101,14 @@
       = store.put ("service", "other", service_text ("other", 4));
   EXPECT_TRUE (until ([&] { return all_have ("other", other); }));
   EXPECT_TRUE (all_have ("holds", good));
-  const uint64_t mended
+  const uint64_t corrected
       = store.put ("service", "holds", service_text ("holds", 5));
-  EXPECT_TRUE (until ([&] { return all_have ("holds", mended); }));
+  EXPECT_TRUE (until ([&] { return all_have ("holds", corrected); }));
 }
 
-/* An operator asks how far a change has come while one host is gone: the
-   answer counts the others and names the silent one. */
-TEST_F (ControlTask, InForceNamesTheHostsNotHeardFrom)
+/* An operator queries where a change is in force while one host is down.  The
+   result counts the others and names the one without an answer. */
+TEST_F (ControlTask, InForceResultNamesUnansweredHosts)
 {
   start (3);
   const uint64_t version
@@ -117,7 +117,7 @@
   struct result
   {
     bool is_done = false;
-    size_t asked, in_force;
+    size_t queried, in_force;
     std::vector<std::string> silent, behind;
   };
   const auto done = [] (void *owner, const control_in_force *r) {
@@ -138,12 +138,12 @@
   control_query_in_force (nodes[0]->task, "holds", version, 3000, done,
                           &lacking);
   EXPECT_TRUE (until ([&] { return lacking.is_done; }));
-  EXPECT_EQ (lacking.asked, 3u);
+  EXPECT_EQ (lacking.queried, 3u);
   EXPECT_EQ (lacking.in_force, 2u);
   EXPECT_EQ (lacking.silent, std::vector<std::string>{ "h2" });
 }
 
-TEST_F (ControlTask, AKilledHostLeavesTheSets)
+TEST_F (ControlTask, KilledHostLeavesTheSets)
 {
   start (3);
   store.put ("service", "holds", service_text ("holds", 4));
@@ -158,9 +158,9 @@
   EXPECT_TRUE (until ([&] { return nodes[0]->set_size ("holds") == 3; }));
 }
 
-/* A host is told to end while the platform is down.  Its peers must hear of
-   it at once and hand it out no longer, though it still answers. */
-TEST_F (ControlTask, ALeavingHostIsHandedOutNoLonger)
+/* A host is shut down while the platform is down.  Its peers must learn of it
+   at once and no longer hand it out, though it still answers. */
+TEST_F (ControlTask, LeavingHostIsNoLongerHandedOut)
 {
   start (3);
   store.put ("service", "holds", service_text ("holds", 4));
@@ -182,12 +182,13 @@
   EXPECT_FALSE (control_host_is_live (nodes[0]->task, "h1"));
 }
 
-/* The answer to the first write is lost after it took effect.  Written
-   again, the platform would count a conflict; it is read back instead. */
-TEST_F (ControlTask, ALostAnswerToTheRegistrationIsReadBack)
+/* The response to the first write is lost after the write took effect.
+   Written again, the platform would count a conflict; it is read back
+   instead. */
+TEST_F (ControlTask, LostResponseToTheRegistrationIsReadBack)
 {
   node &n = add ("h0", "d0");
-  n.platform.lost_answers = 1;
+  n.platform.lost_responses = 1;
   n.start (loop);
   EXPECT_TRUE (until ([&] { return n.platform.gets == 1; }));
   EXPECT_TRUE (until ([&] { return !n.platform.has_call ("put"); }));
@@ -195,9 +196,9 @@
   EXPECT_EQ (store.kinds["host"].count ("h0"), 1u);
 }
 
-/* A host that hears neither platform nor relay serves by old settings.  It
-   must say so and leave its own answers, and come back by itself. */
-TEST_F (ControlTask, AStaleHostSaysSoAndComesBack)
+/* A host without contact with the platform or a relay serves by old settings.
+   It must report itself stale, not be handed out, and recover by itself. */
+TEST_F (ControlTask, StaleHostIsNotHandedOutUntilItRecovers)
 {
   node &n = add ("h0", "d0");
   n.start (loop);
@@ -215,14 +216,14 @@
 TEST_F (ControlTask, ReportsReachOtherHostsAndThisOne)
 {
   start (2);
-  std::vector<std::string> got;
+  std::vector<std::string> received;
   const auto handler
       = [] (void *owner, const char *from, const peer_message *message) {
           ((std::vector<std::string> *)owner)
               ->push_back (std::string (from) + ":"
                            + std::to_string (message->report.values[1]));
         };
-  control_subscribe (nodes[0]->task, PEER_EVIDENCE, handler, &got);
+  control_subscribe (nodes[0]->task, PEER_EVIDENCE, handler, &received);
   int64_t values[] = { 1, -9 };
   peer_message message = {};
   message.type = PEER_EVIDENCE;
@@ -230,11 +231,11 @@
   message.report.values = values;
   message.report.value_count = 2;
   EXPECT_EQ (control_send (nodes[0]->task, "h0", &message), STATUS_OK);
-  EXPECT_TRUE (got.empty ());
-  EXPECT_TRUE (until ([&] { return got.size () == 1; }));
+  EXPECT_TRUE (received.empty ());
+  EXPECT_TRUE (until ([&] { return received.size () == 1; }));
   EXPECT_EQ (control_send (nodes[1]->task, "h0", &message), STATUS_OK);
-  EXPECT_TRUE (until ([&] { return got.size () == 2; }));
-  EXPECT_EQ (got, (std::vector<std::string>{ "h0:-9", "h1:-9" }));
+  EXPECT_TRUE (until ([&] { return received.size () == 2; }));
+  EXPECT_EQ (received, (std::vector<std::string>{ "h0:-9", "h1:-9" }));
   EXPECT_EQ (control_send (nodes[1]->task, "nobody", &message),
              STATUS_NOT_FOUND);
 }
--- a/node/control/tests/fake_platform.h
+++ b/node/control/tests/fake_platform.h
@@ -1,6 +1,6 @@
 /** @file
- * A platform in memory for tests: one store, and one client a host that can
- * be cut off, see an old state or lose the answer to a write.
+ * A platform in memory for tests: one store, and one client per host that can
+ * be disconnected, read an old state or lose the response to a write.
  */
 #ifndef NODE_CONTROL_TESTS_FAKE_PLATFORM_H
 #define NODE_CONTROL_TESTS_FAKE_PLATFORM_H
@@ -26,7 +26,7 @@
   bool removed;
 };
 
-/* Versions come from one growing sequence, removals included. */
+/* Versions come from one increasing sequence, removals included. */
 struct fake_store
 {
   uint64_t sequence = 0;
@@ -54,13 +54,13 @@
   struct ev_loop *loop;
   fake_store *store;
   bool is_down;
-  bool forgets;                /* revisions to watch from */
-  int lost_answers;            /* of the next writes */
-  bool holds_removals = false; /* doesn't answer them yet */
-  int removals = 0;            /* asked for */
+  bool forgets_revisions; /* refuses watches, their revision is unknown */
+  int lost_responses;     /* of the next writes */
+  bool delays_removals = false; /* delays the replies to removals */
+  int removals = 0;             /* requested removals */
   int writes;
   int gets;
-  int newest_lists = 0;       /* that may not be old */
+  int newest_lists = 0;       /* lists of the newest state */
   const fake_store *snapshot; /* an old state that is read instead */
 
   struct call
@@ -71,8 +71,8 @@
     platform_done *done;
     void *owner;
     double end; /* of a watch, on the loop's clock */
-    bool is_deaf = false;
-    platform_read_mode age = PLATFORM_READ_LATEST;
+    bool is_silent = false;
+    platform_age age = PLATFORM_AGE_NONE;
   };
 
   std::list<call> calls;
@@ -81,7 +81,7 @@
 
   fake_platform (struct ev_loop *on, fake_store *from)
       : base{ &ops, 0 }, loop (on), store (from), is_down (false),
-        forgets (false), lost_answers (0), writes (0), gets (0),
+        forgets_revisions (false), lost_responses (0), writes (0), gets (0),
         snapshot (nullptr)
   {
     ev_timer_init (&timer, poll, 0, 0.002);
@@ -109,7 +109,7 @@
     c.done (c.owner, &answer);
   }
 
-  /* What KIND holds after SINCE; removed ones only for a watch. */
+  /* Objects of the kind newer than SINCE; removed ones only for a watch. */
   std::vector<platform_object>
   read (const call &c, uint64_t since, bool is_watch, uint64_t *revision)
   {
@@ -149,9 +149,9 @@
       before_put (c);
     auto &kind = store->kinds[c.kind];
     const auto held = kind.find (c.name);
-    const bool is_none = held == kind.end () || held->second.removed;
-    const uint64_t version = is_none ? 0 : held->second.version;
-    if (version != c.number && is_none)
+    const bool is_absent = held == kind.end () || held->second.removed;
+    const uint64_t version = is_absent ? 0 : held->second.version;
+    if (version != c.number && is_absent)
       return reply (c, STATUS_REFUSED, {}, 0);
     if (version != c.number)
       return reply (
@@ -160,22 +160,22 @@
     writes++;
     const uint64_t now = c.removes ? store->remove (c.kind, c.name)
                                    : store->put (c.kind, c.name, c.value);
-    if (lost_answers > 0)
+    if (lost_responses > 0)
       {
-        lost_answers--;
+        lost_responses--;
         return reply (c, STATUS_LOST_ANSWER, {}, 0);
       }
     reply (c, STATUS_OK, { { c.name.c_str (), now, nullptr } }, 0);
   }
 
-  /* Answers C unless it is a watch that has nothing to tell yet. */
+  /* Replies to C, unless it is a watch that has nothing to return yet. */
   bool
-  answer (const call &c)
+  try_reply (const call &c)
   {
     uint64_t revision;
-    if (holds_removals && c.removes)
+    if (delays_removals && c.removes)
       return false;
-    if (c.is_deaf)
+    if (c.is_silent)
       {
         if (ev_now (loop) < c.end)
           return false;
@@ -193,7 +193,7 @@
         const auto found = read (c, 0, false, &revision);
         reply (c, STATUS_OK, found, revision);
       }
-    else if (forgets)
+    else if (forgets_revisions)
       reply (c, STATUS_REFUSED, {}, 0);
     else
       {
@@ -205,13 +205,13 @@
     return true;
   }
 
-  /* All watches under way go deaf: they end in time, and tell then that
-     their history is gone. */
+  /* All watches in flight stop returning changes.  When they time out, they
+     are refused because their history is gone. */
   void
-  go_deaf ()
+  silence_watches ()
   {
     for (call &c : calls)
-      c.is_deaf = c.verb == "watch";
+      c.is_silent = c.verb == "watch";
   }
 
   bool
@@ -240,7 +240,7 @@
     std::list<call> due;
     due.swap (self->calls);
     for (const auto &c : due)
-      if (!self->answer (c))
+      if (!self->try_reply (c))
         self->calls.push_back (c);
   }
 
--- a/node/control/tests/poison_message_test.cc
+++ b/node/control/tests/poison_message_test.cc
@@ -41,7 +41,7 @@
   free (values);
 }
 
-/* Guards against decoding malformed reports as crashes. */
+/* Malformed reports must not be decoded as crashes. */
 TEST (PoisonMessage, RejectsMalformedReports)
 {
   int64_t *values;
@@ -79,7 +79,7 @@
   free (text);
 }
 
-/* Guards against accepting foreign or damaged records. */
+/* Foreign and damaged records must be rejected. */
 TEST (PoisonRecord, RejectsInvalidRecords)
 {
   const std::string name (32, 'a');
