--- a/node/control/control_freshness.c
+++ b/node/control/control_freshness.c
@@ -157,7 +157,7 @@
   query->is_pending = true;
   query->requested_ms = now_ms;
   platform_watch (task->options.platform, PLATFORM_KIND_CONFIG,
-                  query->revision, QUERY_TIMEOUT_MS, PLATFORM_AGE_NONE,
+                  query->revision, QUERY_TIMEOUT_MS, PLATFORM_READ_LATEST,
                   query_done, query);
 }
 
--- a/node/control/control_members.c
+++ b/node/control/control_members.c
@@ -34,7 +34,8 @@
 /* Hosts that aren't on the platform's list are known from this description
    only. */
 static void
-add_description (const struct control_task *task, struct peer_verdict *verdict)
+add_description (const struct control_task *task,
+                 struct peer_member_update *verdict)
 {
   const struct control_host *host
       = control_hosts_find (task, verdict->host_key);
@@ -53,7 +54,7 @@
 send_gossip (struct control_task *task, struct control_host *host)
 {
   struct member_update updates[CONTROL_GOSSIP_UPDATES_MAX];
-  struct peer_verdict verdicts[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
+  struct peer_member_update verdicts[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
   const size_t count = membership_gossip (task->membership, updates,
                                           CONTROL_GOSSIP_UPDATES_MAX);
   if (count == 0)
@@ -78,7 +79,7 @@
 {
   struct peer_message message
       = make_heartbeat (task, PEER_HEARTBEAT, (uint64_t)now_ms);
-  message.heartbeat.return_wanted
+  message.heartbeat.return_requested
       = membership_requests_return (task->membership, host->key);
   control_hosts_send (task, host, &message);
 }
@@ -239,7 +240,7 @@
   const int64_t now_ms = clock_now_ms ();
   membership_note_heartbeat (task->membership, now_ms, source->host->key,
                              source->host->record.incarnation,
-                             heartbeat->leaving, heartbeat->return_wanted);
+                             heartbeat->leaving, heartbeat->return_requested);
   const struct peer_message answer
       = make_heartbeat (task, PEER_HEARTBEAT_ACK, heartbeat->sequence);
   control_reply (task, source, &answer);
@@ -315,8 +316,8 @@
 }
 
 static void
-handle_update (struct control_task *task, const struct peer_verdict *verdict,
-               int64_t now_ms)
+handle_update (struct control_task *task,
+               const struct peer_member_update *verdict, int64_t now_ms)
 {
   if (verdict->state > MEMBER_LEAVING
       || (verdict->state >= MEMBER_DEAD
@@ -370,7 +371,7 @@
       break;
     case PEER_MEMBERS:
       for (size_t i = 0; i < message->members.count; i++)
-        handle_update (task, &message->members.verdicts[i], clock_now_ms ());
+        handle_update (task, &message->members.updates[i], clock_now_ms ());
       break;
     default:
       break;
--- a/node/control/control_outcomes.c
+++ b/node/control/control_outcomes.c
@@ -243,7 +243,7 @@
 void
 control_outcomes_start (struct control_task *task)
 {
-  bus_subscribe (task->options.bus, BUS_OUTCOME_SEEN, on_outcome, task);
+  bus_subscribe (task->options.bus, BUS_OUTCOME_OBSERVED, on_outcome, task);
 }
 
 void
--- a/node/control/control_platform.c
+++ b/node/control/control_platform.c
@@ -231,7 +231,7 @@
    sooner anyway.  A first list may be old as well, since the watch continues
    from its revision.  After a refused watch it may not: the platform could
    have forgotten the revision of an old list, too. */
-static enum platform_age
+static enum platform_read_mode
 list_age (const struct control_feed *feed)
 {
   return feed->was_refused ? PLATFORM_READ_LATEST : PLATFORM_READ_STALE;
@@ -240,7 +240,8 @@
 static enum platform_read_mode
 watch_age (const struct control_feed *feed)
 {
-  return reads_newest (feed->task) ? PLATFORM_AGE_NONE : PLATFORM_AGE_ANY;
+  return reads_newest (feed->task) ? PLATFORM_READ_LATEST
+                                   : PLATFORM_READ_STALE;
 }
 
 /* The platform may drop a watch without closing its connection.  The host
--- a/node/control/control_query.c
+++ b/node/control/control_query.c
@@ -180,8 +180,8 @@
   DL_APPEND (task->queries, query);
   select_hosts (query);
   struct peer_message message
-      = { .type = PEER_IN_FORCE_ASK,
-          .in_force = { .ask_id = query->id, .version = version } };
+      = { .type = PEER_IN_FORCE_REQUEST,
+          .in_force = { .request_id = query->id, .version = version } };
   memcpy (message.in_force.service, query->service, sizeof query->service);
   for (size_t i = 0; i < query->count; i++)
     {
@@ -210,7 +210,7 @@
   struct control_query *query;
   DL_FOREACH (task->queries, query)
   {
-    if (query->id != message->in_force.ask_id)
+    if (query->id != message->in_force.request_id)
       continue;
     record_answer (query, source->host->key, message->in_force.version);
     return;
--- a/node/control/incarnation.c
+++ b/node/control/incarnation.c
@@ -19,7 +19,7 @@
 {
   uint32_t random;
   struct timespec now;
-  rng_secret (&random, sizeof random);
+  rng_secure_bytes (&random, sizeof random);
   clock_gettime (CLOCK_REALTIME, &now);
   const uint64_t now_ms
       = (uint64_t)now.tv_sec * 1000 + (uint64_t)now.tv_nsec / 1000000;
--- a/node/control/tests/control_registry_test.cc
+++ b/node/control/tests/control_registry_test.cc
@@ -84,7 +84,7 @@
 
   /* The number of hosts that now watch the configuration with AGE. */
   long
-  watching_count (platform_age age) const
+  watching_count (platform_read_mode age) const
   {
     return std::count_if (nodes.begin (), nodes.end (), [&] (const auto &n) {
       return n->platform.has_call ("watch", "config", age);
@@ -141,8 +141,8 @@
   store.put ("config", "main", config_text (4));
   ASSERT_TRUE (until ([&] { return all_live () && all_have_config (4); }));
   EXPECT_TRUE (until ([&] {
-    return watching_count (PLATFORM_AGE_NONE) == 1
-           && watching_count (PLATFORM_AGE_ANY) == 3;
+    return watching_count (PLATFORM_READ_LATEST) == 1
+           && watching_count (PLATFORM_READ_STALE) == 3;
   }));
   for (auto &n : nodes)
     {
@@ -165,7 +165,7 @@
   const double end = ev_now (loop) + 1;
   long max_count = 0;
   EXPECT_TRUE (until ([&] {
-    max_count = std::max (max_count, watching_count (PLATFORM_AGE_NONE));
+    max_count = std::max (max_count, watching_count (PLATFORM_READ_LATEST));
     return ev_now (loop) >= end;
   }));
   EXPECT_EQ (max_count, 1);
--- a/node/control/tests/fake_platform.h
+++ b/node/control/tests/fake_platform.h
@@ -72,7 +72,7 @@
     void *owner;
     double end; /* of a watch, on the loop's clock */
     bool is_silent = false;
-    platform_age age = PLATFORM_AGE_NONE;
+    platform_read_mode age = PLATFORM_READ_LATEST;
   };
 
   std::list<call> calls;
--- a/node/quota/quota_coordinator.c
+++ b/node/quota/quota_coordinator.c
@@ -146,7 +146,7 @@
       task->report.is_coordinator = true;
       memcpy (task->report.rows, deficits, deficit_count * sizeof *deficits);
       task->report.row_count = deficit_count;
-      quota_task_send_report (task, names[i], PEER_QUOTA_ASK);
+      quota_task_send_report (task, names[i], PEER_QUOTA_REQUEST);
     }
 }
 
--- a/node/quota/quota_messages.h
+++ b/node/quota/quota_messages.h
@@ -1,6 +1,6 @@
 /** @file
  * Messages between quota requesters and coordinators: reports of type
- * PEER_QUOTA_ASK (request) and PEER_QUOTA_GRANT (response), see
+ * PEER_QUOTA_REQUEST (request) and PEER_QUOTA_GRANT (response), see
  * peer_message.h.
  *
  * `sequence` is a stamp of the sender (policy/quota/quota_stamp.h), `epoch`
--- a/node/quota/quota_task.h
+++ b/node/quota/quota_task.h
@@ -36,8 +36,8 @@
 quota_task_create (const struct quota_task_options *options);
 void quota_task_destroy (struct quota_task *task);
 
-/** Handle MESSAGE, of type PEER_QUOTA_ASK or PEER_QUOTA_GRANT, received from
- * host FROM. */
+/** Handle MESSAGE, of type PEER_QUOTA_REQUEST or PEER_QUOTA_GRANT, received
+ * from host FROM. */
 void quota_task_receive (struct quota_task *task, const char *from,
                          const struct peer_message *message);
 
--- a/node/quota/tests/quota_messages_test.cc
+++ b/node/quota/tests/quota_messages_test.cc
@@ -36,7 +36,7 @@
   sent->rows[1] = { 1, 0, 0, 0, 0 };
   Values owned;
   const peer_message message
-      = quota_report_message (PEER_QUOTA_ASK, sent.get (), &owned.values);
+      = quota_report_message (PEER_QUOTA_REQUEST, sent.get (), &owned.values);
   size_t size;
   char *bytes = peer_message_encode (&message, &size);
   peer_message decoded;
