--- a/node/control/control_report.c
+++ b/node/control/control_report.c
@@ -116,7 +116,7 @@
   for (host = task->hosts; host != NULL; host = host->hh.next)
     counts[membership_state (task->membership, host->key)]++;
   for (int state = MEMBER_LIVE; state <= MEMBER_LEAVING; state++)
-    set_value (task, "jaystair_hosts", "Hosts by state as seen by this host",
+    set_value (task, "jaystair_hosts", "Hosts by state as believed here",
                COUNTER_GAUGE, "state",
                member_state_name ((enum member_state)state), counts[state]);
 }
@@ -140,12 +140,12 @@
   set_value (task, frames, frames_help, COUNTER_SUM, "direction", "out",
              traffic->frames_out);
   set_value (task, "jaystair_peer_refused_total",
-             "Connections closed because of invalid messages", COUNTER_SUM,
-             NULL, NULL, traffic->refused);
+             "Connections closed for what they sent", COUNTER_SUM, NULL, NULL,
+             traffic->refused);
   set_value (task, "jaystair_platform_calls_total", "Calls to the platform",
              COUNTER_SUM, NULL, NULL, (int64_t)task->options.platform->calls);
   set_value (task, "jaystair_stale",
-             "1: no contact with the platform or a relay for stale_after_ms",
+             "1: neither platform nor relay was heard for stale_after_ms",
              COUNTER_GAUGE, NULL, NULL, task->is_stale);
   set_value (task, "jaystair_relay", "1: this host watches the platform",
              COUNTER_GAUGE, NULL, NULL, task->is_relay);
--- a/node/ejection/ejection_task.c
+++ b/node/ejection/ejection_task.c
@@ -139,13 +139,14 @@
     .ejected = add_counter (counters, "jaystair_ejections_total",
                             "Targets ejected by this host as owner."),
     .reinstated = add_counter (counters, "jaystair_reinstatements_total",
-                               "Targets reinstated by this host as owner."),
+                               "Targets brought back by this host as owner."),
     .refused = add_counter (counters, "jaystair_ejections_refused_total",
                             "Ejections that the floor or settings refused."),
     .takeovers = add_counter (counters, "jaystair_ejection_takeovers_total",
                               "Services whose ejections this host took over."),
-    .platform_calls = add_counter (counters, "jaystair_ejection_calls_total",
-                                   "Platform calls for ejection records."),
+    .platform_calls
+    = add_counter (counters, "jaystair_ejection_calls_total",
+                   "Calls at the platform for ejection records."),
     .reports = add_counter (counters, "jaystair_evidence_reports_total",
                             "Evidence reports sent to owners."),
   };
