--- a/wire/peer/frame.c
+++ b/wire/peer/frame.c
@@ -1,7 +1,7 @@
 #include "wire/peer/frame.h"
 
 static size_t
-head_size (const char *bytes)
+payload_size (const char *bytes)
 {
   size_t size = 0;
   for (int i = 0; i < FRAME_HEADER_BYTES; i++)
@@ -12,10 +12,10 @@
 void
 frame_append (struct peer_buffer *buffer, const char *data, size_t size)
 {
-  uint8_t head[FRAME_HEADER_BYTES];
+  uint8_t header[FRAME_HEADER_BYTES];
   for (int i = 0; i < FRAME_HEADER_BYTES; i++)
-    head[i] = (uint8_t)(size >> (8 * (FRAME_HEADER_BYTES - 1 - i)));
-  peer_buffer_append (buffer, head, sizeof head);
+    header[i] = (uint8_t)(size >> (8 * (FRAME_HEADER_BYTES - 1 - i)));
+  peer_buffer_append (buffer, header, sizeof header);
   peer_buffer_append (buffer, data, size);
 }
 
@@ -23,18 +23,18 @@
 frame_peek (const struct peer_buffer *buffer, const char **payload,
             size_t *size)
 {
-  const size_t held = peer_buffer_size (buffer);
-  if (held < FRAME_HEADER_BYTES)
+  const size_t available = peer_buffer_size (buffer);
+  if (available < FRAME_HEADER_BYTES)
     return STATUS_NOT_FOUND;
-  const char *head = buffer->bytes + buffer->begin;
-  *size = head_size (head);
+  const char *header = buffer->bytes + buffer->begin;
+  *size = payload_size (header);
   if (*size == 0 || *size > FRAME_PAYLOAD_MAX_BYTES)
     return status_set (STATUS_INVALID,
-                       "peer frame of %zu bytes: 1 to %d are allowed; is "
-                       "something else than jaystaird connecting here?",
+                       "peer frame has a length of %zu bytes, expected 1 to "
+                       "%d; check that only jaystaird connects to this port",
                        *size, FRAME_PAYLOAD_MAX_BYTES);
-  if (held - FRAME_HEADER_BYTES < *size)
+  if (available - FRAME_HEADER_BYTES < *size)
     return STATUS_NOT_FOUND;
-  *payload = head + FRAME_HEADER_BYTES;
+  *payload = header + FRAME_HEADER_BYTES;
   return STATUS_OK;
 }
--- a/wire/peer/frame.h
+++ b/wire/peer/frame.h
@@ -1,6 +1,6 @@
 /** @file
- * Frames on a peer connection: a length of four bytes, highest first, then
- * as many bytes of one message.
+ * Framing of messages on a peer connection: a length in four bytes,
+ * big-endian, followed by the encoded message.
  */
 #ifndef WIRE_PEER_FRAME_H
 #define WIRE_PEER_FRAME_H
@@ -14,17 +14,19 @@
 enum frame_size
 {
   FRAME_HEADER_BYTES = 4,
-  /** Largest message: one value of the platform and its names. */
+  /** Room for the largest message: one value of the platform and its
+   * names. */
   FRAME_PAYLOAD_MAX_BYTES = 1024 * 1024 + 4096,
 };
 
-/** Add SIZE bytes of DATA as one frame. */
+/** Append a frame that holds SIZE bytes of DATA. */
 void frame_append (struct peer_buffer *buffer, const char *data, size_t size);
 
-/** The whole frame at the front of BUFFER, if there is one; skip
- * FRAME_HEADER_BYTES + *SIZE when it is done with.
- * @return STATUS_OK, STATUS_NOT_FOUND (more bytes are needed) or
- * STATUS_INVALID (longer than FRAME_PAYLOAD_MAX_BYTES or empty: close). */
+/** Get the first frame of BUFFER without consuming it.  After use, consume
+ * FRAME_HEADER_BYTES + *SIZE bytes.
+ * @return STATUS_OK, STATUS_NOT_FOUND if the frame is incomplete, or
+ * STATUS_INVALID if it is empty or longer than FRAME_PAYLOAD_MAX_BYTES; the
+ * connection must be closed then. */
 enum status frame_peek (const struct peer_buffer *buffer, const char **payload,
                         size_t *size);
 
--- a/wire/peer/msgpack_check.c
+++ b/wire/peer/msgpack_check.c
@@ -2,18 +2,18 @@
 
 #include <stdint.h>
 
-/** What follows a tag byte. */
-struct token
+/** Layout of what follows a tag byte. */
+struct tag_layout
 {
-  size_t length_bytes; /**< of the length field */
-  size_t body_bytes;   /**< fixed part of the body */
-  size_t elements;     /**< of a container whose tag holds their number */
-  size_t unit;         /**< elements per counted one: 2 in a map */
+  size_t length_bytes;      /**< of the length field */
+  size_t body_bytes;        /**< fixed-size part of the body */
+  size_t elements;          /**< of a container whose tag holds the count */
+  size_t elements_per_item; /**< elements per counted item: 2 in a map */
   bool is_container;
 };
 
 /* Tags 0xc0 to 0xdf of the MessagePack specification. */
-static const struct token tokens[32] = {
+static const struct tag_layout tag_layouts[32] = {
   [0x04] = { .length_bytes = 1 },
   [0x05] = { .length_bytes = 2 },
   [0x06] = { .length_bytes = 4 },
@@ -38,24 +38,24 @@
   [0x19] = { .length_bytes = 1 },
   [0x1a] = { .length_bytes = 2 },
   [0x1b] = { .length_bytes = 4 },
-  [0x1c] = { .length_bytes = 2, .unit = 1, .is_container = true },
-  [0x1d] = { .length_bytes = 4, .unit = 1, .is_container = true },
-  [0x1e] = { .length_bytes = 2, .unit = 2, .is_container = true },
-  [0x1f] = { .length_bytes = 4, .unit = 2, .is_container = true },
+  [0x1c] = { .length_bytes = 2, .elements_per_item = 1, .is_container = true },
+  [0x1d] = { .length_bytes = 4, .elements_per_item = 1, .is_container = true },
+  [0x1e] = { .length_bytes = 2, .elements_per_item = 2, .is_container = true },
+  [0x1f] = { .length_bytes = 4, .elements_per_item = 2, .is_container = true },
 };
 
-static struct token
-token_of (uint8_t tag)
+static struct tag_layout
+layout_of (uint8_t tag)
 {
   if (tag >= 0xc0 && tag <= 0xdf)
-    return tokens[tag - 0xc0];
+    return tag_layouts[tag - 0xc0];
   if (tag >= 0xa0 && tag <= 0xbf)
-    return (struct token){ .body_bytes = tag & 0x1f };
+    return (struct tag_layout){ .body_bytes = tag & 0x1f };
   if (tag >= 0x90 && tag <= 0x9f)
-    return (struct token){ .elements = tag & 0x0f };
+    return (struct tag_layout){ .elements = tag & 0x0f };
   if (tag >= 0x80 && tag <= 0x8f)
-    return (struct token){ .elements = (tag & 0x0f) * 2u };
-  return (struct token){ .body_bytes = 0 };
+    return (struct tag_layout){ .elements = (tag & 0x0f) * 2u };
+  return (struct tag_layout){ .body_bytes = 0 };
 }
 
 static size_t
@@ -67,35 +67,37 @@
   return length;
 }
 
-/* Guards against a few bytes that cost much memory: the codec allocates what
-   a container's head claims before it reads the elements.  Shows as a host
-   that swells by gigabytes when something else than a peer connects.  An
-   element takes a byte at least, so a claim beyond what follows is false. */
+/* The codec allocates a container's claimed size before it reads the elements,
+   so without this check a few bytes could make a host allocate gigabytes, for
+   example when a foreign program connects.  An element takes at least one
+   byte, so a claim that exceeds the remaining bytes is invalid. */
 bool
 msgpack_sizes_valid (const char *data, size_t size)
 {
   const uint8_t *bytes = (const uint8_t *)data;
-  size_t at = 0;
-  size_t missing = 1;
-  while (missing > 0)
+  size_t offset = 0;
+  size_t expected = 1;
+  while (expected > 0)
     {
-      if (at == size)
+      if (offset == size)
         return false;
-      const struct token token = token_of (bytes[at++]);
-      missing--;
-      if (size - at < token.length_bytes)
+      const struct tag_layout tag_layout = layout_of (bytes[offset++]);
+      expected--;
+      if (size - offset < tag_layout.length_bytes)
         return false;
-      const size_t length = read_length (bytes + at, token.length_bytes);
-      at += token.length_bytes;
-      const size_t body = token.body_bytes + (token.is_container ? 0 : length);
-      if (size - at < body)
+      const size_t length
+          = read_length (bytes + offset, tag_layout.length_bytes);
+      offset += tag_layout.length_bytes;
+      const size_t body
+          = tag_layout.body_bytes + (tag_layout.is_container ? 0 : length);
+      if (size - offset < body)
         return false;
-      at += body;
-      missing += token.elements;
-      if (token.is_container)
-        missing += length * token.unit;
-      if (missing > size - at)
+      offset += body;
+      expected += tag_layout.elements;
+      if (tag_layout.is_container)
+        expected += length * tag_layout.elements_per_item;
+      if (expected > size - offset)
         return false;
     }
-  return at == size;
+  return offset == size;
 }
--- a/wire/peer/msgpack_check.h
+++ b/wire/peer/msgpack_check.h
@@ -1,5 +1,5 @@
 /** @file
- * A check of MessagePack bytes before the codec sees them.
+ * Validation of MessagePack sizes before decoding.
  */
 #ifndef WIRE_PEER_MSGPACK_CHECK_H
 #define WIRE_PEER_MSGPACK_CHECK_H
@@ -7,8 +7,8 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** Could the SIZE bytes of DATA be one whole object: does no container or
- * text in it claim more than the bytes that follow? */
+/** Check that the SIZE bytes of DATA are exactly one object in which no
+ * container, string or binary claims more than the bytes that follow. */
 bool msgpack_sizes_valid (const char *data, size_t size);
 
 #endif
--- a/wire/peer/peer_address.h
+++ b/wire/peer/peer_address.h
@@ -1,5 +1,5 @@
 /** @file
- * `IP:PORT` and `[IP6]:PORT` texts as socket addresses.
+ * Parsing of `IP:PORT` and `[IPv6]:PORT` into socket addresses.
  */
 #ifndef WIRE_PEER_PEER_ADDRESS_H
 #define WIRE_PEER_PEER_ADDRESS_H
@@ -8,7 +8,7 @@
 
 #include "base/status.h"
 
-/** Parse TEXT, numbers only: no name is looked up. */
+/** Parse TEXT, which must be numeric: host names are not resolved. */
 enum status peer_address_parse (const char *text,
                                 struct sockaddr_storage *address,
                                 socklen_t *size);
--- a/wire/peer/peer_auth.c
+++ b/wire/peer/peer_auth.c
@@ -25,7 +25,7 @@
   FILE *file = fopen (path, "rbe");
   if (file == NULL)
     return status_errno ("%s: can't be read; set secret_file to the file "
-                         "that all hosts share",
+                         "with the secret that all hosts share",
                          path);
   char bytes[PEER_SECRET_MAX_BYTES + 2];
   size_t size = fread (bytes, 1, sizeof bytes, file);
@@ -42,14 +42,14 @@
   return STATUS_OK;
 }
 
-/* Add a HELLO as it went over the wire. */
+/* Appends HELLO in its encoded form. */
 static size_t
-append_hello (uint8_t *text, size_t used, const struct peer_hello *hello)
+append_hello (uint8_t *input, size_t used, const struct peer_hello *hello)
 {
   const struct peer_message message = { .type = PEER_HELLO, .hello = *hello };
   size_t size;
   char *bytes = peer_message_encode (&message, &size);
-  memcpy (text + used, bytes, size);
+  memcpy (input + used, bytes, size);
   free (bytes);
   return used + size;
 }
@@ -63,27 +63,27 @@
   memset (proof, 0, sizeof *proof);
   if (secret->size == 0)
     return;
-  uint8_t text[4 * sizeof *own];
-  text[0] = is_client ? 'C' : 'S';
-  size_t used = append_hello (text, 1, own);
-  used = append_hello (text, used, other);
+  uint8_t input[4 * sizeof *own];
+  input[0] = is_client ? 'C' : 'S';
+  size_t used = append_hello (input, 1, own);
+  used = append_hello (input, used, other);
   unsigned int size = sizeof proof->mac;
-  HMAC (EVP_sha256 (), secret->bytes, (int)secret->size, text, used,
+  HMAC (EVP_sha256 (), secret->bytes, (int)secret->size, input, used,
         proof->mac, &size);
 }
 
 enum status
-peer_auth_verify_proof (const struct peer_secret *secret, bool is_client_other,
+peer_auth_verify_proof (const struct peer_secret *secret, bool other_is_client,
                         const struct peer_hello *other,
                         const struct peer_hello *own,
                         const struct peer_proof *proof)
 {
   struct peer_proof expected;
-  peer_auth_compute_proof (secret, is_client_other, other, own, &expected);
+  peer_auth_compute_proof (secret, other_is_client, other, own, &expected);
   if (CRYPTO_memcmp (expected.mac, proof->mac, sizeof expected.mac) == 0)
     return STATUS_OK;
   return status_set (STATUS_REFUSED,
-                     "host %s doesn't hold the same shared secret: give all "
-                     "hosts the same secret_file",
+                     "host %s doesn't have the same shared secret; set the "
+                     "same secret_file on all hosts",
                      other->name);
 }
--- a/wire/peer/peer_auth.h
+++ b/wire/peer/peer_auth.h
@@ -1,12 +1,12 @@
 /** @file
- * Proof that the other end of a peer connection holds the shared secret.
+ * Mutual authentication of a peer connection by a shared secret.
  *
- * Each side sends a HELLO with a nonce of its own, then the HMAC-SHA256,
- * under the secret, over its role and both HELLOs as they were sent.  The
- * role keeps a proof from being sent back to its maker; the nonces keep an
- * old one from being used again; names and addresses are covered.  What
- * follows on the connection is neither encrypted nor signed: that is left to
- * the network between the hosts.
+ * Each side sends a HELLO with its own nonce, then an HMAC-SHA256, keyed with
+ * the secret, of its role and both HELLOs as sent.  The role prevents
+ * reflection of a proof to its sender, the nonces prevent replay, and the
+ * names and addresses in the HELLOs are authenticated too.  Later messages
+ * are neither encrypted nor signed: the network between the hosts must be
+ * trusted.
  */
 #ifndef WIRE_PEER_PEER_AUTH_H
 #define WIRE_PEER_PEER_AUTH_H
@@ -20,27 +20,29 @@
 
 #define PEER_SECRET_MAX_BYTES 256
 
-/** The shared secret; none when its size is 0. */
+/** The shared secret; a size of 0 means that there is none. */
 struct peer_secret
 {
   uint8_t bytes[PEER_SECRET_MAX_BYTES];
   size_t size;
 };
 
-/** Read the secret from PATH, white space at its end left out; "" is no
- * secret.  It must have 16 to PEER_SECRET_MAX_BYTES bytes. */
+/** Read the secret from PATH, without trailing white space; an empty PATH
+ * means no secret.  It must have 16 to PEER_SECRET_MAX_BYTES bytes. */
 enum status peer_secret_load (const char *path, struct peer_secret *secret);
 
-/** The proof of the side that sent OWN and received OTHER.  Without a secret
- * it is all zeros. */
+/** Compute the proof of the side that sent OWN and received OTHER.  It is all
+ * zeros if there is no secret. */
 void peer_auth_compute_proof (const struct peer_secret *secret, bool is_client,
                               const struct peer_hello *own,
                               const struct peer_hello *other,
                               struct peer_proof *proof);
 
-/** Is PROOF that of the other side?  STATUS_REFUSED with a remedy if not. */
+/** Verify PROOF, which the other side sent.
+ * @return STATUS_REFUSED, with a message that names the remedy, if it is
+ * wrong. */
 enum status peer_auth_verify_proof (const struct peer_secret *secret,
-                                    bool is_client_other,
+                                    bool other_is_client,
                                     const struct peer_hello *other,
                                     const struct peer_hello *own,
                                     const struct peer_proof *proof);
--- a/wire/peer/peer_buffer.c
+++ b/wire/peer/peer_buffer.c
@@ -8,9 +8,9 @@
 
 enum
 {
-  FIRST_ROOM_BYTES = 512,
-  /** What is larger isn't kept when empty. */
-  KEEP_ROOM_BYTES = 16 * 1024,
+  INITIAL_CAPACITY_BYTES = 512,
+  /** A larger allocation is freed once the buffer is empty. */
+  RETAINED_CAPACITY_BYTES = 16 * 1024,
 };
 
 static void
@@ -27,13 +27,14 @@
 peer_buffer_append (struct peer_buffer *buffer, const void *data, size_t size)
 {
   compact (buffer);
-  size_t room = buffer->capacity == 0 ? FIRST_ROOM_BYTES : buffer->capacity;
-  while (room < buffer->end + size)
-    room *= 2;
-  if (room != buffer->capacity)
+  size_t capacity
+      = buffer->capacity == 0 ? INITIAL_CAPACITY_BYTES : buffer->capacity;
+  while (capacity < buffer->end + size)
+    capacity *= 2;
+  if (capacity != buffer->capacity)
     {
-      buffer->bytes = xreallocarray (buffer->bytes, room, 1);
-      buffer->capacity = room;
+      buffer->bytes = xreallocarray (buffer->bytes, capacity, 1);
+      buffer->capacity = capacity;
     }
   if (size > 0)
     memcpy (buffer->bytes + buffer->end, data, size);
@@ -49,7 +50,7 @@
     return;
   buffer->begin = 0;
   buffer->end = 0;
-  if (buffer->capacity > KEEP_ROOM_BYTES)
+  if (buffer->capacity > RETAINED_CAPACITY_BYTES)
     peer_buffer_release (buffer);
 }
 
--- a/wire/peer/peer_buffer.h
+++ b/wire/peer/peer_buffer.h
@@ -1,5 +1,5 @@
 /** @file
- * Bytes waiting to be written, as a growing buffer with a bound.
+ * Growable buffer of bytes to send or to decode.
  */
 #ifndef WIRE_PEER_PEER_BUFFER_H
 #define WIRE_PEER_PEER_BUFFER_H
@@ -15,7 +15,7 @@
   size_t capacity;
 };
 
-/** How many bytes wait. */
+/** Number of unconsumed bytes. */
 static inline size_t
 peer_buffer_size (const struct peer_buffer *buffer)
 {
@@ -24,7 +24,7 @@
 
 void peer_buffer_append (struct peer_buffer *buffer, const void *data,
                          size_t size);
-/** The first SIZE bytes were written. */
+/** Remove the first SIZE bytes. */
 void peer_buffer_consume (struct peer_buffer *buffer, size_t size);
 void peer_buffer_release (struct peer_buffer *buffer);
 
--- a/wire/peer/peer_conn.c
+++ b/wire/peer/peer_conn.c
@@ -17,14 +17,14 @@
 
 enum
 {
-  READ_BYTES = 64 * 1024,
-  /** Reads per wake-up, so that one peer can't hold up the loop. */
-  READS_MAX = 4,
+  READ_BUFFER_BYTES = 64 * 1024,
+  /** Reads per event, so that one peer can't block the event loop. */
+  READS_PER_EVENT_MAX = 4,
 };
 
 enum stage
 {
-  STAGE_HELLO, /**< waiting for the other's HELLO */
+  STAGE_HELLO, /**< waiting for the peer's HELLO */
   STAGE_PROOF,
   STAGE_READY,
   STAGE_CLOSED,
@@ -35,19 +35,19 @@
   struct peer_conn_options options;
   struct ev_io reader;
   struct ev_io writer;
-  struct ev_timer deadline; /**< of the handshake, then of idleness */
+  struct ev_timer deadline; /**< handshake timeout, then idle timeout */
   enum stage stage;
-  struct peer_hello own;
-  struct peer_hello other;
+  struct peer_hello own_hello;
+  struct peer_hello peer_hello;
   struct peer_buffer in;
   struct peer_buffer out;
-  struct peer_buffer waiting; /**< frames queued before the handshake */
-  bool is_busy;               /**< in its own callbacks */
-  bool is_doomed;             /**< destroyed while busy */
+  struct peer_buffer queued; /**< frames queued before the handshake */
+  bool in_callback;          /**< a callback is running */
+  bool destroy_pending;      /**< destroy after the callback */
 };
 
 static void
-stop (struct peer_conn *conn)
+close_socket (struct peer_conn *conn)
 {
   ev_io_stop (conn->options.loop, &conn->reader);
   ev_io_stop (conn->options.loop, &conn->writer);
@@ -59,11 +59,11 @@
 }
 
 static void
-release (struct peer_conn *conn)
+free_conn (struct peer_conn *conn)
 {
   peer_buffer_release (&conn->in);
   peer_buffer_release (&conn->out);
-  peer_buffer_release (&conn->waiting);
+  peer_buffer_release (&conn->queued);
   free (conn);
 }
 
@@ -73,35 +73,36 @@
   if (conn == NULL)
     return;
   if (conn->stage != STAGE_CLOSED)
-    stop (conn);
-  if (conn->is_busy)
-    conn->is_doomed = true;
+    close_socket (conn);
+  if (conn->in_callback)
+    conn->destroy_pending = true;
   else
-    release (conn);
+    free_conn (conn);
 }
 
-/* The connection is over; status_message() says why. */
+/* Closes the connection; status_message() holds the reason. */
 static void
-fail (struct peer_conn *conn)
+close_with_callback (struct peer_conn *conn)
 {
   if (conn->stage == STAGE_CLOSED)
     return;
-  stop (conn);
+  close_socket (conn);
   conn->options.events->closed (conn->options.owner, conn);
 }
 
-/* What came isn't what a peer sends: told apart from a broken network. */
+/* Closes the connection because of invalid input, which is counted and logged
+   separately from network failures. */
 static void
-refuse (struct peer_conn *conn)
+reject (struct peer_conn *conn)
 {
   conn->options.identity->traffic.refused++;
-  LOG_WARN ("connection-refused", LOG_STR ("host", conn->other.name),
+  LOG_WARN ("connection-refused", LOG_STR ("host", conn->peer_hello.name),
             LOG_STR ("why", status_message ()));
-  fail (conn);
+  close_with_callback (conn);
 }
 
 static void
-flush (struct peer_conn *conn)
+send_queued (struct peer_conn *conn)
 {
   struct peer_buffer *out = &conn->out;
   while (peer_buffer_size (out) > 0)
@@ -115,8 +116,8 @@
         break;
       if (sent < 0)
         {
-          status_errno ("sending to host %s", conn->other.name);
-          fail (conn);
+          status_errno ("can't send to host %s", conn->peer_hello.name);
+          close_with_callback (conn);
           return;
         }
       conn->options.identity->traffic.bytes_out += sent;
@@ -129,8 +130,8 @@
 }
 
 static void
-queue (struct peer_conn *conn, struct peer_buffer *buffer,
-       const struct peer_message *message)
+append_message (struct peer_conn *conn, struct peer_buffer *buffer,
+                const struct peer_message *message)
 {
   size_t size;
   char *bytes = peer_message_encode (message, &size);
@@ -139,20 +140,22 @@
   conn->options.identity->traffic.frames_out++;
 }
 
-/* Sending never fails the connection from within: the writer does it from
-   the loop, so that no callback comes while the caller holds the pointer. */
+/* A send error closes the connection only later, in write_cb(), so that no
+   callback runs while the caller still uses the pointer. */
 enum status
 peer_conn_send (struct peer_conn *conn, const struct peer_message *message)
 {
   if (conn->stage == STAGE_CLOSED)
     return status_set (STATUS_UNREACHABLE, "the connection is closed");
   struct peer_buffer *buffer
-      = conn->stage == STAGE_READY ? &conn->out : &conn->waiting;
+      = conn->stage == STAGE_READY ? &conn->out : &conn->queued;
   if (peer_buffer_size (buffer) > PEER_QUEUE_MAX_BYTES)
-    return status_set (STATUS_LIMIT,
-                       "%d bytes wait for host %s already; is the link slow?",
-                       PEER_QUEUE_MAX_BYTES, conn->other.name);
-  queue (conn, buffer, message);
+    return status_set (
+        STATUS_LIMIT,
+        "more than %d bytes are queued for host %s; check for a "
+        "slow link",
+        PEER_QUEUE_MAX_BYTES, conn->peer_hello.name);
+  append_message (conn, buffer, message);
   if (conn->stage == STAGE_READY)
     ev_io_start (conn->options.loop, &conn->writer);
   return STATUS_OK;
@@ -161,18 +164,18 @@
 static void
 handle_hello (struct peer_conn *conn, const struct peer_hello *hello)
 {
-  conn->other = *hello;
+  conn->peer_hello = *hello;
   conn->stage = STAGE_PROOF;
   struct peer_message message = { .type = PEER_PROOF };
   peer_auth_compute_proof (&conn->options.identity->secret,
-                           conn->options.is_client, &conn->own, &conn->other,
-                           &message.proof);
-  queue (conn, &conn->out, &message);
+                           conn->options.is_client, &conn->own_hello,
+                           &conn->peer_hello, &message.proof);
+  append_message (conn, &conn->out, &message);
   ev_io_start (conn->options.loop, &conn->writer);
 }
 
 static void
-restart_idle (struct peer_conn *conn)
+restart_idle_timer (struct peer_conn *conn)
 {
   if (conn->options.idle_timeout_ms == 0)
     return;
@@ -184,22 +187,21 @@
 handle_proof (struct peer_conn *conn, const struct peer_proof *proof)
 {
   if (peer_auth_verify_proof (&conn->options.identity->secret,
-                              !conn->options.is_client, &conn->other,
-                              &conn->own, proof)
+                              !conn->options.is_client, &conn->peer_hello,
+                              &conn->own_hello, proof)
       != STATUS_OK)
     {
-      refuse (conn);
+      reject (conn);
       return;
     }
   conn->stage = STAGE_READY;
   ev_timer_stop (conn->options.loop, &conn->deadline);
-  restart_idle (conn);
-  if (peer_buffer_size (&conn->waiting) > 0)
+  restart_idle_timer (conn);
+  if (peer_buffer_size (&conn->queued) > 0)
     {
-      peer_buffer_append (&conn->out,
-                          conn->waiting.bytes + conn->waiting.begin,
-                          peer_buffer_size (&conn->waiting));
-      peer_buffer_release (&conn->waiting);
+      peer_buffer_append (&conn->out, conn->queued.bytes + conn->queued.begin,
+                          peer_buffer_size (&conn->queued));
+      peer_buffer_release (&conn->queued);
       ev_io_start (conn->options.loop, &conn->writer);
     }
   conn->options.events->ready (conn->options.owner, conn);
@@ -216,14 +218,15 @@
     handle_proof (conn, &message->proof);
   else if (conn->stage == STAGE_READY && !is_handshake)
     {
-      restart_idle (conn);
+      restart_idle_timer (conn);
       conn->options.events->message (conn->options.owner, conn, message);
     }
   else
     {
-      status_set (STATUS_INVALID, "message %s came out of its order",
+      status_set (STATUS_INVALID,
+                  "unexpected message %s in this state of the connection",
                   peer_type_name (message->type));
-      refuse (conn);
+      reject (conn);
     }
 }
 
@@ -241,7 +244,7 @@
       if (status != STATUS_OK
           || peer_message_decode (payload, size, &message) != STATUS_OK)
         {
-          refuse (conn);
+          reject (conn);
           return;
         }
       conn->options.identity->traffic.frames_in++;
@@ -251,69 +254,69 @@
     }
 }
 
-/* Read once.
-   @return false when there is nothing more to read now. */
+/* Reads once and handles the complete frames.
+   @return false if no more can be read now. */
 static bool
 read_some (struct peer_conn *conn)
 {
-  static char bytes[READ_BYTES];
-  const ssize_t got
+  static char bytes[READ_BUFFER_BYTES];
+  const ssize_t received
       = recv (conn->options.fd, bytes, sizeof bytes, MSG_DONTWAIT);
-  if (got < 0 && (errno == EAGAIN || errno == EINTR))
+  if (received < 0 && (errno == EAGAIN || errno == EINTR))
     return false;
-  if (got <= 0)
+  if (received <= 0)
     {
-      if (got == 0)
+      if (received == 0)
         status_set (STATUS_UNREACHABLE, "host %s closed the connection",
-                    conn->other.name);
+                    conn->peer_hello.name);
       else
-        status_errno ("receiving from host %s", conn->other.name);
-      fail (conn);
+        status_errno ("can't receive from host %s", conn->peer_hello.name);
+      close_with_callback (conn);
       return false;
     }
-  conn->options.identity->traffic.bytes_in += got;
-  peer_buffer_append (&conn->in, bytes, (size_t)got);
+  conn->options.identity->traffic.bytes_in += received;
+  peer_buffer_append (&conn->in, bytes, (size_t)received);
   handle_frames (conn);
-  return conn->stage != STAGE_CLOSED && (size_t)got == sizeof bytes;
+  return conn->stage != STAGE_CLOSED && (size_t)received == sizeof bytes;
 }
 
 static void
-leave (struct peer_conn *conn)
+leave_callback (struct peer_conn *conn)
 {
-  conn->is_busy = false;
-  if (conn->is_doomed)
-    release (conn);
+  conn->in_callback = false;
+  if (conn->destroy_pending)
+    free_conn (conn);
 }
 
 static void
 read_cb (struct ev_loop *loop, struct ev_io *watcher, int events)
 {
   struct peer_conn *conn = watcher->data;
-  conn->is_busy = true;
-  for (int i = 0; i < READS_MAX; i++)
+  conn->in_callback = true;
+  for (int i = 0; i < READS_PER_EVENT_MAX; i++)
     if (!read_some (conn))
       break;
-  leave (conn);
+  leave_callback (conn);
 }
 
 static void
 write_cb (struct ev_loop *loop, struct ev_io *watcher, int events)
 {
   struct peer_conn *conn = watcher->data;
-  conn->is_busy = true;
-  flush (conn);
-  leave (conn);
+  conn->in_callback = true;
+  send_queued (conn);
+  leave_callback (conn);
 }
 
 static void
 deadline_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
   struct peer_conn *conn = watcher->data;
-  conn->is_busy = true;
-  status_set (STATUS_TIMEOUT, "host %s said nothing in time",
-              conn->other.name);
-  fail (conn);
-  leave (conn);
+  conn->in_callback = true;
+  status_set (STATUS_TIMEOUT, "no message from host %s within the timeout",
+              conn->peer_hello.name);
+  close_with_callback (conn);
+  leave_callback (conn);
 }
 
 struct peer_conn *
@@ -322,8 +325,8 @@
   assert (options->fd >= 0);
   struct peer_conn *conn = xcalloc (1, sizeof *conn);
   conn->options = *options;
-  conn->own = options->identity->hello;
-  rng_secure_bytes (conn->own.nonce, sizeof conn->own.nonce);
+  conn->own_hello = options->identity->hello;
+  rng_secure_bytes (conn->own_hello.nonce, sizeof conn->own_hello.nonce);
   ev_io_init (&conn->reader, read_cb, options->fd, EV_READ);
   ev_io_init (&conn->writer, write_cb, options->fd, EV_WRITE);
   ev_timer_init (&conn->deadline, deadline_cb,
@@ -335,8 +338,8 @@
   ev_io_start (options->loop, &conn->writer);
   ev_timer_start (options->loop, &conn->deadline);
   const struct peer_message message
-      = { .type = PEER_HELLO, .hello = conn->own };
-  queue (conn, &conn->out, &message);
+      = { .type = PEER_HELLO, .hello = conn->own_hello };
+  append_message (conn, &conn->out, &message);
   return conn;
 }
 
@@ -349,5 +352,5 @@
 const struct peer_hello *
 peer_conn_hello (const struct peer_conn *conn)
 {
-  return &conn->other;
+  return &conn->peer_hello;
 }
--- a/wire/peer/peer_decode.c
+++ b/wire/peer/peer_decode.c
@@ -10,16 +10,17 @@
 
 enum
 {
-  VERDICT_FIELDS = 8,
-  ENTRY_FIELDS = 2,
+  MEMBER_UPDATE_FIELDS = 8,
+  SETTINGS_ENTRY_FIELDS = 2,
 };
 
-/** The fields of one array, read in order.  The first failure sticks. */
+/** Cursor over the fields of an array, which are read in order.  After the
+ * first failure all reads fail. */
 struct fields
 {
   const msgpack_object *next;
-  size_t left;
-  bool is_bad;
+  size_t remaining;
+  bool failed;
 };
 
 static const char *const type_names[PEER_TYPE_END] = {
@@ -54,16 +55,16 @@
   return type_names[type];
 }
 
-/* The next field if it has TYPE. */
+/* Returns the next field if it has TYPE, NULL otherwise. */
 static const msgpack_object *
 take (struct fields *fields, msgpack_object_type type)
 {
-  if (fields->is_bad || fields->left == 0 || fields->next->type != type)
+  if (fields->failed || fields->remaining == 0 || fields->next->type != type)
     {
-      fields->is_bad = true;
+      fields->failed = true;
       return NULL;
     }
-  fields->left--;
+  fields->remaining--;
   return fields->next++;
 }
 
@@ -75,14 +76,14 @@
   if (object == NULL)
     return 0;
   if (object->via.u64 > max)
-    fields->is_bad = true;
+    fields->failed = true;
   return object->via.u64;
 }
 
 static int64_t
 take_signed (struct fields *fields)
 {
-  if (!fields->is_bad && fields->left > 0
+  if (!fields->failed && fields->remaining > 0
       && fields->next->type == MSGPACK_OBJECT_POSITIVE_INTEGER)
     return (int64_t)take_number (fields, INT64_MAX);
   const msgpack_object *object
@@ -97,8 +98,8 @@
   return object != NULL && object->via.boolean;
 }
 
-/* A text must fit with its NUL and hold none, so that what is checked is what
-   is used. */
+/* Reads a string, which must fit with its terminating NUL and contain no other
+   NUL, so that the checked string is the one that is used. */
 static void
 take_text (struct fields *fields, char *text, size_t size)
 {
@@ -109,7 +110,7 @@
   if (str->size >= size
       || (str->size > 0 && memchr (str->ptr, '\0', str->size) != NULL))
     {
-      fields->is_bad = true;
+      fields->failed = true;
       return;
     }
   if (str->size > 0)
@@ -125,38 +126,39 @@
     return;
   if (object->via.bin.size != size)
     {
-      fields->is_bad = true;
+      fields->failed = true;
       return;
     }
   memcpy (bytes, object->via.bin.ptr, size);
 }
 
-/* Start reading an array of at most MAX elements. */
+/* Starts to read an array of at most MAX elements. */
 static struct fields
 take_array (struct fields *fields, size_t max)
 {
   const msgpack_object *object = take (fields, MSGPACK_OBJECT_ARRAY);
   if (object == NULL)
-    return (struct fields){ .is_bad = true };
+    return (struct fields){ .failed = true };
   if (object->via.array.size > max)
     {
-      fields->is_bad = true;
-      return (struct fields){ .is_bad = true };
+      fields->failed = true;
+      return (struct fields){ .failed = true };
     }
   return (struct fields){ .next = object->via.array.ptr,
-                          .left = object->via.array.size };
+                          .remaining = object->via.array.size };
 }
 
-/* An array inside must be read to its end without failure. */
+/* Fails FIELDS unless its nested array INNER was read completely and without
+   failure. */
 static void
 close_array (struct fields *fields, const struct fields *inner)
 {
-  if (inner->is_bad || inner->left > 0)
-    fields->is_bad = true;
+  if (inner->failed || inner->remaining > 0)
+    fields->failed = true;
 }
 
 static void
-get_hello (struct fields *fields, struct peer_hello *hello)
+decode_hello (struct fields *fields, struct peer_hello *hello)
 {
   take_text (fields, hello->name, sizeof hello->name);
   take_text (fields, hello->dc, sizeof hello->dc);
@@ -167,11 +169,11 @@
   hello->capacity = (uint32_t)take_number (fields, UINT32_MAX);
   take_bytes (fields, hello->nonce, sizeof hello->nonce);
   if (hello->name[0] == '\0')
-    fields->is_bad = true;
+    fields->failed = true;
 }
 
 static void
-get_heartbeat (struct fields *fields, struct peer_heartbeat *heartbeat)
+decode_heartbeat (struct fields *fields, struct peer_heartbeat *heartbeat)
 {
   heartbeat->sequence = take_number (fields, UINT64_MAX);
   heartbeat->relay_age_ms = (uint32_t)take_number (fields, UINT32_MAX);
@@ -183,55 +185,56 @@
 }
 
 static void
-get_verdict (struct fields *fields, struct peer_member_update *verdict)
+get_member_update (struct fields *fields, struct peer_member_update *update)
 {
-  struct fields inner = take_array (fields, VERDICT_FIELDS);
-  verdict->host_key = take_number (&inner, UINT64_MAX);
-  verdict->incarnation = take_number (&inner, UINT64_MAX);
-  verdict->counter = (uint32_t)take_number (&inner, UINT32_MAX);
-  verdict->state = (uint8_t)take_number (&inner, UINT8_MAX);
-  take_text (&inner, verdict->name, sizeof verdict->name);
-  take_text (&inner, verdict->dc, sizeof verdict->dc);
-  take_text (&inner, verdict->peer_address, sizeof verdict->peer_address);
-  take_text (&inner, verdict->caller_address, sizeof verdict->caller_address);
+  struct fields inner = take_array (fields, MEMBER_UPDATE_FIELDS);
+  update->host_key = take_number (&inner, UINT64_MAX);
+  update->incarnation = take_number (&inner, UINT64_MAX);
+  update->counter = (uint32_t)take_number (&inner, UINT32_MAX);
+  update->state = (uint8_t)take_number (&inner, UINT8_MAX);
+  take_text (&inner, update->name, sizeof update->name);
+  take_text (&inner, update->dc, sizeof update->dc);
+  take_text (&inner, update->peer_address, sizeof update->peer_address);
+  take_text (&inner, update->caller_address, sizeof update->caller_address);
   close_array (fields, &inner);
 }
 
 static void
-get_members (struct fields *fields, struct peer_members *members)
+decode_members (struct fields *fields, struct peer_members *members)
 {
   struct fields inner = take_array (fields, PEER_MEMBER_UPDATES_MAX);
-  members->count = inner.left;
-  members->updates = xcalloc (inner.left, sizeof *members->updates);
-  for (size_t i = 0; i < members->count && !inner.is_bad; i++)
-    get_verdict (&inner, &members->updates[i]);
+  members->count = inner.remaining;
+  members->updates = xcalloc (inner.remaining, sizeof *members->updates);
+  for (size_t i = 0; i < members->count && !inner.failed; i++)
+    get_member_update (&inner, &members->updates[i]);
   close_array (fields, &inner);
 }
 
 static void
-get_digest (struct fields *fields, struct peer_settings_digest *digest)
+decode_digest (struct fields *fields, struct peer_settings_digest *digest)
 {
   digest->answer_requested = take_bool (fields);
   digest->total_hash = take_number (fields, UINT64_MAX);
   struct fields inner = take_array (fields, PEER_BUCKETS_MAX);
-  digest->count = inner.left;
-  digest->bucket_hashes = xcalloc (inner.left, sizeof *digest->bucket_hashes);
+  digest->count = inner.remaining;
+  digest->bucket_hashes
+      = xcalloc (inner.remaining, sizeof *digest->bucket_hashes);
   for (size_t i = 0; i < digest->count; i++)
     digest->bucket_hashes[i] = take_number (&inner, UINT64_MAX);
   if (digest->count != 0 && digest->count != PEER_BUCKETS_MAX)
-    fields->is_bad = true;
+    fields->failed = true;
   close_array (fields, &inner);
 }
 
 static void
-get_entries (struct fields *fields, struct peer_settings_entries *settings)
+decode_entries (struct fields *fields, struct peer_settings_entries *settings)
 {
   struct fields inner = take_array (fields, PEER_ENTRIES_MAX);
-  settings->count = inner.left;
-  settings->entries = xcalloc (inner.left, sizeof *settings->entries);
+  settings->count = inner.remaining;
+  settings->entries = xcalloc (inner.remaining, sizeof *settings->entries);
   for (size_t i = 0; i < settings->count; i++)
     {
-      struct fields entry = take_array (&inner, ENTRY_FIELDS);
+      struct fields entry = take_array (&inner, SETTINGS_ENTRY_FIELDS);
       settings->entries[i].key = take_number (&entry, UINT64_MAX);
       settings->entries[i].version = take_number (&entry, UINT64_MAX);
       close_array (&inner, &entry);
@@ -240,22 +243,22 @@
 }
 
 static void
-get_push (struct fields *fields, struct peer_settings_push *push)
+decode_push (struct fields *fields, struct peer_settings_push *push)
 {
   take_text (fields, push->kind, sizeof push->kind);
   take_text (fields, push->name, sizeof push->name);
   push->version = take_number (fields, UINT64_MAX);
-  if (!fields->is_bad && fields->left > 0
+  if (!fields->failed && fields->remaining > 0
       && fields->next->type == MSGPACK_OBJECT_NIL)
     {
       take (fields, MSGPACK_OBJECT_NIL);
       return;
     }
-  if (fields->is_bad || fields->left == 0
+  if (fields->failed || fields->remaining == 0
       || fields->next->type != MSGPACK_OBJECT_STR
       || fields->next->via.str.size > PEER_VALUE_MAX_BYTES)
     {
-      fields->is_bad = true;
+      fields->failed = true;
       return;
     }
   const size_t size = fields->next->via.str.size + 1;
@@ -265,7 +268,7 @@
 }
 
 static void
-get_in_force (struct fields *fields, struct peer_in_force *in_force)
+decode_in_force (struct fields *fields, struct peer_in_force *in_force)
 {
   in_force->request_id = take_number (fields, UINT64_MAX);
   take_text (fields, in_force->service, sizeof in_force->service);
@@ -273,43 +276,43 @@
 }
 
 static void
-get_report (struct fields *fields, struct peer_report *report)
+decode_report (struct fields *fields, struct peer_report *report)
 {
   take_text (fields, report->service, sizeof report->service);
   report->epoch = take_number (fields, UINT64_MAX);
   report->sequence = take_number (fields, UINT64_MAX);
   report->columns = (uint32_t)take_number (fields, UINT32_MAX);
   struct fields values = take_array (fields, PEER_REPORT_VALUES_MAX);
-  report->value_count = values.left;
-  report->values = xcalloc (values.left, sizeof *report->values);
+  report->value_count = values.remaining;
+  report->values = xcalloc (values.remaining, sizeof *report->values);
   for (size_t i = 0; i < report->value_count; i++)
     report->values[i] = take_signed (&values);
   close_array (fields, &values);
   struct fields names = take_array (fields, PEER_REPORT_NAMES_MAX);
-  report->name_count = names.left;
-  report->names = xcalloc (names.left, sizeof *report->names);
+  report->name_count = names.remaining;
+  report->names = xcalloc (names.remaining, sizeof *report->names);
   for (size_t i = 0; i < report->name_count; i++)
     take_text (&names, report->names[i], sizeof report->names[i]);
   close_array (fields, &names);
   if (report->value_count > 0
       && (report->columns == 0 || report->value_count % report->columns != 0))
-    fields->is_bad = true;
+    fields->failed = true;
 }
 
 static void
-get_fields (struct fields *fields, struct peer_message *message)
+decode_fields (struct fields *fields, struct peer_message *message)
 {
   switch (message->type)
     {
     case PEER_HELLO:
-      get_hello (fields, &message->hello);
+      decode_hello (fields, &message->hello);
       break;
     case PEER_PROOF:
       take_bytes (fields, message->proof.mac, sizeof message->proof.mac);
       break;
     case PEER_HEARTBEAT:
     case PEER_HEARTBEAT_ACK:
-      get_heartbeat (fields, &message->heartbeat);
+      decode_heartbeat (fields, &message->heartbeat);
       break;
     case PEER_INDIRECT_CHECK:
     case PEER_INDIRECT_RESULT:
@@ -317,21 +320,21 @@
       message->indirect.reachable = take_bool (fields);
       break;
     case PEER_MEMBERS:
-      get_members (fields, &message->members);
+      decode_members (fields, &message->members);
       break;
     case PEER_SETTINGS_DIGEST:
-      get_digest (fields, &message->digest);
+      decode_digest (fields, &message->digest);
       break;
     case PEER_SETTINGS_OFFER:
     case PEER_SETTINGS_PULL:
-      get_entries (fields, &message->settings);
+      decode_entries (fields, &message->settings);
       break;
     case PEER_SETTINGS_PUSH:
-      get_push (fields, &message->push);
+      decode_push (fields, &message->push);
       break;
     case PEER_IN_FORCE_REQUEST:
     case PEER_IN_FORCE_ANSWER:
-      get_in_force (fields, &message->in_force);
+      decode_in_force (fields, &message->in_force);
       break;
     case PEER_EVIDENCE:
     case PEER_DECISION:
@@ -341,7 +344,7 @@
     case PEER_QUOTA_GRANT:
     case PEER_POISON:
     case PEER_LIMITS:
-      get_report (fields, &message->report);
+      decode_report (fields, &message->report);
       break;
     case PEER_TYPE_END:
       break;
@@ -349,24 +352,24 @@
 }
 
 static void
-get_message (const msgpack_object *root, struct fields *fields,
+decode_root (const msgpack_object *root, struct fields *fields,
              struct peer_message *message)
 {
   if (root->type != MSGPACK_OBJECT_ARRAY)
     {
-      fields->is_bad = true;
+      fields->failed = true;
       return;
     }
   fields->next = root->via.array.ptr;
-  fields->left = root->via.array.size;
+  fields->remaining = root->via.array.size;
   const uint64_t type = take_number (fields, PEER_TYPE_END - 1);
-  if (fields->is_bad || type < PEER_HELLO)
+  if (fields->failed || type < PEER_HELLO)
     {
-      fields->is_bad = true;
+      fields->failed = true;
       return;
     }
   message->type = (enum peer_type)type;
-  get_fields (fields, message);
+  decode_fields (fields, message);
 }
 
 enum status
@@ -377,21 +380,21 @@
   msgpack_unpacked unpacked;
   msgpack_unpacked_init (&unpacked);
   size_t offset = 0;
-  struct fields fields = { .is_bad = false };
+  struct fields fields = { .failed = false };
   if (!msgpack_sizes_valid (data, size)
       || msgpack_unpack_next (&unpacked, data, size, &offset)
              != MSGPACK_UNPACK_SUCCESS)
-    fields.is_bad = true;
+    fields.failed = true;
   else
-    get_message (&unpacked.data, &fields, message);
+    decode_root (&unpacked.data, &fields, message);
   msgpack_unpacked_destroy (&unpacked);
-  if (!fields.is_bad && fields.left == 0)
+  if (!fields.failed && fields.remaining == 0)
     return STATUS_OK;
   const char *name = peer_type_name (message->type);
   peer_message_release (message);
   return status_set (STATUS_INVALID,
-                     "peer message (%s, %zu bytes) isn't as expected: do "
-                     "all hosts run the same version of jaystaird?",
+                     "invalid peer message (%s, %zu bytes); check that all "
+                     "hosts run the same version of jaystaird",
                      name, size);
 }
 
--- a/wire/peer/peer_encode.c
+++ b/wire/peer/peer_encode.c
@@ -58,16 +58,16 @@
   msgpack_pack_array (packer, members->count);
   for (size_t i = 0; i < members->count; i++)
     {
-      const struct peer_member_update *verdict = &members->updates[i];
+      const struct peer_member_update *update = &members->updates[i];
       msgpack_pack_array (packer, 8);
-      msgpack_pack_uint64 (packer, verdict->host_key);
-      msgpack_pack_uint64 (packer, verdict->incarnation);
-      msgpack_pack_uint32 (packer, verdict->counter);
-      msgpack_pack_uint8 (packer, verdict->state);
-      put_string (packer, verdict->name);
-      put_string (packer, verdict->dc);
-      put_string (packer, verdict->peer_address);
-      put_string (packer, verdict->caller_address);
+      msgpack_pack_uint64 (packer, update->host_key);
+      msgpack_pack_uint64 (packer, update->incarnation);
+      msgpack_pack_uint32 (packer, update->counter);
+      msgpack_pack_uint8 (packer, update->state);
+      put_string (packer, update->name);
+      put_string (packer, update->dc);
+      put_string (packer, update->peer_address);
+      put_string (packer, update->caller_address);
     }
 }
 
@@ -129,9 +129,9 @@
     put_string (packer, report->names[i]);
 }
 
-/* How many elements the message's array has, its type included. */
+/* Number of elements in the array of a message, including the type. */
 static size_t
-width (enum peer_type type)
+element_count (enum peer_type type)
 {
   switch (type)
     {
@@ -229,7 +229,7 @@
   msgpack_packer packer;
   msgpack_sbuffer_init (&buffer);
   msgpack_packer_init (&packer, &buffer, msgpack_sbuffer_write);
-  msgpack_pack_array (&packer, width (message->type));
+  msgpack_pack_array (&packer, element_count (message->type));
   msgpack_pack_uint8 (&packer, (uint8_t)message->type);
   put_fields (&packer, message);
   *size = buffer.size;
--- a/wire/peer/peer_link.c
+++ b/wire/peer/peer_link.c
@@ -17,10 +17,11 @@
 
 enum
 {
-  BACKOFF_FIRST_MS = 100,
+  BACKOFF_INITIAL_MS = 100,
   BACKOFF_MAX_MS = 5000,
-  /** Sent bytes may go unacknowledged so long, then the path is broken. */
-  UNACKNOWLEDGED_MS = 10000,
+  /** TCP_USER_TIMEOUT: sent data that stays unacknowledged for longer breaks
+   * the connection. */
+  UNACKNOWLEDGED_TIMEOUT_MS = 10000,
 };
 
 struct peer_link
@@ -35,10 +36,10 @@
 };
 
 static void
-connect_later (struct peer_link *link)
+schedule_reconnect (struct peer_link *link)
 {
-  const double part = 0.5 + 0.5 * rng_unit (&link->random);
-  ev_timer_set (&link->retry, link->backoff_ms * part / 1000.0, 0);
+  const double jitter = 0.5 + 0.5 * rng_unit (&link->random);
+  ev_timer_set (&link->retry, link->backoff_ms * jitter / 1000.0, 0);
   ev_timer_start (link->options.loop, &link->retry);
   link->backoff_ms *= 2;
   if (link->backoff_ms > BACKOFF_MAX_MS)
@@ -46,11 +47,11 @@
 }
 
 static void
-drop (struct peer_link *link)
+disconnect (struct peer_link *link)
 {
   peer_conn_destroy (link->conn);
   link->conn = NULL;
-  connect_later (link);
+  schedule_reconnect (link);
 }
 
 static void
@@ -63,10 +64,10 @@
       LOG_WARN ("address-moved", LOG_STR ("address", link->address),
                 LOG_STR ("expected", link->name),
                 LOG_STR ("found", hello->name));
-      drop (link);
+      disconnect (link);
       return;
     }
-  link->backoff_ms = BACKOFF_FIRST_MS;
+  link->backoff_ms = BACKOFF_INITIAL_MS;
   link->options.events->ready (link->options.owner, link);
 }
 
@@ -84,15 +85,16 @@
   struct peer_link *link = owner;
   LOG_DBG ("link-down", LOG_STR ("address", link->address),
            LOG_STR ("why", status_message ()));
-  drop (link);
+  disconnect (link);
 }
 
 static const struct peer_conn_events conn_events
     = { .ready = conn_ready, .message = conn_message, .closed = conn_closed };
 
-/* A socket that has begun to connect, or -1. */
+/* Opens a socket and starts to connect it.
+   @return its descriptor, or -1. */
 static int
-open_socket (const char *text)
+start_connect (const char *text)
 {
   struct sockaddr_storage address;
   socklen_t size;
@@ -103,7 +105,7 @@
   if (fd < 0)
     return -1;
   const int on = 1;
-  const unsigned int timeout_ms = UNACKNOWLEDGED_MS;
+  const unsigned int timeout_ms = UNACKNOWLEDGED_TIMEOUT_MS;
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
               sizeof timeout_ms);
@@ -117,10 +119,10 @@
 static void
 connect_now (struct peer_link *link)
 {
-  const int fd = open_socket (link->address);
+  const int fd = start_connect (link->address);
   if (fd < 0)
     {
-      connect_later (link);
+      schedule_reconnect (link);
       return;
     }
   const struct peer_conn_options options
@@ -145,7 +147,7 @@
 {
   struct peer_link *link = xcalloc (1, sizeof *link);
   link->options = *options;
-  link->backoff_ms = BACKOFF_FIRST_MS;
+  link->backoff_ms = BACKOFF_INITIAL_MS;
   strncpy (link->address, options->address, sizeof link->address - 1);
   strncpy (link->name, options->name, sizeof link->name - 1);
   rng_seed (&link->random, options->seed);
@@ -169,7 +171,8 @@
 peer_link_send (struct peer_link *link, const struct peer_message *message)
 {
   if (link->conn == NULL)
-    return status_set (STATUS_UNREACHABLE, "no link to %s now", link->address);
+    return status_set (STATUS_UNREACHABLE, "the link to %s is down",
+                       link->address);
   return peer_conn_send (link->conn, message);
 }
 
--- a/wire/peer/peer_link.h
+++ b/wire/peer/peer_link.h
@@ -1,6 +1,6 @@
 /** @file
- * A connection that this host keeps open to another one, made again with
- * back-off when it breaks.
+ * A persistent connection to another host, reconnected with exponential
+ * backoff when it breaks.
  */
 #ifndef WIRE_PEER_PEER_LINK_H
 #define WIRE_PEER_PEER_LINK_H
@@ -28,23 +28,25 @@
   const struct peer_link_events *events;
   void *owner;
   const char *address; /**< IP:PORT; copied */
-  /** Who must answer there; "" for a seed, where anybody may. Copied. */
+  /** Expected name of the host at this address; "" for a seed, where any
+   * host may answer.  Copied. */
   const char *name;
-  uint64_t seed; /**< spreads reconnections */
+  uint64_t seed; /**< of the random part of the backoff */
   uint32_t idle_timeout_ms;
 };
 
-/** Starts to connect at once. */
+/** Create a link, which starts to connect immediately. */
 struct peer_link *peer_link_create (const struct peer_link_options *options);
 void peer_link_destroy (struct peer_link *link);
 
-/** Queue MESSAGE.  STATUS_UNREACHABLE while the link is down,
- * STATUS_LIMIT when too much waits. */
+/** Queue MESSAGE.
+ * @return STATUS_UNREACHABLE while the link is down, STATUS_LIMIT if the
+ * queue is full. */
 enum status peer_link_send (struct peer_link *link,
                             const struct peer_message *message);
 
 bool peer_link_is_ready (const struct peer_link *link);
-/** Who answered, once ready. */
+/** The peer's HELLO, once ready. */
 const struct peer_hello *peer_link_hello (const struct peer_link *link);
 /** The address it connects to. */
 const char *peer_link_address (const struct peer_link *link);
--- a/wire/peer/peer_message.h
+++ b/wire/peer/peer_message.h
@@ -1,10 +1,10 @@
 /** @file
- * Typed messages between hosts, and their MessagePack form.
+ * Typed messages between hosts, encoded as MessagePack.
  *
  * On the wire a message is one frame (frame.h) that holds an array: the type
- * number, then the fields in the order of the struct.  Decoding is strict:
- * a wrong type, count or length, a name that isn't ended, or bytes left over
- * make the message invalid, and the connection that sent it is closed.
+ * number, then the fields in the order of the struct.  Decoding is strict: a
+ * wrong type, count or length, a string with an embedded NUL or trailing bytes
+ * make the message invalid, and its connection is closed.
  */
 #ifndef WIRE_PEER_MESSAGE_H
 #define WIRE_PEER_MESSAGE_H
@@ -21,7 +21,7 @@
 #define PEER_PROOF_SIZE 32
 #define PEER_KIND_SIZE 32
 
-/** Bounds of one message; decoding refuses more. */
+/** Limits of one message, checked when decoding. */
 enum peer_limit
 {
   PEER_MEMBER_UPDATES_MAX = 64,
@@ -32,7 +32,7 @@
   PEER_VALUE_MAX_BYTES = 1024 * 1024,
 };
 
-/** What a message is; the numbers are part of the protocol. */
+/** Message types; the numbers are part of the protocol. */
 enum peer_type
 {
   PEER_HELLO = 1,
@@ -48,18 +48,18 @@
   PEER_SETTINGS_PUSH = 11,
   PEER_IN_FORCE_REQUEST = 12,
   PEER_IN_FORCE_ANSWER = 13,
-  PEER_EVIDENCE = 14, /**< from an observing host to a service's owner */
-  PEER_DECISION = 15, /**< from a service's owner to the observing hosts */
-  PEER_DEMAND = 16,   /**< slots a host asks of a service's owner */
-  PEER_OUTCOMES = 17, /**< how attempts ended, to the hosts of a set */
-  PEER_QUOTA_REQUEST = 18, /**< tokens a host wants, and its share lent */
-  PEER_QUOTA_GRANT = 19,   /**< a keeper's answer */
+  PEER_EVIDENCE = 14,      /**< from an observing host to a service's owner */
+  PEER_DECISION = 15,      /**< from a service's owner to observing hosts */
+  PEER_DEMAND = 16,        /**< slots requested from a service's owner */
+  PEER_OUTCOMES = 17,      /**< outcomes of attempts, to the hosts of a set */
+  PEER_QUOTA_REQUEST = 18, /**< requested tokens, lease of a share */
+  PEER_QUOTA_GRANT = 19,   /**< a quota coordinator's answer */
   PEER_POISON = 20,        /**< requests that crash targets */
   PEER_LIMITS = 21,        /**< rate limits of targets */
   PEER_TYPE_END
 };
 
-/** Who is at the other end; the first message in both directions. */
+/** Identity of the sender; the first message in both directions. */
 struct peer_hello
 {
   char name[PEER_NAME_SIZE];
@@ -67,40 +67,45 @@
   char peer_address[PEER_ADDRESS_SIZE];
   char caller_address[PEER_ADDRESS_SIZE];
   char operator_address[PEER_ADDRESS_SIZE];
-  uint64_t incarnation; /**< random at each start, growing in its high part */
-  uint32_t capacity;    /**< requests a second it can carry */
+  /** Number of the host's start: the high part grows with time, the low part
+   * is random. */
+  uint64_t incarnation;
+  uint32_t capacity; /**< requests per second that it can serve */
   uint8_t nonce[PEER_NONCE_SIZE];
 };
 
-/** Shows that the sender holds the shared secret; see peer_auth.h. */
+/** Proof that the sender has the shared secret; see peer_auth.h. */
 struct peer_proof
 {
-  uint8_t mac[PEER_PROOF_SIZE]; /**< zeros when no secret is set */
+  uint8_t mac[PEER_PROOF_SIZE]; /**< all zeros if no secret is set */
 };
 
-/** "I'm here": also sent back, with the same sequence, as the answer. */
+/** A heartbeat, and its acknowledgement, which has the same sequence. */
 struct peer_heartbeat
 {
   uint64_t sequence;
-  uint32_t relay_age_ms; /**< since the sender heard platform or relay */
+  /** Time since the sender had contact with the platform or a relay. */
+  uint32_t relay_age_ms;
   bool leaving;
-  bool return_requested;  /**< the sender watches the receiver by itself */
-  uint64_t settings_hash; /**< of all settings the sender holds */
-  /** The sender's proof that the fleet's configuration in force there was the
-   * newest; see policy/access/freshness.h. */
+  /** Only the sender monitors the receiver, which is to monitor it in
+   * return. */
+  bool return_requested;
+  uint64_t settings_hash; /**< of all settings that the sender holds */
+  /** The sender's proof that its active fleet configuration was the newest;
+   * see policy/access/freshness.h. */
   uint64_t config_version;
-  uint32_t config_age_ms; /**< FRESHNESS_AGE_UNKNOWN_MS: none */
+  uint32_t config_age_ms; /**< FRESHNESS_AGE_UNKNOWN_MS: no proof */
 };
 
-/** "Can you reach that host?", and the answer. */
+/** Indirect check of a host through the receiver, and its result. */
 struct peer_indirect
 {
   uint64_t host_key; /**< hash_string() of the host's name */
-  bool reachable;    /**< in the answer: it answered lately */
+  bool reachable;    /**< in the result: it answered recently */
 };
 
-/** What the sender believes of one host.  Address fields are empty unless
- * the platform's list doesn't show this host. */
+/** The sender's view of one host.  The address fields are set only if the
+ * platform's list doesn't include the host. */
 struct peer_member_update
 {
   uint64_t host_key;
@@ -119,56 +124,59 @@
   size_t count;
 };
 
-/** Hash of all settings, or of each bucket of them. */
+/** Hash of all settings, and optionally of each bucket of them. */
 struct peer_settings_digest
 {
-  bool answer_requested; /**< send the digest of your buckets back */
+  /** Reply with the hashes of the receiver's buckets. */
+  bool answer_requested;
   uint64_t total_hash;
-  uint64_t *bucket_hashes; /**< none, or one hash a bucket */
+  uint64_t *bucket_hashes; /**< none, or one per bucket */
   size_t count;
 };
 
-/** One object by the hash of kind and name. */
+/** Version of one object. */
 struct peer_settings_entry
 {
-  uint64_t key;
+  uint64_t key; /**< hash of its kind and name */
   uint64_t version;
 };
 
-/** In an offer: what the sender holds.  In a pull: what it asks for. */
+/** In an offer: the objects that the sender holds.  In a pull: those that it
+ * requests. */
 struct peer_settings_entries
 {
   struct peer_settings_entry *entries;
   size_t count;
 };
 
-/** One object of the platform, or its removal. */
+/** An object of the platform, or its removal. */
 struct peer_settings_push
 {
   char kind[PEER_KIND_SIZE];
   char name[PEER_NAME_SIZE];
   uint64_t version;
-  char *value; /**< JSON text with a NUL; NULL: removed */
+  char *value; /**< NUL-terminated JSON; NULL: removed */
 };
 
-/** "Is this version of a service in force at your host?" */
+/** Query whether a version of a service is active at the receiver, and the
+ * answer. */
 struct peer_in_force
 {
   uint64_t request_id;
   char service[PEER_NAME_SIZE];
-  uint64_t version; /**< asked for; in the answer: the one in force */
+  uint64_t version; /**< queried; in the answer: the active one */
 };
 
-/** EVIDENCE, DECISION, DEMAND, OUTCOMES, QUOTA_* and POISON: rows of
- * fixed-width numbers, whose columns the sender and receiver share, and names
- * that go with the rows. */
+/** Table of integers with names that belong to the rows, for EVIDENCE,
+ * DECISION, DEMAND, OUTCOMES, QUOTA_*, POISON and LIMITS.  Sender and receiver
+ * agree on the columns. */
 struct peer_report
 {
   char service[PEER_NAME_SIZE];
   uint64_t epoch;
   uint64_t sequence;
   uint32_t columns;
-  int64_t *values;    /**< rows * columns of them */
+  int64_t *values;    /**< rows * columns values */
   size_t value_count; /**< a multiple of columns */
   char (*names)[PEER_NAME_SIZE];
   size_t name_count;
@@ -188,23 +196,24 @@
     struct peer_settings_entries settings; /**< OFFER, PULL */
     struct peer_settings_push push;
     struct peer_in_force in_force; /**< IN_FORCE_ASK, _ANSWER */
-    struct peer_report report;     /**< EVIDENCE to POISON */
+    struct peer_report report;     /**< EVIDENCE to LIMITS */
   };
 };
 
-/** The type's name as in logs: "heartbeat", "evidence", ... */
+/** Name of TYPE as logged: "heartbeat", "evidence", ... */
 const char *peer_type_name (enum peer_type type);
 
-/** Encode MESSAGE into new memory.
- * @return the bytes, *SIZE of them, without the frame's length. */
+/** Encode MESSAGE, without the frame header.
+ * @return *SIZE bytes in new memory. */
 char *peer_message_encode (const struct peer_message *message, size_t *size);
 
-/** Decode SIZE bytes.  What *MESSAGE points to is released with
- * peer_message_release(); on failure (STATUS_INVALID) nothing is held. */
+/** Decode SIZE bytes into *MESSAGE, which must be released with
+ * peer_message_release() after success.
+ * @return STATUS_INVALID, with nothing allocated, on failure. */
 enum status peer_message_decode (const char *data, size_t size,
                                  struct peer_message *message);
 
-/** Free what a decoded message points to. */
+/** Free the memory that a decoded message refers to. */
 void peer_message_release (struct peer_message *message);
 
 #endif
--- a/wire/peer/peer_server.c
+++ b/wire/peer/peer_server.c
@@ -18,16 +18,16 @@
 
 enum
 {
-  BACKLOG = 128,
-  ACCEPTS_PER_WAKE = 16,
+  LISTEN_BACKLOG = 128,
+  ACCEPTS_PER_EVENT = 16,
 };
 
-struct accepted
+struct accepted_conn
 {
   struct peer_server *server;
   struct peer_conn *conn;
-  struct accepted *prev;
-  struct accepted *next;
+  struct accepted_conn *prev;
+  struct accepted_conn *next;
 };
 
 struct peer_server
@@ -35,7 +35,7 @@
   struct peer_server_options options;
   struct ev_io listener;
   int fd;
-  struct accepted *accepted;
+  struct accepted_conn *accepted_conn;
   uint32_t count;
 };
 
@@ -43,7 +43,7 @@
 conn_ready (void *owner, struct peer_conn *conn)
 {
   const struct peer_server_options *options
-      = &((struct accepted *)owner)->server->options;
+      = &((struct accepted_conn *)owner)->server->options;
   if (options->events->ready != NULL)
     options->events->ready (options->owner, conn);
 }
@@ -53,35 +53,35 @@
               const struct peer_message *message)
 {
   const struct peer_server_options *options
-      = &((struct accepted *)owner)->server->options;
+      = &((struct accepted_conn *)owner)->server->options;
   options->events->message (options->owner, conn, message);
 }
 
 static void
-drop (struct accepted *accepted)
+remove_connection (struct accepted_conn *accepted_conn)
 {
-  struct peer_server *server = accepted->server;
-  DL_DELETE (server->accepted, accepted);
+  struct peer_server *server = accepted_conn->server;
+  DL_DELETE (server->accepted_conn, accepted_conn);
   server->count--;
-  peer_conn_destroy (accepted->conn);
-  free (accepted);
+  peer_conn_destroy (accepted_conn->conn);
+  free (accepted_conn);
 }
 
 static void
 conn_closed (void *owner, struct peer_conn *conn)
 {
-  struct accepted *accepted = owner;
-  const struct peer_server_options *options = &accepted->server->options;
+  struct accepted_conn *accepted_conn = owner;
+  const struct peer_server_options *options = &accepted_conn->server->options;
   if (options->events->closed != NULL)
     options->events->closed (options->owner, conn);
-  drop (accepted);
+  remove_connection (accepted_conn);
 }
 
 static const struct peer_conn_events conn_events
     = { .ready = conn_ready, .message = conn_message, .closed = conn_closed };
 
 static void
-adopt (struct peer_server *server, int fd)
+add_connection (struct peer_server *server, int fd)
 {
   if (server->count == PEER_SERVER_CONNECTIONS_MAX)
     {
@@ -91,17 +91,17 @@
     }
   const int on = 1;
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  struct accepted *accepted = xcalloc (1, sizeof *accepted);
-  accepted->server = server;
+  struct accepted_conn *accepted_conn = xcalloc (1, sizeof *accepted_conn);
+  accepted_conn->server = server;
   const struct peer_conn_options options
       = { .loop = server->options.loop,
           .identity = server->options.identity,
           .events = &conn_events,
-          .owner = accepted,
+          .owner = accepted_conn,
           .fd = fd,
           .idle_timeout_ms = server->options.idle_timeout_ms };
-  accepted->conn = peer_conn_create (&options);
-  DL_APPEND (server->accepted, accepted);
+  accepted_conn->conn = peer_conn_create (&options);
+  DL_APPEND (server->accepted_conn, accepted_conn);
   server->count++;
 }
 
@@ -109,13 +109,13 @@
 accept_cb (struct ev_loop *loop, struct ev_io *watcher, int events)
 {
   struct peer_server *server = watcher->data;
-  for (int i = 0; i < ACCEPTS_PER_WAKE; i++)
+  for (int i = 0; i < ACCEPTS_PER_EVENT; i++)
     {
       const int fd
           = accept4 (server->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd < 0)
         return;
-      adopt (server, fd);
+      add_connection (server, fd);
     }
 }
 
@@ -134,11 +134,11 @@
   const int on = 1;
   setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (bind (fd, (struct sockaddr *)&address, size) < 0
-      || listen (fd, BACKLOG) < 0)
+      || listen (fd, LISTEN_BACKLOG) < 0)
     {
       const enum status failed = status_errno (
-          "peer_address %s can't be listened on; choose another, or end "
-          "what uses it",
+          "can't listen on peer_address %s; choose another address, or stop "
+          "the process that uses it",
           text);
       close (fd);
       return failed;
@@ -172,11 +172,11 @@
     return;
   ev_io_stop (server->options.loop, &server->listener);
   close (server->fd);
-  struct accepted *accepted;
-  struct accepted *next;
-  DL_FOREACH_SAFE (server->accepted, accepted, next)
+  struct accepted_conn *accepted_conn;
+  struct accepted_conn *next;
+  DL_FOREACH_SAFE (server->accepted_conn, accepted_conn, next)
   {
-    drop (accepted);
+    remove_connection (accepted_conn);
   }
   free (server);
 }
@@ -187,13 +187,13 @@
   union
   {
     struct sockaddr any;
-    struct sockaddr_in four;
-    struct sockaddr_in6 six;
-  } address = { .six = { .sin6_family = AF_UNSPEC } };
+    struct sockaddr_in ipv4;
+    struct sockaddr_in6 ipv6;
+  } address = { .ipv6 = { .sin6_family = AF_UNSPEC } };
   socklen_t size = sizeof address;
   if (getsockname (server->fd, &address.any, &size) != 0)
     return 0;
   if (address.any.sa_family == AF_INET6)
-    return ntohs (address.six.sin6_port);
-  return ntohs (address.four.sin_port);
+    return ntohs (address.ipv6.sin6_port);
+  return ntohs (address.ipv4.sin_port);
 }
--- a/wire/peer/peer_server.h
+++ b/wire/peer/peer_server.h
@@ -1,5 +1,5 @@
 /** @file
- * The listener for connections that other hosts open.
+ * Listener for connections that other hosts open.
  */
 #ifndef WIRE_PEER_PEER_SERVER_H
 #define WIRE_PEER_PEER_SERVER_H
@@ -14,7 +14,7 @@
 
 enum peer_server_limit
 {
-  /** Most connections accepted at once. */
+  /** Maximum number of open connections. */
   PEER_SERVER_CONNECTIONS_MAX = 1024,
 };
 
@@ -22,8 +22,8 @@
 {
   struct ev_loop *loop;
   struct peer_identity *identity;
-  /** `message` and `ready` of accepted connections; `closed` is told after
-   * the last message and needs no destroying.  May be NULL each. */
+  /** Callbacks of accepted connections.  `ready` and `closed` may be NULL.
+   * After `closed` the server itself destroys the connection. */
   const struct peer_conn_events *events;
   void *owner;
   const char *address; /**< IP:PORT to listen on */
@@ -34,7 +34,7 @@
                                 struct peer_server **server);
 void peer_server_destroy (struct peer_server *server);
 
-/** The port listened on, for tests that ask for port 0. */
+/** Port that the server listens on, for tests that use port 0. */
 uint16_t peer_server_port (const struct peer_server *server);
 
 #endif
--- a/wire/peer/tests/peer_link_test.cc
+++ b/wire/peer/tests/peer_link_test.cc
@@ -28,12 +28,13 @@
   return identity;
 }
 
-/* A server and a link on one loop; both sides count what they see. */
-class pair
+/* A server and a link on one event loop; both sides count what they receive.
+ */
+class link_pair
 {
 public:
-  pair (const char *server_secret, const char *link_secret,
-        const char *expected = "s")
+  link_pair (const char *server_secret, const char *link_secret,
+             const char *expected = "s")
       : server_identity (make_identity ("s", server_secret)),
         link_identity (make_identity ("c", link_secret))
   {
@@ -50,14 +51,14 @@
       0
     };
     link = peer_link_create (&link_options);
-    ev_timer_init (&limit, limit_cb, 60, 0);
-    limit.data = this;
-    ev_timer_start (loop, &limit);
+    ev_timer_init (&timeout, timeout_cb, 60, 0);
+    timeout.data = this;
+    ev_timer_start (loop, &timeout);
   }
 
-  ~pair ()
+  ~link_pair ()
   {
-    ev_timer_stop (loop, &limit);
+    ev_timer_stop (loop, &timeout);
     peer_link_destroy (link);
     peer_server_destroy (server);
     ev_loop_destroy (loop);
@@ -67,7 +68,7 @@
   bool
   run_until (condition is_met)
   {
-    while (!is_met () && !is_over)
+    while (!is_met () && !timed_out)
       ev_run (loop, EVRUN_ONCE);
     return is_met ();
   }
@@ -77,7 +78,7 @@
   peer_server *server = nullptr;
   peer_link *link = nullptr;
   std::string address;
-  int readies = 0;
+  int ready_count = 0;
   uint64_t received = 0;
   uint64_t echoed = 0;
 
@@ -85,7 +86,7 @@
   static void
   server_message (void *owner, peer_conn *conn, const peer_message *message)
   {
-    auto *self = (pair *)owner;
+    auto *self = (link_pair *)owner;
     EXPECT_EQ (message->heartbeat.sequence, self->received);
     self->received++;
     peer_message answer = *message;
@@ -96,34 +97,34 @@
   static void
   link_ready (void *owner, peer_link *link)
   {
-    ((pair *)owner)->readies++;
+    ((link_pair *)owner)->ready_count++;
   }
 
   static void
   link_message (void *owner, peer_link *link, const peer_message *message)
   {
-    auto *self = (pair *)owner;
+    auto *self = (link_pair *)owner;
     EXPECT_EQ (message->heartbeat.sequence, self->echoed);
     self->echoed++;
   }
 
   static void
-  limit_cb (struct ev_loop *loop, ev_timer *watcher, int events)
+  timeout_cb (struct ev_loop *loop, ev_timer *watcher, int events)
   {
-    ((pair *)watcher->data)->is_over = true;
+    ((link_pair *)watcher->data)->timed_out = true;
   }
 
-  ev_timer limit;
-  bool is_over = false;
+  ev_timer timeout;
+  bool timed_out = false;
 };
 
 const char secret_a[] = "0123456789abcdef";
 const char secret_b[] = "0123456789abcdeF";
 }
 
-TEST (PeerLink, WhatIsSentBeforeTheHandshakeArrivesInOrder)
+TEST (PeerLink, MessagesSentBeforeTheHandshakeArriveInOrder)
 {
-  pair p (secret_a, secret_a);
+  link_pair p (secret_a, secret_a);
   peer_message message = {};
   message.type = PEER_HEARTBEAT;
   for (uint64_t i = 0; i < 5000; i++)
@@ -145,7 +146,7 @@
       = { { secret_a, secret_b }, { secret_a, "" }, { "", secret_a } };
   for (const auto &secrets : pairs)
     {
-      pair p (secrets[0], secrets[1]);
+      link_pair p (secrets[0], secrets[1]);
       peer_message message = {};
       message.type = PEER_HEARTBEAT;
       peer_link_send (p.link, &message);
@@ -155,36 +156,36 @@
                > 2;
       }));
       EXPECT_EQ (p.received, 0u);
-      EXPECT_EQ (p.readies, 0);
+      EXPECT_EQ (p.ready_count, 0);
     }
 }
 
-TEST (PeerLink, WithoutASecretHostsMeet)
+TEST (PeerLink, HostsConnectWithoutASecret)
 {
-  pair p ("", "");
-  EXPECT_TRUE (p.run_until ([&] { return p.readies == 1; }));
+  link_pair p ("", "");
+  EXPECT_TRUE (p.run_until ([&] { return p.ready_count == 1; }));
 }
 
-/* A host is replaced and its address goes to another.  Evidence meant for
-   the old one must not reach the new one. */
-TEST (PeerLink, AnotherHostAtTheAddressIsNotTalkedTo)
+/* The address of a replaced host may be reused by another host, which must not
+   receive messages for the old one. */
+TEST (PeerLink, RefusesAnotherHostAtTheAddress)
 {
-  pair p ("", "", "somebody-else");
+  link_pair p ("", "", "somebody-else");
   peer_message message = {};
   message.type = PEER_HEARTBEAT;
   peer_link_send (p.link, &message);
-  /* The link gives up once the HELLO is in, and tries again later. */
+  /* The link disconnects once it has the HELLO, and retries later. */
   EXPECT_TRUE (p.run_until ([&] {
     return peer_link_send (p.link, &message) == STATUS_UNREACHABLE;
   }));
-  EXPECT_EQ (p.readies, 0);
+  EXPECT_EQ (p.ready_count, 0);
   EXPECT_FALSE (peer_link_is_ready (p.link));
 }
 
 namespace
 {
 int
-connect_raw (const pair &p)
+connect_raw (const link_pair &p)
 {
   const int fd = socket (AF_INET, SOCK_STREAM, 0);
   sockaddr_in to = {};
@@ -205,12 +206,12 @@
 }
 }
 
-/* A stranger doesn't wait for our proof: it says HELLO, sends an empty proof
-   and a message at once.  The message mustn't be acted on. */
-TEST (PeerLink, AStrangersMessageIsNotActedOn)
+/* An unauthenticated client may send a HELLO, an empty proof and a message
+   without waiting.  The message must not be handled. */
+TEST (PeerLink, AnUnauthenticatedMessageIsNotHandled)
 {
-  pair p (secret_a, secret_a);
-  ASSERT_TRUE (p.run_until ([&] { return p.readies == 1; }));
+  link_pair p (secret_a, secret_a);
+  ASSERT_TRUE (p.run_until ([&] { return p.ready_count == 1; }));
   peer_message hello = {}, proof = {}, heartbeat = {};
   hello.type = PEER_HELLO;
   strcpy (hello.hello.name, "stranger");
@@ -230,11 +231,12 @@
   peer_buffer_release (&buffer);
 }
 
-/* Something that isn't jaystaird connects. */
+/* Invalid input, for example of a foreign program, must close only its own
+   connection. */
 TEST (PeerLink, GarbageClosesItsConnectionOnlyAndIsCounted)
 {
-  pair p (secret_a, secret_a);
-  ASSERT_TRUE (p.run_until ([&] { return p.readies == 1; }));
+  link_pair p (secret_a, secret_a);
+  ASSERT_TRUE (p.run_until ([&] { return p.ready_count == 1; }));
   rng random;
   rng_seed (&random, 61);
   for (int round = 0; round < 30; round++)
@@ -255,5 +257,5 @@
   message.type = PEER_HEARTBEAT;
   peer_link_send (p.link, &message);
   EXPECT_TRUE (p.run_until ([&] { return p.echoed == 1; }));
-  EXPECT_EQ (p.readies, 1);
+  EXPECT_EQ (p.ready_count, 1);
 }
--- a/wire/peer/tests/peer_message_test.cc
+++ b/wire/peer/tests/peer_message_test.cc
@@ -26,7 +26,7 @@
   return text;
 }
 
-/* One message of each type, filled as full as matters. */
+/* A message of each type, with all relevant fields set. */
 struct samples
 {
   samples ()
@@ -62,10 +62,10 @@
         m.indirect = { 5, true };
         break;
       case PEER_MEMBERS:
-        verdict.host_key = 3;
-        verdict.state = 2;
-        strcpy (verdict.name, "h2");
-        m.members = { &verdict, 1 };
+        update.host_key = 3;
+        update.state = 2;
+        strcpy (update.name, "h2");
+        m.members = { &update, 1 };
         break;
       case PEER_SETTINGS_DIGEST:
         m.digest = { true, 99, buckets, PEER_BUCKETS_MAX };
@@ -98,7 +98,7 @@
     return m;
   }
 
-  peer_member_update verdict = {};
+  peer_member_update update = {};
   uint64_t buckets[PEER_BUCKETS_MAX] = { 1, 2, 3 };
   peer_settings_entry entries[2] = { { 1, 2 }, { 1ull << 63, 4 } };
   char value[12] = "{\"a\": true}";
@@ -108,7 +108,7 @@
 };
 }
 
-TEST (PeerMessage, EachTypeSurvivesTheWire)
+TEST (PeerMessage, EachTypeDecodesToItself)
 {
   samples s;
   for (const auto &message : s.all)
@@ -124,10 +124,10 @@
     }
 }
 
-/* A link breaks in the middle, a foreign program connects, a bit flips: what
-   arrives is garbage.  It must be refused whole; a crash or a half-read
-   message would take a host out of service or put wrong settings in force. */
-TEST (PeerMessage, CutsAndGarbageAreRefusedWhole)
+/* Truncated or corrupted messages and input of foreign programs must be
+   refused completely: a crash would take a host out of service, and a partly
+   decoded message could activate wrong settings. */
+TEST (PeerMessage, TruncatedAndInvalidMessagesAreRefused)
 {
   samples s;
   rng random;
@@ -169,9 +169,9 @@
     }
 }
 
-/* Five bytes claim an array of four thousand million elements.  The codec
-   would allocate them before it looks for the first. */
-TEST (PeerMessage, AClaimBeyondTheBytesIsRefusedUnallocated)
+/* Five bytes can claim an array of four thousand million elements, which the
+   codec would allocate before it reads the first one. */
+TEST (PeerMessage, ASizeBeyondTheInputIsRefusedBeforeAllocation)
 {
   const char claims[][9]
       = { "\xdd\xff\xff\xff\xf0", "\xdf\x10\xff\xff\xff",
@@ -186,7 +186,7 @@
     }
 }
 
-TEST (PeerMessage, ARowThatIsNotWholeIsRefused)
+TEST (PeerMessage, AnIncompleteRowIsRefused)
 {
   samples s;
   peer_message message = s.make (PEER_EVIDENCE);
@@ -197,7 +197,7 @@
              STATUS_INVALID);
 }
 
-TEST (Frame, ComesOutWholeFromPiecesOfAnySize)
+TEST (Frame, IsReassembledFromPiecesOfAnySize)
 {
   rng random;
   rng_seed (&random, 52);
@@ -232,7 +232,7 @@
     }
 }
 
-TEST (Frame, EmptyAndOversizedOnesAreRefused)
+TEST (Frame, EmptyAndOversizedFramesAreRefused)
 {
   const char heads[][5] = { { 0, 0, 0, 0, 0 }, "\x7f\xff\xff\xff", "GET " };
   for (const auto &head : heads)
