--- a/wire/curl_loop.c
+++ b/wire/curl_loop.c
@@ -10,19 +10,19 @@
 
 static const double MS_PER_SECOND = 1000.0;
 
-/* One handle between curl_loop_start() and its done. */
+/* A handle between curl_loop_start() and its `done`. */
 struct curl_transfer
 {
   CURL *easy;
   curl_loop_done *done;
   void *owner;
-  bool added;     /* is in the multi handle */
-  bool cancelled; /* done is due from run_deferred() */
+  bool added;     /* to the multi handle */
+  bool cancelled; /* run_deferred() will call `done` */
   struct curl_transfer *prev;
   struct curl_transfer *next;
 };
 
-/* One socket that libcurl wants watched. */
+/* A socket that libcurl monitors. */
 struct curl_socket
 {
   struct curl_loop *cl;
@@ -36,8 +36,8 @@
   struct ev_loop *loop;
   CURLM *multi;
   ev_timer timer;
-  ev_prepare deferred; /* never started; only fed */
-  uint32_t depth;      /* of our calls into libcurl */
+  ev_prepare deferred; /* never started, only fed with events */
+  uint32_t depth;      /* nested calls into libcurl */
   uint32_t running;
   struct curl_transfer *transfers;
   struct curl_socket *sockets;
@@ -50,7 +50,7 @@
 }
 
 static void
-add (struct curl_loop *cl, struct curl_transfer *transfer)
+add_handle (struct curl_loop *cl, struct curl_transfer *transfer)
 {
   cl->depth++;
   const CURLMcode code = curl_multi_add_handle (cl->multi, transfer->easy);
@@ -61,7 +61,7 @@
 }
 
 static void
-drop (struct curl_loop *cl, struct curl_transfer *transfer)
+remove_handle (struct curl_loop *cl, struct curl_transfer *transfer)
 {
   if (!transfer->added)
     return;
@@ -73,9 +73,9 @@
   transfer->added = false;
 }
 
-/* TRANSFER is out of the multi handle: hand it back. */
+/* Returns TRANSFER, which has left the multi handle, to its owner. */
 static void
-finish (struct curl_loop *cl, struct curl_transfer *transfer, CURLcode code)
+complete (struct curl_loop *cl, struct curl_transfer *transfer, CURLcode code)
 {
   CURL *easy = transfer->easy;
   curl_loop_done *done = transfer->done;
@@ -95,33 +95,33 @@
   return (struct curl_transfer *)data;
 }
 
-/* The done of a transfer may start, cancel and so free others: each round
-   begins at libcurl's own queue, which forgets removed handles. */
+/* A `done` callback may start, cancel and thereby free other transfers, so
+   each iteration reads libcurl's own queue, which drops removed handles. */
 static void
-finish_completed (struct curl_loop *cl)
+complete_finished (struct curl_loop *cl)
 {
-  int left;
+  int remaining;
   const CURLMsg *message;
-  while ((message = curl_multi_info_read (cl->multi, &left)) != NULL)
+  while ((message = curl_multi_info_read (cl->multi, &remaining)) != NULL)
     {
       if (message->msg != CURLMSG_DONE)
         continue;
       const CURLcode code = message->data.result;
       struct curl_transfer *transfer = transfer_of (message->easy_handle);
       const bool cancelled = transfer->cancelled;
-      drop (cl, transfer);
-      finish (cl, transfer, cancelled ? CURLE_ABORTED_BY_CALLBACK : code);
+      remove_handle (cl, transfer);
+      complete (cl, transfer, cancelled ? CURLE_ABORTED_BY_CALLBACK : code);
     }
 }
 
 static void
-act (struct curl_loop *cl, curl_socket_t fd, int events)
+socket_action (struct curl_loop *cl, curl_socket_t fd, int events)
 {
   int running;
   cl->depth++;
   curl_multi_socket_action (cl->multi, fd, events, &running);
   cl->depth--;
-  finish_completed (cl);
+  complete_finished (cl);
 }
 
 static void
@@ -130,11 +130,11 @@
   const struct curl_socket *socket = io->data;
   const int bits = ((events & EV_READ) ? CURL_CSELECT_IN : 0)
                    | ((events & EV_WRITE) ? CURL_CSELECT_OUT : 0);
-  act (socket->cl, io->fd, bits);
+  socket_action (socket->cl, io->fd, bits);
 }
 
 static void
-arm (struct curl_loop *cl, long timeout_ms)
+set_timeout (struct curl_loop *cl, long timeout_ms)
 {
   ev_timer_stop (cl->loop, &cl->timer);
   if (timeout_ms < 0)
@@ -146,18 +146,18 @@
 static void
 on_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  act (timer->data, CURL_SOCKET_TIMEOUT, 0);
+  socket_action (timer->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
-set_timer (CURLM *multi, long timeout_ms, void *data)
+on_timeout_change (CURLM *multi, long timeout_ms, void *data)
 {
-  arm (data, timeout_ms);
+  set_timeout (data, timeout_ms);
   return 0;
 }
 
 static void
-forget_socket (struct curl_loop *cl, struct curl_socket *socket)
+remove_socket (struct curl_loop *cl, struct curl_socket *socket)
 {
   ev_io_stop (cl->loop, &socket->io);
   DL_DELETE (cl->sockets, socket);
@@ -165,7 +165,7 @@
 }
 
 static struct curl_socket *
-new_socket (struct curl_loop *cl, curl_socket_t fd)
+create_socket (struct curl_loop *cl, curl_socket_t fd)
 {
   struct curl_socket *socket = xcalloc (1, sizeof *socket);
   socket->cl = cl;
@@ -177,20 +177,20 @@
 }
 
 static int
-watch_socket (CURL *easy, curl_socket_t fd, int what, void *data,
-              void *socket_data)
+on_socket_change (CURL *easy, curl_socket_t fd, int what, void *data,
+                  void *socket_data)
 {
   struct curl_loop *cl = data;
   struct curl_socket *socket = socket_data;
   if (what == CURL_POLL_REMOVE)
     {
       if (socket != NULL)
-        forget_socket (cl, socket);
+        remove_socket (cl, socket);
       curl_multi_assign (cl->multi, fd, NULL);
       return 0;
     }
   if (socket == NULL)
-    socket = new_socket (cl, fd);
+    socket = create_socket (cl, fd);
   const int events = ((what & CURL_POLL_IN) ? EV_READ : 0)
                      | ((what & CURL_POLL_OUT) ? EV_WRITE : 0);
   ev_io_stop (cl->loop, &socket->io);
@@ -211,8 +211,9 @@
   return NULL;
 }
 
-/* What couldn't be done within a callback of libcurl.  A done may change the
-   list, so each round looks from its head. */
+/* Runs operations that were deferred because libcurl forbids them in its
+   callbacks.  A `done` callback may change the list, so each iteration starts
+   at its head. */
 static void
 run_deferred (struct ev_loop *loop, ev_prepare *deferred, int events)
 {
@@ -220,13 +221,13 @@
   struct curl_transfer *transfer;
   while ((transfer = first_cancelled (cl)) != NULL)
     {
-      drop (cl, transfer);
-      finish (cl, transfer, CURLE_ABORTED_BY_CALLBACK);
+      remove_handle (cl, transfer);
+      complete (cl, transfer, CURLE_ABORTED_BY_CALLBACK);
     }
   DL_FOREACH (cl->transfers, transfer)
   {
     if (!transfer->added)
-      add (cl, transfer);
+      add_handle (cl, transfer);
   }
 }
 
@@ -242,9 +243,9 @@
   cl->timer.data = cl;
   ev_prepare_init (&cl->deferred, run_deferred);
   cl->deferred.data = cl;
-  curl_multi_setopt (cl->multi, CURLMOPT_SOCKETFUNCTION, watch_socket);
+  curl_multi_setopt (cl->multi, CURLMOPT_SOCKETFUNCTION, on_socket_change);
   curl_multi_setopt (cl->multi, CURLMOPT_SOCKETDATA, cl);
-  curl_multi_setopt (cl->multi, CURLMOPT_TIMERFUNCTION, set_timer);
+  curl_multi_setopt (cl->multi, CURLMOPT_TIMERFUNCTION, on_timeout_change);
   curl_multi_setopt (cl->multi, CURLMOPT_TIMERDATA, cl);
   curl_multi_setopt (cl->multi, CURLMOPT_PIPELINING, (long)CURLPIPE_NOTHING);
   curl_multi_setopt (cl->multi, CURLMOPT_MAX_TOTAL_CONNECTIONS,
@@ -266,13 +267,13 @@
   while (cl->transfers != NULL)
     {
       struct curl_transfer *transfer = cl->transfers;
-      drop (cl, transfer);
-      finish (cl, transfer, CURLE_ABORTED_BY_CALLBACK);
+      remove_handle (cl, transfer);
+      complete (cl, transfer, CURLE_ABORTED_BY_CALLBACK);
     }
   cl->depth++;
   curl_multi_cleanup (cl->multi);
   while (cl->sockets != NULL)
-    forget_socket (cl, cl->sockets);
+    remove_socket (cl, cl->sockets);
   ev_timer_stop (cl->loop, &cl->timer);
   ev_clear_pending (cl->loop, &cl->deferred);
   free (cl);
@@ -306,7 +307,7 @@
   DL_APPEND (cl->transfers, transfer);
   cl->running++;
   if (cl->depth == 0)
-    add (cl, transfer);
+    add_handle (cl, transfer);
   else
     defer (cl);
 }
@@ -318,7 +319,7 @@
   assert (transfer != NULL);
   transfer->cancelled = true;
   if (cl->depth == 0)
-    drop (cl, transfer);
+    remove_handle (cl, transfer);
   defer (cl);
 }
 
--- a/wire/curl_loop.h
+++ b/wire/curl_loop.h
@@ -1,15 +1,15 @@
 /** @file
  * HTTP transfers of libcurl's multi interface, driven by a libev loop.
  *
- * Every transfer started ends with exactly one call of its `done`, from the
- * loop or from curl_loop_destroy(), never from within curl_loop_start() or
- * curl_loop_cancel().  Until then the handle and all that it refers to
- * (header list, body, owner) must stay; from then on they are the owner's to
- * release or to use again.
+ * Each started transfer completes with exactly one call of its `done`, from
+ * the loop or from curl_loop_destroy(), never from curl_loop_start() or
+ * curl_loop_cancel().  Until then the handle and everything that it refers to
+ * (header list, body, owner) must remain valid; after that the owner may
+ * release or reuse them.
  *
- * All functions but curl_loop_destroy() may be called anywhere on the loop,
- * also within callbacks of libcurl (write, read, header functions), where
- * libcurl itself forbids adding and removing handles.
+ * All functions except curl_loop_destroy() may also be called from libcurl's
+ * callbacks (write, read and header functions), where libcurl itself forbids
+ * adding and removing handles.
  */
 #ifndef WIRE_CURL_LOOP_H
 #define WIRE_CURL_LOOP_H
@@ -19,47 +19,47 @@
 #include <curl/curl.h>
 #include <ev.h>
 
-/** Bounds over all transfers of one loop; 0 means no bound. */
+/** Limits over all transfers of a loop; 0 means no limit. */
 struct curl_loop_options
 {
-  uint32_t connections_max;      /**< open at once; further transfers wait */
-  uint32_t connections_host_max; /**< the same, to one IP:PORT */
-  uint32_t connections_idle_max; /**< kept for later; 0: libcurl's choice */
+  uint32_t connections_max;      /**< open; further transfers wait */
+  uint32_t connections_host_max; /**< open to one IP:PORT */
+  uint32_t connections_idle_max; /**< kept for reuse; 0: libcurl's default */
 };
 
 struct curl_loop;
 
-/** A transfer ended.  EASY is no longer in the loop.  CODE is
+/** Called when a transfer is complete and EASY has left the loop.  CODE is
  * CURLE_ABORTED_BY_CALLBACK after curl_loop_cancel(). */
 typedef void curl_loop_done (void *owner, CURLcode code, CURL *easy);
 
-/** The first one made in a process initialises libcurl. */
+/** Create a loop.  The first one of a process initialises libcurl. */
 struct curl_loop *curl_loop_create (struct ev_loop *loop,
                                     const struct curl_loop_options *options);
 
-/** End all transfers, calling their `done`, and close all connections.  NULL
- * does nothing. */
+/** Abort all transfers, calling their `done`, and close all connections.  A
+ * NULL loop is ignored. */
 void curl_loop_destroy (struct curl_loop *cl);
 
-/** A new handle set up for jaystair: HTTP/1.1 only, no signals, no proxy from
- * the environment, no redirects followed.  `Expect: 100-continue` is turned
- * off by the member "Expect:" in the caller's header list. */
+/** Create a handle with the common settings: HTTP/1.1 only, no signals, no
+ * proxy from the environment, no redirects.  To disable `Expect:
+ * 100-continue`, the header list of the request must contain "Expect:". */
 CURL *curl_loop_create_easy (void);
 
-/** Start EASY.  CURLOPT_PRIVATE is taken by the loop until `done`. */
+/** Start EASY.  The loop uses its CURLOPT_PRIVATE until `done`. */
 void curl_loop_start (struct curl_loop *cl, CURL *easy, curl_loop_done *done,
                       void *owner);
 
-/** Give up EASY, which was started and isn't done yet.  Outside of libcurl's
- * callbacks it stops at once, within them as soon as they return; `done`
- * follows in either case. */
+/** Cancel EASY, which was started and isn't complete.  It stops immediately
+ * or, within libcurl's callbacks, once they return; `done` is called later in
+ * either case. */
 void curl_loop_cancel (struct curl_loop *cl, CURL *easy);
 
-/** curl_easy_pause() that may itself call back into the owner; use it in
- * place of that one outside of EASY's own callbacks. */
+/** Call curl_easy_pause(), which may itself run the owner's callbacks.  To be
+ * used in place of it outside of EASY's own callbacks. */
 void curl_loop_pause (struct curl_loop *cl, CURL *easy, int bitmask);
 
-/** Transfers started whose `done` wasn't called yet. */
+/** Number of transfers whose `done` wasn't called yet. */
 uint32_t curl_loop_running (const struct curl_loop *cl);
 
 #endif
--- a/wire/fleet_config.c
+++ b/wire/fleet_config.c
@@ -143,8 +143,8 @@
     }
 }
 
-/* Order of keys, each with the workspace that has it. */
-struct held_key
+/* A key digest and the workspace that it belongs to. */
+struct workspace_key
 {
   const struct digest *key;
   const struct fleet_workspace *workspace;
@@ -153,32 +153,33 @@
 static int
 compare_keys (const void *a, const void *b)
 {
-  const struct held_key *left = a;
-  const struct held_key *right = b;
+  const struct workspace_key *left = a;
+  const struct workspace_key *right = b;
   return memcmp (left->key, right->key, sizeof *left->key);
 }
 
-/* A key of two workspaces would make its requests one's or the other's by
-   chance, on each host another. */
+/* With a key of two workspaces, hosts could assign its requests to different
+   workspaces. */
 static void
 check_keys (struct options *top, const struct fleet_config *config)
 {
   size_t count = 0;
   for (size_t i = 0; i < config->workspace_count; i++)
     count += config->workspaces[i].key_count;
-  struct held_key *keys = xcalloc (count + 1, sizeof *keys);
+  struct workspace_key *keys = xcalloc (count + 1, sizeof *keys);
   count = 0;
   for (size_t i = 0; i < config->workspace_count; i++)
     for (size_t j = 0; j < config->workspaces[i].key_count; j++)
-      keys[count++] = (struct held_key){ .key = &config->workspaces[i].keys[j],
-                                         .workspace = &config->workspaces[i] };
+      keys[count++]
+          = (struct workspace_key){ .key = &config->workspaces[i].keys[j],
+                                    .workspace = &config->workspaces[i] };
   qsort (keys, count, sizeof *keys, compare_keys);
   for (size_t i = 1; i < count; i++)
     if (compare_keys (&keys[i - 1], &keys[i]) == 0)
       {
         options_fail (top, "workspaces",
                       "expected each key once, found one of \"%s\" again in "
-                      "\"%s\"; make another key for one of them",
+                      "\"%s\"; create a new key for one of them",
                       keys[i - 1].workspace->name, keys[i].workspace->name);
         break;
       }
@@ -203,7 +204,7 @@
   options_end_child (top, &child);
 }
 
-/* A route to a service that isn't declared could never be served. */
+/* Requests of a route to an undeclared service could never be served. */
 static void
 check_parts (struct options *top, const struct fleet_config *config)
 {
@@ -214,7 +215,7 @@
         {
           options_fail (top, "routes",
                         "expected a service of \"services\", found \"%s\" in "
-                        "route \"%s\"; declare it or mend the route",
+                        "route \"%s\"; declare it or correct the route",
                         config->routes[i].parts[j].service,
                         config->routes[i].name);
           return;
@@ -230,28 +231,28 @@
   enum status status = options_parse (file, text, strlen (text), &tree);
   if (status != STATUS_OK)
     return status;
-  struct fleet_config *read = xcalloc (1, sizeof *read);
+  struct fleet_config *parsed = xcalloc (1, sizeof *parsed);
   struct options top;
   int64_t version = 0;
   options_begin (&top, file, "", tree);
   options_int (&top, "version", 0, INT64_MAX, &version);
-  read->version = (uint64_t)version;
-  read_routes (&top, read);
-  read_services (&top, read);
-  read_limits (&top, &read->limits);
-  read_workspaces (&top, read);
+  parsed->version = (uint64_t)version;
+  read_routes (&top, parsed);
+  read_services (&top, parsed);
+  read_limits (&top, &parsed->limits);
+  read_workspaces (&top, parsed);
   if (top.status == STATUS_OK)
-    check_parts (&top, read);
+    check_parts (&top, parsed);
   if (top.status == STATUS_OK)
-    check_keys (&top, read);
+    check_keys (&top, parsed);
   status = options_end (&top);
   json_object_put (tree);
   if (status != STATUS_OK)
     {
-      fleet_config_destroy (read);
+      fleet_config_destroy (parsed);
       return status;
     }
-  *config = read;
+  *config = parsed;
   return STATUS_OK;
 }
 
--- a/wire/fleet_config.h
+++ b/wire/fleet_config.h
@@ -1,7 +1,7 @@
 /** @file
- * The configuration of a whole fleet, as one version: the value of the object
- * PLATFORM_CONFIG_NAME of kind `config`, for fleets whose targets register
- * themselves (target_record.h).
+ * The configuration of a fleet whose targets register themselves
+ * (target_record.h), with one version: the value of the object
+ * PLATFORM_CONFIG_NAME of kind `config`.
  *
  * JSON shape (comments allowed):
  *
@@ -19,8 +19,8 @@
  *                   "header_timeout_ms": 3000, "idle_timeout_ms": 15000 },
  *       "workspaces": [ (fleet_workspace.h) ] }
  *
- * With `workspaces`, even an empty list, requests bear a key of one of them,
- * unless their route is open.
+ * If `workspaces` is present, even as an empty list, requests must carry a key
+ * of one of them, unless their route is open.
  */
 #ifndef WIRE_FLEET_CONFIG_H
 #define WIRE_FLEET_CONFIG_H
@@ -41,18 +41,19 @@
 struct route_part
 {
   char service[SERVICE_NAME_SIZE];
-  uint32_t weight; /**< its share is this of the sum of all parts' weights */
+  uint32_t
+      weight; /**< its share is weight / sum of the weights of all parts */
 };
 
-/** A route, with what its requests may ask for. */
+/** A route and the limits of its requests. */
 struct fleet_route
 {
   char name[SERVICE_NAME_SIZE];
   struct route_spec spec;
-  uint32_t timeout_ms;      /**< most time until the final answer */
-  uint32_t latency_goal_ms; /**< an answer within it is worth most */
-  uint32_t priority;        /**< 0 is the most urgent */
-  uint32_t attempts;        /**< most targets one request may be sent to */
+  uint32_t timeout_ms;      /**< maximum time until the final response */
+  uint32_t latency_goal_ms; /**< a later response is worth less */
+  uint32_t priority;        /**< 0 is the highest */
+  uint32_t attempts;        /**< maximum attempts per request */
   bool is_open;             /**< requests need no key */
   struct route_part *parts; /**< at least one */
   size_t part_count;
@@ -62,16 +63,18 @@
 {
   char name[SERVICE_NAME_SIZE];
   char health_path[SERVICE_PATH_SIZE];
-  uint32_t connections; /**< most open to one target, by all hosts together */
+  uint32_t
+      connections; /**< maximum open to one target, summed over all hosts */
 };
 
-/** What callers may send. */
+/** Limits on what callers send. */
 struct fleet_limits
 {
   uint32_t header_bytes;
   uint32_t body_bytes;
-  uint32_t header_timeout_ms; /**< for a whole head, from its first byte */
-  uint32_t idle_timeout_ms;   /**< of a connection without a request */
+  uint32_t header_timeout_ms; /**< for a complete request head, from its first
+                                   byte */
+  uint32_t idle_timeout_ms;   /**< for a connection without a request */
 };
 
 struct fleet_config
@@ -82,23 +85,24 @@
   struct fleet_service *services;
   size_t service_count;
   struct fleet_limits limits;
-  bool has_workspaces; /**< requests bear keys */
+  bool has_workspaces; /**< requests must carry keys */
   struct fleet_workspace *workspaces;
   size_t workspace_count;
 };
 
-/** Parse and check TEXT; FILE is what messages call it.
- * @return in *CONFIG what fleet_config_destroy() releases. */
+/** Parse and validate TEXT, named FILE in messages, into *CONFIG, which must
+ * be released with fleet_config_destroy(). */
 enum status fleet_config_parse (const char *file, const char *text,
                                 struct fleet_config **config);
 
-/** The JSON text of CONFIG, in new memory; parses to an equal one. */
+/** Format CONFIG as JSON text in new memory, which parses to an equal
+ * configuration. */
 char *fleet_config_format (const struct fleet_config *config);
 
 struct fleet_config *fleet_config_copy (const struct fleet_config *config);
 void fleet_config_destroy (struct fleet_config *config);
 
-/** The service called NAME, or NULL. */
+/** Find the service NAME; NULL if there is none. */
 const struct fleet_service *
 fleet_config_service (const struct fleet_config *config, const char *name);
 
--- a/wire/fleet_workspace.c
+++ b/wire/fleet_workspace.c
@@ -11,7 +11,7 @@
   PRIORITY_MAX = 1000,
 };
 
-static const double RATE_MAX = 1e9;
+static const double RATE_PER_S_MAX = 1e9;
 static const uint32_t BURST_MAX = 1000000000;
 
 static void
@@ -29,11 +29,11 @@
                              : "";
       if (!digest_parse (text, &workspace->keys[workspace->key_count++]))
         {
-          /* What stands here may be a key: it isn't shown. */
+          /* The invalid value may be a key, so the message doesn't show it. */
           options_fail (options, "keys",
                         "expected SHA-256 digests of 64 hexadecimal digits, "
-                        "found something else at place %zu; \"jaystair key "
-                        "digest\" makes one of a key",
+                        "found another value at index %zu; compute the "
+                        "digest of a key with \"jaystair key digest\"",
                         i);
           return;
         }
@@ -44,7 +44,7 @@
 read_quota (struct options *options, struct quota *quota)
 {
   double rate = 0;
-  options_double (options, "rate_per_s", 0, RATE_MAX, &rate);
+  options_double (options, "rate_per_s", 0, RATE_PER_S_MAX, &rate);
   quota->rate_millis = (uint64_t)(rate * WORKSPACE_RATE_SCALE + 0.5);
   options_uint32 (options, "burst", 0, BURST_MAX, &quota->burst);
 }
--- a/wire/fleet_workspace.h
+++ b/wire/fleet_workspace.h
@@ -1,6 +1,6 @@
 /** @file
- * A workspace of the fleet's configuration: who may send requests that bear
- * its keys, and how many.
+ * A workspace of the fleet's configuration: the keys that its requests carry,
+ * and its quota.
  *
  * JSON shape, an element of the configuration's `workspaces`:
  *
@@ -8,9 +8,10 @@
  *       "keys": [ "SHA-256 of a key, as 64 hexadecimal digits" ],
  *       "rate_per_s": 162.0, "burst": 162, "priority": 0 }
  *
- * A key itself stands nowhere: whoever reads the configuration can't send
- * requests for the workspace.  Several keys are good at once, so that one
- * takes the other's place while both are in use.
+ * The keys themselves aren't stored, so that read access to the configuration
+ * doesn't allow requests in the name of the workspace.  Several keys may be
+ * valid at the same time, so that a key can be rotated while both the old and
+ * the new one are in use.
  */
 #ifndef WIRE_FLEET_WORKSPACE_H
 #define WIRE_FLEET_WORKSPACE_H
@@ -28,15 +29,16 @@
 enum
 {
   WORKSPACE_KEYS_MAX = 64,
-  /** Thousandths of a request a second in one. */
+  /** Units of `rate_millis` in one request per second. */
   WORKSPACE_RATE_SCALE = 1000,
 };
 
-/** How many requests a workspace may send, over all hosts together. */
+/** Request quota of a workspace, summed over all hosts. */
 struct quota
 {
-  uint64_t rate_millis; /**< thousandths of a request a second; 0: no limit */
-  uint32_t burst;       /**< requests beyond the rate, once saved up */
+  uint64_t rate_millis; /**< thousandths of a request per second; 0: no
+                           limit */
+  uint32_t burst; /**< requests beyond the rate, when the bucket is full */
 };
 
 struct fleet_workspace
@@ -46,18 +48,18 @@
   size_t key_count;
   struct quota quota;
   bool has_priority;
-  uint32_t priority; /**< goes before that of a route */
+  uint32_t priority; /**< overrides the priority of the route */
 };
 
-/** Read one element of `workspaces`. */
+/** Read an element of `workspaces`. */
 void fleet_workspace_read (struct options *options,
                            struct fleet_workspace *workspace);
 
-/** The JSON of WORKSPACE, which reads as an equal one. */
+/** Format WORKSPACE as JSON, which reads as an equal workspace. */
 struct json_object *
 fleet_workspace_format (const struct fleet_workspace *workspace);
 
-/** Make COPY equal to WORKSPACE, with memory of its own. */
+/** Make a deep copy of WORKSPACE in COPY. */
 void fleet_workspace_copy (struct fleet_workspace *copy,
                            const struct fleet_workspace *workspace);
 void fleet_workspace_release (struct fleet_workspace *workspace);
--- a/wire/platform.h
+++ b/wire/platform.h
@@ -1,18 +1,18 @@
 /** @file
- * The platform's object API, as the rest of jaystair sees it.
+ * Interface of the platform's object API.
  *
- * Objects have a kind, a name, a version that only grows and a JSON text as
- * value.  Writes are conditional on the version.  Every call ends exactly
- * once, on the loop, with a reply whose status tells apart:
+ * An object has a kind, a name, an increasing version and a JSON text as its
+ * value.  Writes are conditional on the version.  Each call completes exactly
+ * once, from the event loop, with a reply that has one of these statuses:
  *  - STATUS_OK;
  *  - STATUS_NOT_FOUND: no such object;
- *  - STATUS_REFUSED: the version didn't match; the reply holds the object as
- *    it stands, when the platform told;
- *  - STATUS_UNREACHABLE: never sent, surely without effect;
- *  - STATUS_LOST_ANSWER: sent, no answer seen.  A write may have taken effect:
- *    read back by its write id, never repeat it blindly;
- *  - STATUS_LIMIT: the platform takes no more calls now; without effect;
- *  - STATUS_INVALID: an answer that can't be understood, or a bad request.
+ *  - STATUS_REFUSED: the version didn't match; the reply holds the current
+ *    object if the platform included it;
+ *  - STATUS_UNREACHABLE: not sent, without effect;
+ *  - STATUS_LOST_ANSWER: sent, but no response was received.  A write may have
+ *    taken effect: it must be read back by its write id, not repeated blindly;
+ *  - STATUS_LIMIT: rejected by the platform's rate limit, without effect;
+ *  - STATUS_INVALID: an invalid response or a bad request.
  *
  * Implementations: platform_http.h (the object API over HTTP and JSON) and
  * platform_file.h (one file, for a single host without a platform).
@@ -34,19 +34,19 @@
 #define PLATFORM_KIND_TARGET "target"     /**< target_record.h */
 #define PLATFORM_KIND_POISON "poison"     /**< blocked requests */
 
-/** The object of kind `config` that is in force. */
+/** Name of the active object of kind `config`. */
 #define PLATFORM_CONFIG_NAME "main"
 
-/** "There must be no such object yet", as an expected version. */
+/** Expected version of an object that must not exist yet. */
 #define PLATFORM_VERSION_NONE 0
 
-/** Longest kind or name, with its NUL. */
+/** Size of the longest kind or name, including the NUL. */
 #define PLATFORM_NAME_SIZE 128
 
-/** Largest value the platform holds. */
+/** Maximum size of a value in the platform. */
 #define PLATFORM_VALUE_MAX_BYTES (1024 * 1024)
 
-/** One object, or its removal. */
+/** An object, or its removal. */
 struct platform_object
 {
   const char *name;
@@ -54,22 +54,23 @@
   const char *value; /**< JSON text; NULL when removed */
 };
 
-/** What a call ended with; all pointers are good during the callback only. */
+/** Result of a call.  Pointers are valid only during the callback. */
 struct platform_reply
 {
   enum status status;
-  const char *message; /**< for people, when the status isn't OK */
+  const char *message; /**< human-readable, if the status isn't OK */
   uint64_t revision;   /**< of the kind, for list and watch */
   const struct platform_object *objects; /**< get and put: one, or none */
   size_t count;
 };
 
-/** How old an answer may be that is read. */
+/** Consistency of a read. */
 enum platform_read_mode
 {
-  /** All that the platform acknowledged before the call. */
+  /** Includes every write that was acknowledged before the call. */
   PLATFORM_READ_LATEST,
-  /** Seconds old, whole in itself; cheaper where the platform offers that. */
+  /** A consistent snapshot that may be seconds old; cheaper if the platform
+   * supports it. */
   PLATFORM_READ_STALE
 };
 
@@ -77,39 +78,41 @@
 
 struct platform;
 
-/** What an implementation provides. */
+/** Operations of an implementation. */
 struct platform_ops
 {
   void (*get) (struct platform *platform, const char *kind, const char *name,
                platform_done *done, void *owner);
-  /** All objects of KIND, with the revision to watch from. */
+  /** List all objects of KIND, with the revision to watch from. */
   void (*list) (struct platform *platform, const char *kind,
-                enum platform_read_mode age, platform_done *done, void *owner);
-  /** Write VALUE if the object's version is EXPECTED_VERSION; a VALUE of NULL
-   * removes the object.  Versions of a kind come from one sequence, so a name
-   * that is used again never gets an old version. */
+                enum platform_read_mode mode, platform_done *done,
+                void *owner);
+  /** Write VALUE if the object's version is EXPECTED_VERSION; a NULL VALUE
+   * removes the object.  All versions of a kind come from one sequence, so a
+   * name that is reused never gets an old version. */
   void (*put) (struct platform *platform, const char *kind, const char *name,
                uint64_t expected_version, const char *value,
                platform_done *done, void *owner);
-  /** Wait for changes of KIND after REVISION: ends with those changes, with
-   * none after TIMEOUT_MS, or with STATUS_REFUSED when the platform no
-   * longer knows that revision (list again). */
+  /** Wait for changes of KIND after REVISION.  Completes with the changes,
+   * with none after TIMEOUT_MS, or with STATUS_REFUSED if the platform no
+   * longer has that revision; the owner must list again then. */
   void (*watch) (struct platform *platform, const char *kind,
                  uint64_t revision, uint32_t timeout_ms,
-                 enum platform_read_mode age, platform_done *done,
+                 enum platform_read_mode mode, platform_done *done,
                  void *owner);
-  /** End every call of OWNER without calling back.  A write under way may
-   * still take effect. */
+  /** Cancel all calls of OWNER without callbacks.  A write in flight may still
+   * take effect. */
   void (*cancel) (struct platform *platform, void *owner);
-  /** End every call without calling back.  Not within a callback. */
+  /** Cancel all calls without callbacks.  Must not be called from a
+   * callback. */
   void (*destroy) (struct platform *platform);
 };
 
-/** Embedded first in each implementation. */
+/** Base of each implementation, embedded as its first member. */
 struct platform
 {
   const struct platform_ops *ops;
-  uint64_t calls; /**< calls made, for the budget */
+  uint64_t calls; /**< number of calls made, for the call budget */
 };
 
 static inline void
@@ -121,9 +124,9 @@
 
 static inline void
 platform_list (struct platform *platform, const char *kind,
-               enum platform_read_mode age, platform_done *done, void *owner)
+               enum platform_read_mode mode, platform_done *done, void *owner)
 {
-  platform->ops->list (platform, kind, age, done, owner);
+  platform->ops->list (platform, kind, mode, done, owner);
 }
 
 static inline void
@@ -137,10 +140,10 @@
 
 static inline void
 platform_watch (struct platform *platform, const char *kind, uint64_t revision,
-                uint32_t timeout_ms, enum platform_read_mode age,
+                uint32_t timeout_ms, enum platform_read_mode mode,
                 platform_done *done, void *owner)
 {
-  platform->ops->watch (platform, kind, revision, timeout_ms, age, done,
+  platform->ops->watch (platform, kind, revision, timeout_ms, mode, done,
                         owner);
 }
 
--- a/wire/platform_file.c
+++ b/wire/platform_file.c
@@ -30,8 +30,8 @@
   struct file_call *calls;
 };
 
-/* A call waits for its timer: the next turn of the loop, or, for a watch that
-   found nothing yet, its timeout. */
+/* A call runs when its timer fires: in the next loop iteration or, for a watch
+   without changes so far, at its timeout. */
 struct file_call
 {
   struct platform_file *file;
@@ -39,7 +39,7 @@
   char *object_kind;
   char *name;
   char *value;
-  uint64_t version; /* expected by a put, known to a watch */
+  uint64_t version; /* of a put: expected; of a watch: known */
   uint32_t timeout_ms;
   bool waiting;
   ev_timer timer;
@@ -66,7 +66,7 @@
 }
 
 static void
-end (struct file_call *call, const struct platform_reply *reply)
+complete (struct file_call *call, const struct platform_reply *reply)
 {
   unlink_call (call);
   call->done (call->owner, reply);
@@ -74,21 +74,23 @@
 }
 
 static void
-end_failed (struct file_call *call, enum status status, const char *message)
+complete_failed (struct file_call *call, enum status status,
+                 const char *message)
 {
   const struct platform_reply reply = { .status = status, .message = message };
-  end (call, &reply);
+  complete (call, &reply);
 }
 
 static void
-end_one (struct file_call *call, enum status status, const char *message,
-         const struct platform_object *object)
+complete_with_object (struct file_call *call, enum status status,
+                      const char *message,
+                      const struct platform_object *object)
 {
   const struct platform_reply reply = { .status = status,
                                         .message = message,
                                         .objects = object,
                                         .count = object == NULL ? 0 : 1 };
-  end (call, &reply);
+  complete (call, &reply);
 }
 
 static void
@@ -97,13 +99,13 @@
   const struct platform_object *object = platform_memory_find (
       call->file->memory, call->object_kind, call->name);
   if (object == NULL)
-    end_failed (call, STATUS_NOT_FOUND, "there is no such object");
+    complete_failed (call, STATUS_NOT_FOUND, "there is no such object");
   else
-    end_one (call, STATUS_OK, NULL, object);
+    complete_with_object (call, STATUS_OK, NULL, object);
 }
 
 static void
-end_with_list (struct file_call *call, uint64_t since)
+complete_with_list (struct file_call *call, uint64_t since)
 {
   struct platform_memory *memory = call->file->memory;
   struct platform_object *objects;
@@ -114,7 +116,7 @@
           .revision = platform_memory_revision (memory, call->object_kind),
           .objects = objects,
           .count = count };
-  end (call, &reply);
+  complete (call, &reply);
   free (objects);
 }
 
@@ -125,13 +127,13 @@
       = platform_memory_revision (call->file->memory, call->object_kind);
   if (call->version > revision)
     {
-      end_failed (call, STATUS_REFUSED,
-                  "that revision isn't known; list again");
+      complete_failed (call, STATUS_REFUSED,
+                       "the revision is unknown; list again");
       return;
     }
   if (call->version < revision || call->waiting)
     {
-      end_with_list (call, call->version);
+      complete_with_list (call, call->version);
       return;
     }
   call->waiting = true;
@@ -153,18 +155,18 @@
   }
 }
 
-/* What can't be kept in the file must not be in force either: the file is
-   written first, the memory changes after. */
+/* Writes the file before memory changes: a write that can't be stored must not
+   take effect. */
 static enum status
-save (const struct file_call *call)
+save_to_file (const struct file_call *call)
 {
   const struct platform_file *file = call->file;
   if (strcmp (call->object_kind, PLATFORM_KIND_SERVICE) != 0)
     return STATUS_OK;
   if (file->read_only)
     return status_set (STATUS_REFUSED,
-                       "%s is read only here; change the file and start "
-                       "again, or use a platform",
+                       "%s is read only; change the file and restart the "
+                       "host, or use a platform",
                        file->path);
   const enum status status
       = call->value == NULL
@@ -185,16 +187,17 @@
   const uint64_t version = old == NULL ? PLATFORM_VERSION_NONE : old->version;
   if (version != call->version || (old == NULL && call->value == NULL))
     {
-      end_one (call, STATUS_REFUSED,
-               "the object was changed meanwhile; look at it and decide "
-               "again",
-               old);
+      complete_with_object (
+          call, STATUS_REFUSED,
+          "the object was changed concurrently; read it and retry "
+          "if the change still applies",
+          old);
       return;
     }
-  const enum status status = save (call);
+  const enum status status = save_to_file (call);
   if (status != STATUS_OK)
     {
-      end_failed (call, status, status_message ());
+      complete_failed (call, status, status_message ());
       return;
     }
   const struct platform_object written
@@ -203,11 +206,11 @@
                                           call->name, call->value),
           .value = call->value };
   wake_watches (call->file, call->object_kind);
-  end_one (call, STATUS_OK, NULL, &written);
+  complete_with_object (call, STATUS_OK, NULL, &written);
 }
 
 static void
-on_turn (struct ev_loop *loop, ev_timer *timer, int events)
+on_timer (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct file_call *call = timer->data;
   switch (call->kind)
@@ -216,7 +219,7 @@
       run_get (call);
       break;
     case CALL_LIST:
-      end_with_list (call, 0);
+      complete_with_list (call, 0);
       break;
     case CALL_PUT:
       run_put (call);
@@ -228,8 +231,8 @@
 }
 
 static struct file_call *
-start (struct platform *platform, enum call_kind kind, const char *object_kind,
-       platform_done *done, void *owner)
+start_call (struct platform *platform, enum call_kind kind,
+            const char *object_kind, platform_done *done, void *owner)
 {
   struct platform_file *file = (struct platform_file *)platform;
   struct file_call *call = xcalloc (1, sizeof *call);
@@ -238,7 +241,7 @@
   call->object_kind = xstrdup (object_kind);
   call->done = done;
   call->owner = owner;
-  ev_timer_init (&call->timer, on_turn, 0., 0.);
+  ev_timer_init (&call->timer, on_timer, 0., 0.);
   call->timer.data = call;
   DL_APPEND (file->calls, call);
   ev_timer_start (file->loop, &call->timer);
@@ -250,14 +253,14 @@
 get (struct platform *platform, const char *kind, const char *name,
      platform_done *done, void *owner)
 {
-  start (platform, CALL_GET, kind, done, owner)->name = xstrdup (name);
+  start_call (platform, CALL_GET, kind, done, owner)->name = xstrdup (name);
 }
 
 static void
-list (struct platform *platform, const char *kind, enum platform_read_mode age,
-      platform_done *done, void *owner)
+list (struct platform *platform, const char *kind,
+      enum platform_read_mode mode, platform_done *done, void *owner)
 {
-  start (platform, CALL_LIST, kind, done, owner);
+  start_call (platform, CALL_LIST, kind, done, owner);
 }
 
 static void
@@ -265,7 +268,7 @@
      uint64_t expected_version, const char *value, platform_done *done,
      void *owner)
 {
-  struct file_call *call = start (platform, CALL_PUT, kind, done, owner);
+  struct file_call *call = start_call (platform, CALL_PUT, kind, done, owner);
   call->name = xstrdup (name);
   call->version = expected_version;
   call->value = xstrdup (value);
@@ -273,10 +276,11 @@
 
 static void
 watch (struct platform *platform, const char *kind, uint64_t revision,
-       uint32_t timeout_ms, enum platform_read_mode age, platform_done *done,
+       uint32_t timeout_ms, enum platform_read_mode mode, platform_done *done,
        void *owner)
 {
-  struct file_call *call = start (platform, CALL_WATCH, kind, done, owner);
+  struct file_call *call
+      = start_call (platform, CALL_WATCH, kind, done, owner);
   call->version = revision;
   call->timeout_ms = timeout_ms;
 }
--- a/wire/platform_file_text.c
+++ b/wire/platform_file_text.c
@@ -29,7 +29,7 @@
     return status;
   if (platform_memory_find (memory, PLATFORM_KIND_SERVICE, spec->name) != NULL)
     status = status_set (STATUS_INVALID,
-                         "%s: name: expected a name of its own, found \"%s\" "
+                         "%s: name: expected a unique name, found \"%s\" "
                          "again; rename or remove one of the two services",
                          label, spec->name);
   else
@@ -74,16 +74,16 @@
     return status;
   if (strcmp (spec->name, name) != 0)
     status = status_set (STATUS_INVALID,
-                         "%s: name: expected \"%s\" as the object is called, "
-                         "found \"%s\"; make the two equal",
+                         "%s: name: expected \"%s\", the name of the object, "
+                         "found \"%s\"; use the same name for both",
                          path, name, spec->name);
   service_spec_destroy (spec);
   return status;
 }
 
 static char *
-format (const struct platform_memory *memory, const char *name,
-        const char *value)
+format_file (const struct platform_memory *memory, const char *name,
+             const char *value)
 {
   struct platform_object *objects;
   const size_t count
@@ -112,35 +112,35 @@
 }
 
 static enum status
-refuse (const char *path, const char *what)
+save_failed (const char *path, const char *action)
 {
   return status_set (STATUS_REFUSED,
                      "%s: can't be %s (%s), nothing was changed; make it and "
-                     "its folder writable or use a platform",
-                     path, what, strerror (errno));
+                     "its directory writable or use a platform",
+                     path, action, strerror (errno));
 }
 
-/* Write TEXT to PATH and have it on the medium. */
+/* Writes TEXT to PATH and syncs it to disk. */
 static bool
-write_whole (const char *path, const char *text)
+write_and_sync (const char *path, const char *text)
 {
   const int fd
       = open (path, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, FILE_MODE);
   if (fd < 0)
     return false;
   const size_t size = strlen (text);
-  size_t sent = 0;
-  while (sent < size)
+  size_t written = 0;
+  while (written < size)
     {
-      const ssize_t more = write (fd, text + sent, size - sent);
-      if (more < 0 && errno == EINTR)
+      const ssize_t count = write (fd, text + written, size - written);
+      if (count < 0 && errno == EINTR)
         continue;
-      if (more <= 0)
+      if (count <= 0)
         break;
-      sent += (size_t)more;
+      written += (size_t)count;
     }
-  const bool whole = sent == size && fsync (fd) == 0;
-  return close (fd) == 0 && whole;
+  const bool complete = written == size && fsync (fd) == 0;
+  return close (fd) == 0 && complete;
 }
 
 enum status
@@ -149,14 +149,14 @@
                          const char *name, const char *value)
 {
   enum status status = STATUS_OK;
-  char *text = format (memory, name, value);
+  char *text = format_file (memory, name, value);
   char *temporary = xasprintf ("%s.new", path);
   if (access (path, W_OK) != 0)
-    status = refuse (path, "written");
-  else if (!write_whole (temporary, text))
-    status = refuse (temporary, "written");
+    status = save_failed (path, "written");
+  else if (!write_and_sync (temporary, text))
+    status = save_failed (temporary, "written");
   else if (rename (temporary, path) != 0)
-    status = refuse (path, "replaced");
+    status = save_failed (path, "replaced");
   if (status != STATUS_OK)
     unlink (temporary);
   free (temporary);
--- a/wire/platform_http.c
+++ b/wire/platform_http.c
@@ -25,25 +25,25 @@
 }
 
 static void
-list (struct platform *platform, const char *kind, enum platform_read_mode age,
-      platform_done *done, void *owner)
+list (struct platform *platform, const char *kind,
+      enum platform_read_mode mode, platform_done *done, void *owner)
 {
   struct http_call *call
       = platform_http_call_create (platform, CALL_LIST, kind, done, owner);
-  call->read_mode = age;
-  call->path = call->http->dialect->list_path (kind, "", age);
+  call->read_mode = mode;
+  call->path = call->http->dialect->list_path (kind, "", mode);
   platform_http_call_begin (call);
 }
 
 static void
 watch (struct platform *platform, const char *kind, uint64_t revision,
-       uint32_t timeout_ms, enum platform_read_mode age, platform_done *done,
+       uint32_t timeout_ms, enum platform_read_mode mode, platform_done *done,
        void *owner)
 {
   struct http_call *call
       = platform_http_call_create (platform, CALL_WATCH, kind, done, owner);
   call->path
-      = call->http->dialect->watch_path (kind, revision, timeout_ms, age);
+      = call->http->dialect->watch_path (kind, revision, timeout_ms, mode);
   call->timeout_ms += timeout_ms;
   platform_http_call_begin (call);
 }
@@ -77,11 +77,11 @@
   free (write.condition);
   set_body (call, write.body);
   curl_easy_setopt (call->easy, CURLOPT_CUSTOMREQUEST, write.method);
-  /* Guards against a write that is sent twice: when a kept connection closes
-     before the first byte of the answer, libcurl takes the request for unsent
-     and sends it again.  The first may have taken effect; the second is then
-     refused, and a write in force would be reported as a conflict.  On a
-     connection that never carried a request libcurl doesn't send again. */
+  /* If a reused connection closes before the first byte of the response,
+     libcurl assumes that the request wasn't sent and sends it again.  The
+     first one may have taken effect; the second would then be refused, and a
+     successful write reported as a conflict.  libcurl doesn't resend on a
+     fresh connection. */
   curl_easy_setopt (call->easy, CURLOPT_FRESH_CONNECT, 1L);
   platform_http_call_begin (call);
 }
@@ -127,10 +127,11 @@
 {
   if (options->count == 0 || options->count > PLATFORM_HTTP_ADDRESSES_MAX)
     {
-      status_set (STATUS_INVALID,
-                  "expected 1 to %d platform addresses, found %zu; name some "
-                  "of them",
-                  PLATFORM_HTTP_ADDRESSES_MAX, options->count);
+      status_set (
+          STATUS_INVALID,
+          "expected 1 to %d platform addresses, found %zu; correct the "
+          "list",
+          PLATFORM_HTTP_ADDRESSES_MAX, options->count);
       return NULL;
     }
   struct platform_http *http = xcalloc (1, sizeof *http);
--- a/wire/platform_http.h
+++ b/wire/platform_http.h
@@ -1,13 +1,14 @@
 /** @file
- * The platform's object API over HTTP and JSON (docs/PLATFORM-API.md).
+ * Client of the platform's object API over HTTP and JSON
+ * (docs/PLATFORM-API.md).
  *
- * Reads and watches use kept connections.  Writes never do: libcurl sends a
- * request again on its own when a kept connection closes before the first
- * byte of an answer, and a write must not be repeated without its owner's
+ * Reads and watches reuse connections.  Writes don't: libcurl resends a
+ * request on its own if a reused connection closes before the first byte of
+ * the response, and a write must not be repeated without its owner's
  * knowledge.
  *
- * With several addresses a call that surely wasn't sent goes to the next one;
- * a write whose answer was lost doesn't.
+ * With several addresses, a call that was certainly not sent is retried at the
+ * next one; a write whose response was lost isn't.
  */
 #ifndef WIRE_PLATFORM_HTTP_H
 #define WIRE_PLATFORM_HTTP_H
@@ -20,7 +21,7 @@
 #include "wire/platform.h"
 #include "wire/platform_http_dialect.h"
 
-/** Most addresses of one platform. */
+/** Maximum number of addresses of a platform. */
 #define PLATFORM_HTTP_ADDRESSES_MAX 8
 
 struct platform_http_options
@@ -28,14 +29,13 @@
   struct ev_loop *loop;
   const char *const *addresses; /**< IP:PORT; copied */
   size_t count;
-  uint32_t timeout_ms;         /**< of a call at one address; 0 means 2,000 */
+  uint32_t timeout_ms;         /**< per call and address; 0 means 2,000 */
   uint32_t connect_timeout_ms; /**< 0 means 1,000 */
-  /** How calls are written; NULL means platform_http_dialect_own. */
+  /** Format of calls; NULL means platform_http_dialect_native. */
   const struct platform_http_dialect *dialect;
 };
 
-/** @return NULL when there is no address or there are too many; the message
- * says so. */
+/** @return NULL, with a message, if there are no or too many addresses. */
 struct platform *
 platform_http_create (const struct platform_http_options *options);
 
--- a/wire/platform_http_call.c
+++ b/wire/platform_http_call.c
@@ -34,24 +34,24 @@
 }
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *owner)
+append_body (char *data, size_t size, size_t count, void *owner)
 {
   struct http_call *call = owner;
-  const size_t more = size * count;
-  if (call->response_bytes + more > RESPONSE_MAX_BYTES)
+  const size_t added = size * count;
+  if (call->response_bytes + added > RESPONSE_MAX_BYTES)
     return 0;
   call->response_body = xreallocarray (call->response_body,
-                                       call->response_bytes + more + 1, 1);
-  memcpy (call->response_body + call->response_bytes, data, more);
-  call->response_bytes += more;
+                                       call->response_bytes + added + 1, 1);
+  memcpy (call->response_body + call->response_bytes, data, added);
+  call->response_bytes += added;
   call->response_body[call->response_bytes] = '\0';
-  return more;
+  return added;
 }
 
-/* A write is connected afresh, so a transfer that never connected has sent no
-   byte of it.  All else may have reached the platform. */
+/* A write uses a fresh connection, so nothing of it was sent if that was never
+   established.  In all other cases it may have reached the platform. */
 static bool
-surely_not_sent (struct http_call *call, CURLcode code)
+was_not_sent (struct http_call *call, CURLcode code)
 {
   curl_off_t connect_us = 0;
   curl_easy_getinfo (call->easy, CURLINFO_CONNECT_TIME_T, &connect_us);
@@ -63,7 +63,7 @@
 fail_over (struct http_call *call, CURLcode code, long http_code)
 {
   struct platform_http *http = call->http;
-  const bool unsent = surely_not_sent (call, code)
+  const bool unsent = was_not_sent (call, code)
                       || (code == CURLE_OK && http_code == HTTP_UNAVAILABLE
                           && http->dialect->unavailable_has_no_effect);
   if (http->preferred_address == call->address)
@@ -77,10 +77,10 @@
     }
   char why[64];
   char message[192];
-  snprintf (why, sizeof why, "answered %ld", http_code);
+  snprintf (why, sizeof why, "status %ld", http_code);
   snprintf (message, sizeof message, "the platform at %s %s (%s); %s",
             http->addresses[call->address],
-            unsent ? "can't be reached" : "gave no answer",
+            unsent ? "can't be reached" : "sent no response",
             code == CURLE_OK ? why : curl_easy_strerror (code),
             unsent || call->kind != CALL_PUT
                 ? "wait until it is back, or check platform addresses"
@@ -149,7 +149,7 @@
   CURL *easy = call->easy;
   call->headers = curl_slist_append (call->headers, "Expect:");
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, call->headers);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, append_body);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, call);
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long)call->timeout_ms);
   curl_easy_setopt (easy, CURLOPT_CONNECTTIMEOUT_MS,
--- a/wire/platform_http_call.h
+++ b/wire/platform_http_call.h
@@ -1,6 +1,6 @@
 /** @file
- * One call of the client in platform_http.c: its transfer, and how it ends.
- * Only the sources of that client include this.
+ * A call of the client in platform_http.c: its transfer and its completion.
+ * Internal to that client.
  */
 #ifndef WIRE_PLATFORM_HTTP_CALL_H
 #define WIRE_PLATFORM_HTTP_CALL_H
@@ -27,7 +27,7 @@
   struct curl_loop *cl;
   char *addresses[PLATFORM_HTTP_ADDRESSES_MAX];
   size_t address_count;
-  size_t preferred_address; /* the address that calls begin with */
+  size_t preferred_address; /* the address that calls try first */
   uint32_t timeout_ms;
   uint32_t connect_timeout_ms;
   struct http_call *calls;
@@ -43,8 +43,8 @@
   char *path;
   char *object_kind;
   char *value;        /* PUT: NULL removes the object */
-  char *request_body; /* PUT: the body that is sent */
-  /* LIST: the pages that have come, and all of their objects. */
+  char *request_body; /* PUT: the request body */
+  /* LIST: the pages received so far, with their objects. */
   struct platform_http_reply *pages;
   size_t page_count;
   size_t address;
@@ -58,30 +58,31 @@
   struct http_call *next;
 };
 
-/** A call of KIND that isn't under way yet. */
+/** Create a call of KIND without sending it. */
 struct http_call *platform_http_call_create (struct platform *platform,
                                              enum call_kind kind,
                                              const char *object_kind,
                                              platform_done *done, void *owner);
 
-/** Send the call for the first time, its path and method set. */
+/** Send the call for the first time, once its path and method are set. */
 void platform_http_call_begin (struct http_call *call);
 
-/** Send the call, once more or its next page. */
+/** Send the call: its first attempt, a retry or the request for the next
+ * page. */
 void platform_http_call_send (struct http_call *call);
 
-/** Release the call, without calling back. */
+/** Destroy the call without a callback. */
 void platform_http_call_destroy (struct http_call *call);
 
-/** End the call, calling back, with a failure that MESSAGE tells. */
+/** Complete the call with a failure, described by MESSAGE. */
 void platform_http_end_failed (struct http_call *call, enum status status,
                                const char *message);
 
-/** End the call with the whole answer that came with HTTP status 200, or go
- * on with the next page. */
+/** Complete the call with the body of a response with HTTP status 200, or
+ * request the next page. */
 void platform_http_end_ok (struct http_call *call);
 
-/** End the call with an answer of another status CODE below 500. */
+/** Complete the call with a response of another status CODE below 500. */
 void platform_http_end_error_status (struct http_call *call, long code);
 
 #endif
--- a/wire/platform_http_dialect.c
+++ b/wire/platform_http_dialect.c
@@ -7,7 +7,7 @@
 
 #include "base/xmalloc.h"
 
-/* `PREFIX/KIND` or `PREFIX/KIND/NAME`, in new memory. */
+/* Formats `/PREFIX/KIND` or `/PREFIX/KIND/NAME` in new memory. */
 static char *
 make_path (const char *prefix, const char *kind, const char *name)
 {
@@ -26,17 +26,17 @@
   return make_path ("objects", kind, name);
 }
 
-/* A list comes whole, so there is no second page; and all reads are of the
-   newest, so AGE makes no difference. */
+/* Lists have a single page and all reads are consistent, so AFTER and the read
+   mode are ignored. */
 static char *
-list_path (const char *kind, const char *after, enum platform_read_mode age)
+list_path (const char *kind, const char *after, enum platform_read_mode mode)
 {
   return make_path ("objects", kind, NULL);
 }
 
 static char *
 watch_path (const char *kind, uint64_t revision, uint32_t timeout_ms,
-            enum platform_read_mode age)
+            enum platform_read_mode mode)
 {
   char *base = make_path ("watch", kind, NULL);
   char *path = xasprintf ("%s?since=%" PRIu64 "&timeout_ms=%" PRIu32, base,
--- a/wire/platform_http_dialect.h
+++ b/wire/platform_http_dialect.h
@@ -1,9 +1,9 @@
 /** @file
- * How calls of the object API are written on HTTP, and how answers are read.
+ * HTTP paths and bodies of the object API.
  *
- * platform_http.c makes the calls: connections, time limits, pages, what a
- * failure means.  A dialect holds paths and bodies only, so that an object
- * API with other names is served by the same client.
+ * platform_http.c is the client: it handles connections, timeouts, pages and
+ * failures.  A dialect only defines paths and bodies, so that the same client
+ * supports object APIs with other names.
  */
 #ifndef WIRE_PLATFORM_HTTP_DIALECT_H
 #define WIRE_PLATFORM_HTTP_DIALECT_H
@@ -15,30 +15,31 @@
 #include "wire/platform.h"
 #include "wire/platform_http_reply.h"
 
-/** A write as it goes out; texts are in new memory, for the client to free. */
+/** Request of a write.  The strings are in new memory, which the client
+ * frees. */
 struct platform_http_write
 {
   const char *method;
   char *path;
   char *body;      /**< NULL: none */
-  char *condition; /**< a whole header field; NULL: none */
+  char *condition; /**< a complete header field; NULL: none */
 };
 
 struct platform_http_dialect
 {
-  /** Paths with query, in new memory. */
+  /** Format a path with its query, in new memory. */
   char *(*get_path) (const char *kind, const char *name);
-  /** AFTER: the name that the former page ended at; "" for the first. */
+  /** AFTER is the last name of the previous page; "" for the first page. */
   char *(*list_path) (const char *kind, const char *after,
-                      enum platform_read_mode age);
+                      enum platform_read_mode mode);
   char *(*watch_path) (const char *kind, uint64_t revision,
-                       uint32_t timeout_ms, enum platform_read_mode age);
+                       uint32_t timeout_ms, enum platform_read_mode mode);
   /** EXPECTED_VERSION and VALUE as in platform_put(). */
   void (*write) (const char *kind, const char *name, uint64_t expected_version,
                  const char *value, struct platform_http_write *write);
 
-  /** Read the body of an answer; also a failed read leaves a REPLY that
-   * platform_http_reply_release() takes. */
+  /** Parse the body of a response.  REPLY must be released with
+   * platform_http_reply_release(), also after a failure. */
   enum status (*read_object) (struct platform_http_reply *reply,
                               const char *kind, const char *text, size_t size);
   enum status (*read_list) (struct platform_http_reply *reply,
@@ -47,11 +48,11 @@
                                const char *kind, const char *text,
                                size_t size);
 
-  /** An answer of 503 says that nothing was done. */
+  /** A response with status 503 means that the call had no effect. */
   bool unavailable_has_no_effect;
 };
 
-/** jaystair's own, as docs/PLATFORM-API.md has it. */
+/** The dialect of docs/PLATFORM-API.md. */
 extern const struct platform_http_dialect platform_http_dialect_native;
 
 #endif
--- a/wire/platform_http_end.c
+++ b/wire/platform_http_end.c
@@ -14,10 +14,10 @@
   HTTP_TOO_MANY_REQUESTS = 429,
 };
 
-/* The owner may cancel all of its calls within its callback: this one must no
-   longer count as under way then. */
+/* Completes the call.  The owner may cancel all of its calls from the
+   callback, so this one must no longer be registered then. */
 static void
-end (struct http_call *call, const struct platform_reply *reply)
+complete (struct http_call *call, const struct platform_reply *reply)
 {
   platform_done *done = call->done;
   call->done = NULL;
@@ -30,12 +30,13 @@
                           const char *message)
 {
   const struct platform_reply reply = { .status = status, .message = message };
-  end (call, &reply);
+  complete (call, &reply);
 }
 
-/* The answer to a write tells the version only: the value is known here. */
+/* The response to a write carries only the version, so the value is taken from
+   the request. */
 static void
-end_written (struct http_call *call)
+complete_write (struct http_call *call)
 {
   struct platform_http_reply parsed = { 0 };
   if (call->http->dialect->read_object (&parsed, call->object_kind,
@@ -46,20 +47,20 @@
       platform_http_reply_release (&parsed);
       platform_http_end_failed (
           call, STATUS_LOST_ANSWER,
-          "the platform took the write but its answer can't be "
-          "understood; read the object back");
+          "the platform accepted the write but its response is "
+          "invalid; read the object back");
       return;
     }
   parsed.objects[0].value = call->value;
   const struct platform_reply reply = { .status = STATUS_OK,
                                         .objects = parsed.objects,
                                         .count = parsed.count };
-  end (call, &reply);
+  complete (call, &reply);
   platform_http_reply_release (&parsed);
 }
 
 static void
-end_read (struct http_call *call)
+complete_read (struct http_call *call)
 {
   const struct platform_http_dialect *dialect = call->http->dialect;
   struct platform_http_reply parsed = { 0 };
@@ -72,14 +73,14 @@
           .revision = parsed.revision,
           .objects = parsed.objects,
           .count = parsed.count };
-  end (call, &reply);
+  complete (call, &reply);
   platform_http_reply_release (&parsed);
 }
 
-/* What was changed between two pages is told again by a watch from the first
-   page's revision. */
+/* Reports the revision of the first page: a watch from it also returns what
+   changed between the requests of the pages. */
 static void
-end_list (struct http_call *call)
+complete_list (struct http_call *call)
 {
   size_t count = 0;
   for (size_t i = 0; i < call->page_count; i++)
@@ -93,12 +94,12 @@
                                         .revision = call->pages[0].revision,
                                         .objects = objects,
                                         .count = count };
-  end (call, &reply);
+  complete (call, &reply);
   free (objects);
 }
 
 static void
-take_page (struct http_call *call)
+add_page (struct http_call *call)
 {
   const struct platform_http_dialect *dialect = call->http->dialect;
   call->pages
@@ -114,7 +115,7 @@
     }
   if (page->continue_after[0] == '\0')
     {
-      end_list (call);
+      complete_list (call);
       return;
     }
   free (call->path);
@@ -125,7 +126,7 @@
 }
 
 static void
-end_conflict (struct http_call *call)
+complete_conflict (struct http_call *call)
 {
   struct platform_http_reply parsed = { 0 };
   call->http->dialect->read_object (&parsed, call->object_kind,
@@ -133,12 +134,13 @@
   const bool exists = parsed.count > 0 && parsed.objects[0].value != NULL;
   const struct platform_reply reply
       = { .status = STATUS_REFUSED,
-          .message = exists ? "the object was changed meanwhile; look at it "
-                              "and decide again"
-                            : "there is no such object any more",
+          .message = exists
+                         ? "the object was changed concurrently; read it and "
+                           "retry if the change still applies"
+                         : "the object no longer exists",
           .objects = parsed.objects,
           .count = exists ? 1 : 0 };
-  end (call, &reply);
+  complete (call, &reply);
   platform_http_reply_release (&parsed);
 }
 
@@ -147,8 +149,8 @@
 {
   char message[160];
   snprintf (message, sizeof message,
-            "the platform answered %ld to %s; check that it and this program "
-            "speak the same API",
+            "the platform sent status %ld for %s; check that it implements "
+            "the same API version",
             code, call->path);
   switch (code)
     {
@@ -158,17 +160,17 @@
       return;
     case HTTP_CONFLICT:
     case HTTP_PRECONDITION_FAILED:
-      end_conflict (call);
+      complete_conflict (call);
       return;
     case HTTP_GONE:
       platform_http_end_failed (
           call, STATUS_REFUSED,
-          "the platform no longer knows that revision; list again");
+          "the platform no longer has that revision; list again");
       return;
     case HTTP_TOO_MANY_REQUESTS:
       platform_http_end_failed (
           call, STATUS_LIMIT,
-          "the platform takes no more calls now; come back later");
+          "the platform limits the rate of calls; try again later");
       return;
     default:
       platform_http_end_failed (call, STATUS_INVALID, message);
@@ -181,13 +183,13 @@
   switch (call->kind)
     {
     case CALL_PUT:
-      end_written (call);
+      complete_write (call);
       return;
     case CALL_LIST:
-      take_page (call);
+      add_page (call);
       return;
     case CALL_GET:
     case CALL_WATCH:
-      end_read (call);
+      complete_read (call);
     }
 }
--- a/wire/platform_http_reply.c
+++ b/wire/platform_http_reply.c
@@ -42,7 +42,7 @@
 fail (const char *expected)
 {
   return status_set (STATUS_INVALID,
-                     "the platform's answer: expected %s; check that its "
+                     "the platform's response: expected %s; check that its "
                      "address is that of the object API",
                      expected);
 }
@@ -51,7 +51,7 @@
 parse (struct platform_http_reply *reply, const char *text, size_t size)
 {
   *reply = (struct platform_http_reply){ 0 };
-  return options_parse ("the platform's answer", text, size, &reply->tree);
+  return options_parse ("the platform's response", text, size, &reply->tree);
 }
 
 enum status
--- a/wire/platform_http_reply.h
+++ b/wire/platform_http_reply.h
@@ -1,5 +1,5 @@
 /** @file
- * Bodies of the platform's answers (docs/PLATFORM-API.md), read and checked.
+ * Parsing of response bodies of the platform (docs/PLATFORM-API.md).
  */
 #ifndef WIRE_PLATFORM_HTTP_REPLY_H
 #define WIRE_PLATFORM_HTTP_REPLY_H
@@ -12,26 +12,27 @@
 #include "base/status.h"
 #include "wire/platform.h"
 
-/** Objects of one answer; their texts live as long as it. */
+/** Objects of a response.  Their strings are valid until it is released. */
 struct platform_http_reply
 {
   struct json_object *tree;
   struct platform_object *objects;
   size_t count;
-  uint64_t revision; /**< 0 in an answer about one object */
-  /** Of a list that goes on: the name to go on after; else "". */
+  uint64_t revision; /**< of a list; 0 for a single object */
+  /** The last name of a page if there are more pages; else "". */
   char continue_after[PLATFORM_NAME_SIZE];
 };
 
-/** Read `{"name","version","value"}`. */
+/** Parse `{"name","version","value"}`. */
 enum status platform_http_reply_object (struct platform_http_reply *reply,
                                         const char *text, size_t size);
 
-/** Read `{"revision","objects":[...]}`. */
+/** Parse `{"revision","objects":[...]}`. */
 enum status platform_http_reply_list (struct platform_http_reply *reply,
                                       const char *text, size_t size);
 
-/** Release what a read left, also a failed one; zeroed is fine too. */
+/** Release the result of a parse, even of a failed one.  A zeroed REPLY is
+ * allowed. */
 void platform_http_reply_release (struct platform_http_reply *reply);
 
 #endif
--- a/wire/platform_memory.c
+++ b/wire/platform_memory.c
@@ -7,7 +7,7 @@
 
 #include "base/xmalloc.h"
 
-/* An object, or what is left of a removed one: its version, which watches
+/* An object, or a tombstone with the version of its removal, which watches
    need. */
 struct memory_entry
 {
--- a/wire/route_options.c
+++ b/wire/route_options.c
@@ -17,7 +17,7 @@
       {
         options_fail (options, key,
                       "expected letters, digits, '.', '_' and '-', found "
-                      "\"%s\"; choose another name",
+                      "\"%s\"; use another name",
                       value);
         return;
       }
@@ -48,14 +48,14 @@
       if (bit == 0 || (route->methods & bit) != 0)
         options_fail (options, "methods",
                       "expected GET, HEAD, POST, PUT, DELETE, PATCH or "
-                      "OPTIONS, each once, found \"%.40s\"; leave all out "
-                      "for any method",
+                      "OPTIONS, each once, found \"%.40s\"; leave \"methods\" "
+                      "out for any method",
                       name);
       route->methods |= bit;
     }
 }
 
-/* Host names compare without regard to case: keep them in one. */
+/* Host names are case-insensitive, so they are stored in lower case. */
 static void
 read_host (struct options *options, struct route_spec *route)
 {
@@ -67,7 +67,7 @@
         {
           options_fail (options, "host",
                         "expected a host name without port, found \"%s\"; "
-                        "remove what isn't part of the name",
+                        "remove everything else",
                         route->host);
           return;
         }
@@ -84,7 +84,7 @@
       || strpbrk (route->path_prefix, "?# \t\r\n") != NULL)
     options_fail (options, "path_prefix",
                   "expected a path that begins with '/' and has no query, "
-                  "found \"%s\"; mend it or leave it out for \"/\"",
+                  "found \"%s\"; correct it or leave it out for \"/\"",
                   route->path_prefix);
 }
 
--- a/wire/service_spec.c
+++ b/wire/service_spec.c
@@ -55,7 +55,7 @@
   const char *port = strrchr (target->address, ':');
   if (port != NULL && strtoul (port + 1, NULL, 10) == 0)
     options_fail (options, "address",
-                  "expected a port from 1 to 65535, found \"%s\"; name the "
+                  "expected a port from 1 to 65535, found \"%s\"; set the "
                   "port that the target listens on",
                   target->address);
   route_options_name (options, "dc", false, target->dc);
@@ -70,21 +70,21 @@
 }
 
 static void
-refuse_same_target (struct options *options, const struct service_spec *spec,
-                    const struct target_spec *target)
+check_unique_target (struct options *options, const struct service_spec *spec,
+                     const struct target_spec *target)
 {
   for (size_t i = 0; i < spec->target_count; i++)
     {
       const struct target_spec *other = &spec->targets[i];
       if (strcmp (other->name, target->name) == 0)
         options_fail (options, "name",
-                      "expected a name of its own, found \"%s\" of targets"
+                      "expected a unique name, found \"%s\" of targets"
                       "[%zu] again; rename or remove one",
                       target->name, i);
       if (strcmp (other->address, target->address) == 0)
         options_fail (options, "address",
-                      "expected an address of its own, found \"%s\" of "
-                      "targets[%zu] again; mend or remove one",
+                      "expected a unique address, found \"%s\" of "
+                      "targets[%zu] again; correct or remove one",
                       target->address, i);
     }
 }
@@ -107,7 +107,7 @@
       struct options child;
       options_element (top, "targets", array, i, &child);
       read_target (&child, &spec->targets[i]);
-      refuse_same_target (&child, spec, &spec->targets[i]);
+      check_unique_target (&child, spec, &spec->targets[i]);
       options_end_child (top, &child);
       spec->target_count++;
     }
@@ -122,17 +122,17 @@
          && strcmp (a->path_prefix, b->path_prefix) == 0;
 }
 
-/* Two routes for one request could differ in `repeatable`, and which of them
-   decides would depend on their order. */
+/* Two routes that match the same request could differ in `repeatable`, and
+   their order would decide. */
 static void
-refuse_same_route (struct options *options, const struct service_spec *spec,
-                   const struct route_spec *route)
+check_unique_route (struct options *options, const struct service_spec *spec,
+                    const struct route_spec *route)
 {
   for (size_t i = 0; i < spec->route_count; i++)
     if (routes_overlap (&spec->routes[i], route))
       options_fail (options, "path_prefix",
                     "expected one route for a host, path and method, found "
-                    "\"%s\" of routes[%zu] again; name methods that differ "
+                    "\"%s\" of routes[%zu] again; set different methods "
                     "or remove one",
                     route->path_prefix, i);
 }
@@ -149,7 +149,7 @@
       struct options child;
       options_element (top, "routes", array, i, &child);
       route_options_read (&child, &spec->routes[i]);
-      refuse_same_route (&child, spec, &spec->routes[i]);
+      check_unique_route (&child, spec, &spec->routes[i]);
       options_end_child (top, &child);
       spec->route_count++;
     }
--- a/wire/service_spec.h
+++ b/wire/service_spec.h
@@ -1,14 +1,14 @@
 /** @file
- * A service as operators declare it: the value of a `service` object.
+ * A service as declared by operators: the value of a `service` object.
  *
  * JSON shape (comments allowed; every member but `name` and `targets` has a
  * default, see service_spec_defaults()):
  *
  *     { "name": "holds",
- *       "write_id": "",                      // of the last writer
+ *       "write_id": "",                      // of the last write
  *       "prefer": "fewer-false-ejections",   // or "faster-detection"
  *       "ejection": "automatic",             // or "paused"
- *       "floor_capacity": 24,                // healthy capacity to keep
+ *       "floor_capacity": 24,                // minimum healthy capacity
  *       "targets": [ { "name": "holds-1", "address": "127.0.0.1:9001",
  *                      "dc": "north-a", "slots": 4, "capacity": 4,
  *                      "connections": 200, "state": "active" } ],
@@ -35,38 +35,39 @@
 #define SERVICE_ROUTES_MAX 1024
 #define SERVICE_WRITE_ID_SIZE 40
 
-/** Which error of ejection costs this service more. */
+/** Which kind of ejection error is worse for this service. */
 enum service_prefer
 {
   SERVICE_PREFER_FEWER_FALSE_EJECTIONS,
   SERVICE_PREFER_FASTER_DETECTION
 };
 
-/** What operators want of a target. */
+/** Administrative state of a target. */
 enum target_state
 {
   TARGET_STATE_ACTIVE,
-  TARGET_STATE_DRAINED /**< leaving: finishes its work, gets no new */
+  TARGET_STATE_DRAINED /**< finishes its requests, gets no new ones */
 };
 
-/** One target of a service. */
+/** A target of a service. */
 struct target_spec
 {
   char name[SERVICE_NAME_SIZE];
   char address[SERVICE_ADDRESS_SIZE]; /**< IP:PORT */
   char dc[SERVICE_NAME_SIZE];
-  uint32_t slots;       /**< requests it works on at once */
-  uint32_t capacity;    /**< what it counts towards the floor; its slots
-                             unless set */
-  uint32_t connections; /**< most open connections */
-  int32_t warm_up_ms;   /**< it is slow for so long yet, as it says itself; -1
-                             when it doesn't say */
+  uint32_t slots;       /**< maximum concurrent requests */
+  uint32_t capacity;    /**< contribution to the floor; defaults to its
+                             slots */
+  uint32_t connections; /**< maximum open connections */
+  int32_t warm_up_ms;   /**< remaining warm-up time that it reports; -1: it
+                             doesn't */
   enum target_state state;
-  int64_t started_ms; /**< of its process; 0 when it isn't known.  Another one
-                           is another process, of which nothing is known yet */
+  int64_t started_ms; /**< start of its process; 0: unknown.  A different value
+                           means a new process, for which earlier
+                           observations don't hold */
 };
 
-/** Methods of a route, as bits; 0 means any. */
+/** Methods of a route, as a bit mask; 0 means any. */
 enum route_method
 {
   ROUTE_METHOD_GET = 1,
@@ -78,39 +79,41 @@
   ROUTE_METHOD_OPTIONS = 64
 };
 
-/** Which requests go to the service, and whether they may run twice. */
+/** Which requests go to the service, and whether they may run more than
+ * once. */
 struct route_spec
 {
-  char host[SERVICE_NAME_SIZE]; /**< Host header without port; "" is any */
+  char host[SERVICE_NAME_SIZE]; /**< Host header without port; "": any */
   char path_prefix[SERVICE_PATH_SIZE];
   uint32_t methods; /**< bits of enum route_method */
-  /** Default: GET, HEAD, OPTIONS routes are, all others are not. */
+  /** Defaults to true for routes with only GET, HEAD and OPTIONS, else to
+   * false. */
   bool repeatable;
 };
 
-/** Bounds of a service at one host. */
+/** Limits of a service at one host. */
 struct service_limits
 {
   uint32_t queue_requests;
   uint32_t queue_bytes;
   uint32_t body_bytes;
-  uint32_t timeout_ms;         /**< when the caller names no deadline */
+  uint32_t timeout_ms;         /**< if the caller sets no deadline */
   uint32_t connect_timeout_ms; /**< to a target */
   uint32_t retry_percent;      /**< retries per 100 recent requests */
-  uint32_t attempts;           /**< most tries of one request */
-  uint32_t goal_ms; /**< an answer within it is worth most; 0: not told */
+  uint32_t attempts;           /**< maximum attempts per request */
+  uint32_t goal_ms; /**< a later response is worth less; 0: not set */
 };
 
-/** A service in force. */
+/** An active service. */
 struct service_spec
 {
   char name[SERVICE_NAME_SIZE];
   uint64_t version; /**< of the platform's object */
-  /** Services of one group are served by the same set of hosts; "" is a group
-   * of its own. */
+  /** Services of one group are served by the same set of hosts; "": the
+   * service is a group by itself. */
   char group[SERVICE_NAME_SIZE];
-  /** Chosen anew by each writer, so that one whose answer was lost can read
-   * back whether its write took effect; "" when none. */
+  /** New for each write, so that a writer whose response was lost can read
+   * back whether the write took effect; "": none. */
   char write_id[SERVICE_WRITE_ID_SIZE];
   enum service_prefer prefer;
   bool ejection_paused;
@@ -122,23 +125,24 @@
   size_t route_count;
 };
 
-/** Set *SPEC to a service without name, targets and routes, all else as when
- * it isn't set. */
+/** Set *SPEC to a service without name, targets and routes, with default
+ * values for everything else. */
 void service_spec_defaults (struct service_spec *spec);
 
-/** Parse and check TEXT; FILE is what messages call it.  On failure the
- * message names file, place, what was expected and the remedy.
- * @return in *SPEC a service that service_spec_destroy() releases. */
+/** Parse and validate TEXT, named FILE in messages, into *SPEC, which must be
+ * released with service_spec_destroy().  On failure the message names the
+ * file, the position, what was expected and the remedy. */
 enum status service_spec_parse (const char *file, const char *text,
                                 uint64_t version, struct service_spec **spec);
 
-/** The JSON text of SPEC, in new memory; parses to an equal service. */
+/** Format SPEC as JSON text in new memory, which parses to an equal service.
+ */
 char *service_spec_format (const struct service_spec *spec);
 
 struct service_spec *service_spec_copy (const struct service_spec *spec);
 void service_spec_destroy (struct service_spec *spec);
 
-/** The target called NAME, or NULL. */
+/** Find the target NAME; NULL if there is none. */
 const struct target_spec *service_spec_target (const struct service_spec *spec,
                                                const char *name);
 
--- a/wire/service_spec_names.h
+++ b/wire/service_spec_names.h
@@ -1,5 +1,5 @@
 /** @file
- * The words of a service's JSON text, by the enums that they stand for.
+ * Names of enum values in the JSON text of a service.
  */
 #ifndef WIRE_SERVICE_SPEC_NAMES_H
 #define WIRE_SERVICE_SPEC_NAMES_H
@@ -12,13 +12,13 @@
   ROUTE_METHOD_COUNT = 7,
 };
 
-/** By enum service_prefer. */
+/** Indexed by enum service_prefer. */
 extern const char *const service_prefer_names[SERVICE_PREFER_COUNT];
-/** By whether ejection is paused. */
+/** Indexed by whether ejection is paused. */
 extern const char *const service_ejection_names[SERVICE_EJECTION_COUNT];
-/** By enum target_state. */
+/** Indexed by enum target_state. */
 extern const char *const target_state_names[TARGET_STATE_COUNT];
-/** Bit N of enum route_method is called so. */
+/** Element N is the name of bit N of enum route_method. */
 extern const char *const route_method_names[ROUTE_METHOD_COUNT];
 
 #endif
--- a/wire/target_record.c
+++ b/wire/target_record.c
@@ -46,10 +46,11 @@
   struct json_object *tree;
   memset (record, 0, sizeof *record);
   if (strlen (name) >= sizeof record->name)
-    return status_set (STATUS_INVALID,
-                       "the target's name \"%.80s\" is longer than %zu bytes: "
-                       "give it a shorter one",
-                       name, sizeof record->name - 1);
+    return status_set (
+        STATUS_INVALID,
+        "the target name \"%.80s\" is longer than %zu bytes; use "
+        "a shorter one",
+        name, sizeof record->name - 1);
   enum status status = options_parse (name, text, strlen (text), &tree);
   if (status != STATUS_OK)
     return status;
--- a/wire/target_record.h
+++ b/wire/target_record.h
@@ -1,7 +1,7 @@
 /** @file
- * A target that registers itself: the value of an object of kind `target`,
- * whose name is the target's identity.  A target that starts again has a new
- * identity or says when it started, so that two processes are told apart.
+ * Record of a target that registers itself: the value of an object of kind
+ * `target`, whose name is the target's identity.  A restarted target has a new
+ * identity or reports its start time, which distinguishes its processes.
  *
  * JSON shape:
  *
@@ -19,25 +19,25 @@
 
 struct target_record
 {
-  char name[SERVICE_NAME_SIZE]; /**< its identity */
+  char name[SERVICE_NAME_SIZE]; /**< the target's identity */
   char service[SERVICE_NAME_SIZE];
   char address[SERVICE_ADDRESS_SIZE];
   char dc[SERVICE_NAME_SIZE];
   uint32_t slots;
   enum target_state state;
-  uint32_t warm_up_ms; /**< it stays slow for so long after it said this */
-  char software[SERVICE_NAME_SIZE]; /**< version of what it runs */
-  /** Unix time of its process's start; 0: it doesn't say.  A target that
-   * starts again may keep its identity, and is another process all the same:
-   * nothing that is known of the former one holds for it. */
+  uint32_t warm_up_ms; /**< remaining warm-up time when this was written */
+  char software[SERVICE_NAME_SIZE]; /**< version of its software */
+  /** Unix time of the start of its process; 0: not reported.  A target that
+   * restarts may keep its identity but is a new process: observations of the
+   * old one don't hold for it. */
   int64_t started_ms;
 };
 
-/** Parse and check TEXT, the value of the object NAME. */
+/** Parse and validate TEXT, the value of the object NAME. */
 enum status target_record_parse (const char *name, const char *text,
                                  struct target_record *record);
 
-/** The JSON text of RECORD without its name, in new memory. */
+/** Format RECORD, without its name, as JSON text in new memory. */
 char *target_record_format (const struct target_record *record);
 
 #endif
--- a/wire/tests/curl_loop_test.cc
+++ b/wire/tests/curl_loop_test.cc
@@ -13,7 +13,7 @@
 namespace
 {
 
-/* One transfer, and what it does when its first byte arrives. */
+/* A transfer, and what it does when it receives its first byte. */
 struct transfer
 {
   struct ev_loop *loop = nullptr;
@@ -23,7 +23,7 @@
   struct transfer *start_at_data = nullptr;
   bool pause_at_data = false;
   bool within_start = false;
-  int ends = 0;
+  int completions = 0;
   CURLcode code = CURLE_OK;
   size_t bytes = 0;
 };
@@ -34,7 +34,7 @@
   auto *t = static_cast<struct transfer *> (owner);
   EXPECT_FALSE (t->within_start);
   EXPECT_EQ (easy, t->easy);
-  t->ends++;
+  t->completions++;
   t->code = code;
   ev_break (t->loop, EVBREAK_ONE);
 }
@@ -99,14 +99,14 @@
   void
   finish (struct transfer *t)
   {
-    while (t->ends == 0)
+    while (t->completions == 0)
       ev_run (loop, 0);
   }
 };
 
-const char *const waiting = "/watch/service?timeout_ms=600000";
+const char *const long_poll_path = "/watch/service?timeout_ms=600000";
 
-TEST_F (CurlLoop, ATransferEndsOnce)
+TEST_F (CurlLoop, ATransferCompletesOnce)
 {
   struct transfer t;
   prepare (&t, "/objects/service");
@@ -116,35 +116,35 @@
   EXPECT_EQ (t.code, CURLE_OK);
   EXPECT_GT (t.bytes, 0u);
   EXPECT_EQ (curl_loop_running (cl), 0u);
-  start (&t); /* the handle may be used again */
-  t.ends = 0;
+  start (&t); /* the handle may be reused */
+  t.completions = 0;
   finish (&t);
   EXPECT_EQ (t.code, CURLE_OK);
   curl_easy_cleanup (t.easy);
 }
 
-TEST_F (CurlLoop, CancelEndsLaterWithAborted)
+TEST_F (CurlLoop, CancelCompletesLaterWithAborted)
 {
   struct transfer t;
-  prepare (&t, waiting);
+  prepare (&t, long_poll_path);
   start (&t);
   ev_run (loop, EVRUN_NOWAIT);
   curl_loop_cancel (cl, t.easy);
-  EXPECT_EQ (t.ends, 0);
+  EXPECT_EQ (t.completions, 0);
   finish (&t);
   EXPECT_EQ (t.code, CURLE_ABORTED_BY_CALLBACK);
   curl_easy_cleanup (t.easy);
 }
 
-/* A caller's answer arrives, and while its first bytes are passed on the
-   relay gives up this and another request and starts a third.  libcurl
-   forbids all of it within its callback: the handles would be corrupted. */
+/* While the first bytes of a response are forwarded, its owner may cancel
+   transfers and start another one.  libcurl forbids both in its callbacks: the
+   handles would be corrupted. */
 TEST_F (CurlLoop, CancelAndStartWithinACallback)
 {
   struct transfer other;
   struct transfer third;
   struct transfer self;
-  prepare (&other, waiting);
+  prepare (&other, long_poll_path);
   prepare (&third, "/objects/service");
   prepare (&self, "/objects/service");
   self.start_at_data = &third;
@@ -161,15 +161,15 @@
   ev_run (loop, EVRUN_NOWAIT);
   for (const struct transfer *t : { &other, &third, &self })
     {
-      EXPECT_EQ (t->ends, 1);
+      EXPECT_EQ (t->completions, 1);
       curl_easy_cleanup (t->easy);
     }
 }
 
-/* The caller reads slowly, so its answer is paused.  When it reads on, the
-   rest is passed on from within the call that lifts the pause, and the owner
-   gives up there. */
-TEST_F (CurlLoop, CancelWithinALiftedPause)
+/* A response is paused while its caller reads slowly.  Resuming it runs the
+   write callback from within curl_loop_pause(), and the owner may cancel the
+   transfer there. */
+TEST_F (CurlLoop, CancelWhileResuming)
 {
   struct transfer t;
   prepare (&t, "/objects/service");
@@ -192,7 +192,7 @@
 TEST_F (CurlLoop, ATimeoutFiresOnAnIdleLoop)
 {
   struct transfer t;
-  prepare (&t, waiting);
+  prepare (&t, long_poll_path);
   curl_easy_setopt (t.easy, CURLOPT_TIMEOUT_MS, 30L);
   start (&t);
   finish (&t);
@@ -200,12 +200,12 @@
   curl_easy_cleanup (t.easy);
 }
 
-TEST_F (CurlLoop, DestroyEndsAll)
+TEST_F (CurlLoop, DestroyAbortsAllTransfers)
 {
   struct transfer a;
   struct transfer b;
-  prepare (&a, waiting);
-  prepare (&b, waiting);
+  prepare (&a, long_poll_path);
+  prepare (&b, long_poll_path);
   start (&a);
   start (&b);
   ev_run (loop, EVRUN_NOWAIT);
@@ -214,7 +214,7 @@
   cl = nullptr;
   for (const struct transfer *t : { &a, &b })
     {
-      EXPECT_EQ (t->ends, 1);
+      EXPECT_EQ (t->completions, 1);
       EXPECT_EQ (t->code, CURLE_ABORTED_BY_CALLBACK);
       curl_easy_cleanup (t->easy);
     }
--- a/wire/tests/fleet_config_test.cc
+++ b/wire/tests/fleet_config_test.cc
@@ -29,7 +29,7 @@
   return { config, fleet_config_destroy };
 }
 
-const char *const whole
+const char *const full_text
     = "{ 'version': 12, 'routes': [ { 'name': 'r-1', 'host': 'Holds.example',"
       " 'path_prefix': '/holds/', 'repeatable': false, 'timeout_ms': 4000,"
       " 'latency_goal_ms': 1000, 'priority': 1, 'attempts': 2, 'parts': ["
@@ -46,7 +46,7 @@
 
 TEST (FleetConfig, ReadsAllMembers)
 {
-  const config_ptr config = parse (whole);
+  const config_ptr config = parse (full_text);
   ASSERT_NE (config, nullptr) << status_message ();
   EXPECT_EQ (config->version, 12u);
   ASSERT_EQ (config->route_count, 1u);
@@ -70,7 +70,7 @@
 
 TEST (FleetConfig, ReadsWorkspaces)
 {
-  const config_ptr config = parse (whole);
+  const config_ptr config = parse (full_text);
   ASSERT_NE (config, nullptr) << status_message ();
   EXPECT_TRUE (config->has_workspaces);
   ASSERT_EQ (config->workspace_count, 2u);
@@ -89,9 +89,9 @@
   EXPECT_TRUE (parse ("{ 'workspaces': [ ] }")->has_workspaces);
 }
 
-/* An operator pastes a key where its digest belongs, and the message goes to
-   logs that many can read: it must not show the key. */
-TEST (FleetConfig, AKeyInPlaceOfItsDigestIsRefusedAndNotShown)
+/* The error message for a key in place of its digest must not contain the key,
+   because many can read the logs. */
+TEST (FleetConfig, AKeyInsteadOfItsDigestIsRefusedAndNotShown)
 {
   EXPECT_EQ (parse ("{ 'workspaces': [ { 'name': 'june',"
                     " 'keys': [ 'thhkmgjqnirth5mgjy5r' ] } ] }"),
@@ -101,8 +101,8 @@
   EXPECT_NE (message.find ("jaystair key digest"), std::string::npos);
 }
 
-/* Two workspaces are given one key by mistake.  Each host would take its
-   requests for whichever it finds first. */
+/* With a key of two workspaces, each host would assign its requests to the
+   workspace that it finds first. */
 TEST (FleetConfig, AKeyOfTwoWorkspacesIsRefused)
 {
   const std::string key
@@ -113,9 +113,9 @@
   EXPECT_NE (std::string (status_message ()).find ("july"), std::string::npos);
 }
 
-TEST (FleetConfig, TextAndCopyComeBackEqual)
+TEST (FleetConfig, FormattedTextAndCopyAreEqual)
 {
-  const config_ptr config = parse (whole);
+  const config_ptr config = parse (full_text);
   const config_ptr copy
       = { fleet_config_copy (config.get ()), fleet_config_destroy };
   char *text = fleet_config_format (config.get ());
@@ -130,9 +130,9 @@
   free (formatted);
 }
 
-/* An operator misspells the service of a route.  Taken as it is, every
-   request of the route would be refused for want of targets; the whole
-   version is refused instead, and the one in force stays. */
+/* All requests of a route to an undeclared service, for example a misspelt
+   one, would be refused for lack of targets.  The version is refused instead,
+   so that the active one stays. */
 TEST (FleetConfig, ARouteToAnUndeclaredServiceIsRefused)
 {
   EXPECT_EQ (parse ("{ 'routes': [ { 'name': 'r', 'parts': ["
--- a/wire/tests/platform_file_test.cc
+++ b/wire/tests/platform_file_test.cc
@@ -82,7 +82,7 @@
   outcome
   finish (outcome *end)
   {
-    EXPECT_EQ (end->ends, 0) << "not from within the call";
+    EXPECT_EQ (end->ends, 0) << "completed within the call";
     while (end->ends == 0)
       ev_run (loop, EVRUN_ONCE);
     return *end;
@@ -143,10 +143,10 @@
   EXPECT_EQ (get ("service", "c").status, STATUS_OK);
 }
 
-/* An operator drains a target, is told that it was accepted, and the host is
-   started again: the drain must not be gone.  So a write that can't be put
-   into the file is refused, in memory too. */
-TEST_F (PlatformFile, AWriteThatCannotBeKeptIsRefused)
+/* An accepted write, such as a drain, must survive a restart of the host, so a
+   write that can't be stored in the file must be refused and must not change
+   memory either. */
+TEST_F (PlatformFile, AWriteThatCannotBeStoredIsRefused)
 {
   ASSERT_EQ (load (two_services, true), STATUS_OK);
   outcome end = put ("service", "a", 1, raised_floor);
@@ -224,14 +224,14 @@
   EXPECT_EQ (cancelled.ends, 0);
 }
 
-TEST_F (PlatformFile, EveryCutFileIsRefused)
+TEST_F (PlatformFile, EveryTruncatedFileIsRefused)
 {
-  const std::string whole = two_services;
-  for (size_t size = 0; size < whole.size (); size++)
-    EXPECT_EQ (load (whole.substr (0, size)), STATUS_INVALID) << size;
+  const std::string full_text = two_services;
+  for (size_t size = 0; size < full_text.size (); size++)
+    EXPECT_EQ (load (full_text.substr (0, size)), STATUS_INVALID) << size;
 }
 
-TEST_F (PlatformFile, BadFilesNameThePlace)
+TEST_F (PlatformFile, ErrorsNameThePosition)
 {
   const std::pair<const char *, const char *> bad[] = {
     { "{}", "services: expected an array" },
@@ -239,7 +239,7 @@
     { "{\"services\":[{\"name\":\"a\"}]}", "services[0]: targets: expected" },
     { "{\"services\":[{\"name\":\"a\",\"targets\":[]},"
       "{\"name\":\"a\",\"targets\":[]}]}",
-      "services[1]: name: expected a name of its own" },
+      "services[1]: name: expected a unique name" },
   };
   for (const auto &[text, part] : bad)
     {
--- a/wire/tests/platform_http_test.cc
+++ b/wire/tests/platform_http_test.cc
@@ -113,10 +113,10 @@
   EXPECT_TRUE (list ("other").objects.empty ());
 }
 
-/* An operator removes a service and another declares one of the same name.
-   Were its versions to begin anew, hosts that keep the highest would go on
-   with the removed one. */
-TEST_F (PlatformHttp, VersionsGrowOverARemoval)
+/* A service may be removed and declared again with the same name.  If its
+   versions started over, hosts, which keep the highest version, would continue
+   to use the removed one. */
+TEST_F (PlatformHttp, VersionsIncreaseAcrossARemoval)
 {
   const uint64_t first
       = put ("service", "a", PLATFORM_VERSION_NONE, "1").objects[0].version;
@@ -156,10 +156,10 @@
   EXPECT_EQ (standin.calls ("watches"), 3);
 }
 
-/* An operator drains a target; the write takes effect, but the kept
-   connection closes before its answer.  libcurl takes such a request for
-   unsent and sends it again on its own; the platform refuses the second, and
-   the operator is told that somebody else changed the service. */
+/* If a reused connection closes after a write took effect but before its
+   response, libcurl assumes that the request wasn't sent and resends it.  The
+   platform refuses the second write, which would be reported to the operator
+   as a conflicting change. */
 TEST_F (PlatformHttp, AWriteOnAClosedConnectionRunsOnce)
 {
   ASSERT_EQ (get ("service", "a").status, STATUS_NOT_FOUND);
@@ -170,7 +170,7 @@
   EXPECT_EQ (get ("service", "a").objects.at (0).value, "1");
 }
 
-TEST_F (PlatformHttp, ALostWriteIsNotTakenToTheNextAddress)
+TEST_F (PlatformHttp, ALostWriteIsNotRetriedAtTheNextAddress)
 {
   connect ({ standin.address.c_str (), standin.address.c_str () });
   standin.tell ("lose_answers=1");
@@ -179,17 +179,18 @@
   EXPECT_EQ (standin.calls ("writes"), 1);
 }
 
-TEST_F (PlatformHttp, AnUnsentCallGoesToTheNextAddress)
+TEST_F (PlatformHttp, AnUnsentCallIsRetriedAtTheNextAddress)
 {
   connect ({ closed_address, standin.address.c_str () });
   EXPECT_EQ (put ("service", "a", PLATFORM_VERSION_NONE, "1").status,
              STATUS_OK);
   EXPECT_EQ (platform->calls, 2u);
   EXPECT_EQ (get ("service", "a").status, STATUS_OK);
-  EXPECT_EQ (platform->calls, 3u) << "the address that answered is kept";
+  EXPECT_EQ (platform->calls, 3u)
+      << "later calls start with the address that responded";
 }
 
-TEST_F (PlatformHttp, AnOutageIsUnreachableAndEnds)
+TEST_F (PlatformHttp, CallsAreUnreachableDuringAnOutage)
 {
   ASSERT_EQ (get ("service", "a").status, STATUS_NOT_FOUND);
   standin.tell ("down=1");
@@ -202,9 +203,9 @@
              STATUS_OK);
 }
 
-/* The platform is so slow that the time for a write ends first.  It may take
-   effect later, so it must not be called unreachable. */
-TEST_F (PlatformHttp, ASlowWriteIsALostAnswer)
+/* A write that times out at a slow platform may take effect later, so it must
+   not be reported as unreachable. */
+TEST_F (PlatformHttp, AWriteThatTimesOutHasALostResponse)
 {
   connect ({ standin.address.c_str () }, 50);
   standin.tell ("slow_ms=600000");
@@ -258,8 +259,8 @@
   platform_cancel (platform, owner);
 }
 
-/* A task whose call ends decides to stop and cancels all that it has under
-   way, the call that is just ending among them. */
+/* From the callback of a call, its owner may cancel all of its calls,
+   including the one that is completing. */
 TEST_F (PlatformHttp, AnOwnerMayCancelWithinItsCallback)
 {
   platform_watch (platform, "service", 0, 60000, PLATFORM_READ_LATEST, on_end,
@@ -269,7 +270,7 @@
   EXPECT_EQ (get ("service", "b").status, STATUS_NOT_FOUND);
 }
 
-TEST_F (PlatformHttp, DestroyEndsCallsQuietly)
+TEST_F (PlatformHttp, DestroyCancelsCallsWithoutCallback)
 {
   outcome end{ loop };
   platform_watch (platform, "service", 0, 60000, PLATFORM_READ_LATEST, on_end,
@@ -281,14 +282,14 @@
   EXPECT_EQ (end.ends, 0);
 }
 
-TEST (PlatformHttpOptions, SomeAddressIsNeeded)
+TEST (PlatformHttpOptions, AnAddressIsRequired)
 {
   struct platform_http_options options = {};
   EXPECT_EQ (platform_http_create (&options), nullptr);
   EXPECT_NE (strstr (status_message (), "platform addresses"), nullptr);
 }
 
-TEST (PlatformHttpReply, WhatIsNotAnAnswerIsRefused)
+TEST (PlatformHttpReply, InvalidBodiesAreRefused)
 {
   for (const char *text :
        { "", "{", "[]", "{}", "null", "{\"name\":\"a\",\"version\":1}",
--- a/wire/tests/platform_outcome.h
+++ b/wire/tests/platform_outcome.h
@@ -1,5 +1,6 @@
 /** @file
- * How a call to a platform ended, as the tests of all platforms look at it.
+ * Recorded result of a platform call, shared by the tests of all platform
+ * implementations.
  */
 #ifndef WIRE_TESTS_PLATFORM_OUTCOME_H
 #define WIRE_TESTS_PLATFORM_OUTCOME_H
@@ -15,18 +16,18 @@
 #include "wire/platform.h"
 }
 
-/** An object of a reply, its texts copied. */
+/** A copy of an object of a reply. */
 struct object
 {
   std::string name;
   uint64_t version;
-  std::string value; /**< "(removed)" without one */
+  std::string value; /**< "(removed)" if it was removed */
 };
 
-/** The ends of one call. */
+/** The results of a call. */
 struct outcome
 {
-  /** ON, unless null, is left at each end. */
+  /** The event loop ON, unless null, is stopped at each completion. */
   explicit outcome (struct ev_loop *on = nullptr) : loop (on)
   {
   }
--- a/wire/tests/service_spec_test.cc
+++ b/wire/tests/service_spec_test.cc
@@ -13,8 +13,8 @@
 namespace
 {
 
-const char *const full = R"({
-  // what an operator writes
+const char *const full_text = R"({
+  // a comment
   "name": "holds", "write_id": "w-1", "prefer": "faster-detection",
   "ejection": "paused", "floor_capacity": 24,
   "targets": [
@@ -75,7 +75,7 @@
 TEST (ServiceSpec, ReadsEveryMember)
 {
   struct service_spec *spec;
-  ASSERT_EQ (service_spec_parse ("f", full, 9, &spec), STATUS_OK)
+  ASSERT_EQ (service_spec_parse ("f", full_text, 9, &spec), STATUS_OK)
       << status_message ();
   EXPECT_EQ (spec->version, 9u);
   expect_full (spec);
@@ -86,7 +86,7 @@
 {
   struct service_spec *spec;
   struct service_spec *again;
-  ASSERT_EQ (service_spec_parse ("f", full, 9, &spec), STATUS_OK);
+  ASSERT_EQ (service_spec_parse ("f", full_text, 9, &spec), STATUS_OK);
   struct service_spec *copy = service_spec_copy (spec);
   service_spec_destroy (spec);
   expect_full (copy);
@@ -137,7 +137,7 @@
   service_spec_destroy (spec);
 }
 
-TEST (ServiceSpec, CapacityIsTheSlotsUnlessSet)
+TEST (ServiceSpec, CapacityDefaultsToTheSlots)
 {
   struct service_spec *spec;
   ASSERT_EQ (service_spec_parse ("f",
@@ -152,28 +152,28 @@
   service_spec_destroy (spec);
 }
 
-/* A service object cut short on its way must never be taken for a whole one
-   with fewer targets. */
-TEST (ServiceSpec, EveryCutTextIsRefused)
+/* A truncated service object must not be accepted as one with fewer targets.
+ */
+TEST (ServiceSpec, EveryTruncatedTextIsRefused)
 {
-  const std::string whole = full;
-  for (size_t size = 0; size < whole.size (); size++)
+  const std::string complete = full_text;
+  for (size_t size = 0; size < complete.size (); size++)
     {
       struct service_spec *spec;
-      EXPECT_EQ (
-          service_spec_parse ("f", whole.substr (0, size).c_str (), 1, &spec),
-          STATUS_INVALID)
+      EXPECT_EQ (service_spec_parse ("f", complete.substr (0, size).c_str (),
+                                     1, &spec),
+                 STATUS_INVALID)
           << size;
       EXPECT_EQ (spec, nullptr);
     }
 }
 
-TEST (ServiceSpecDiff, NamesWhatDiffers)
+TEST (ServiceSpecDiff, ListsTheDifferences)
 {
   struct service_spec *before;
   struct service_spec *after;
   char text[512];
-  char cut[16];
+  char truncated[16];
   ASSERT_EQ (service_spec_parse (
                  "f",
                  "{\"name\":\"holds\",\"floor_capacity\":4,\"targets\":["
@@ -196,15 +196,16 @@
                       "target h1: dc  to a; target h1: slots 4 to 5; "
                       "target h1: capacity 4 to 5; target h2 removed; "
                       "target h3 added; routes changed; limits changed");
-  EXPECT_EQ (service_spec_diff (before, after, cut, sizeof cut), 10u);
-  EXPECT_EQ (strlen (cut), sizeof cut - 1);
+  EXPECT_EQ (service_spec_diff (before, after, truncated, sizeof truncated),
+             10u);
+  EXPECT_EQ (strlen (truncated), sizeof truncated - 1);
   service_spec_destroy (before);
   service_spec_destroy (after);
 }
 
 struct bad_value
 {
-  const char *members; /* beside a good name and target */
+  const char *members; /* of the service object */
   const char *message_part;
 };
 
@@ -212,7 +213,7 @@
 {
 };
 
-TEST_P (BadService, NamesPlaceAndRemedy)
+TEST_P (BadService, ErrorNamesPositionAndRemedy)
 {
   struct service_spec *spec;
   const std::string text = std::string ("{") + GetParam ().members + "}";
@@ -224,12 +225,12 @@
   EXPECT_NE (strchr (status_message (), ';'), nullptr) << status_message ();
 }
 
-#define GOOD "\"name\":\"a\",\"targets\":[]"
+#define VALID "\"name\":\"a\",\"targets\":[]"
 #define TARGET(members)                                                       \
   "\"name\":\"a\",\"targets\":[{\"name\":\"t\",\"address\":\"127.0.0.1:1\"}," \
   "{" members "}]"
-#define ROUTE(members) GOOD ",\"routes\":[{" members "}]"
-#define LIMIT(member) GOOD ",\"limits\":{" member "}"
+#define ROUTE(members) VALID ",\"routes\":[{" members "}]"
+#define LIMIT(member) VALID ",\"limits\":{" member "}"
 
 INSTANTIATE_TEST_SUITE_P (
     All, BadService,
@@ -239,14 +240,16 @@
         bad_value{ "\"name\":\"a\"", "targets: expected an array" },
         bad_value{ "\"name\":\"a/b\",\"targets\":[]",
                    "name: expected letters" },
-        bad_value{ GOOD ",\"prefer\":\"speed\"", "prefer: expected one of" },
-        bad_value{ GOOD ",\"ejection\":\"off\"", "ejection: expected one of" },
-        bad_value{ GOOD ",\"floor_capacity\":-1", "floor_capacity: expected" },
-        bad_value{ GOOD ",\"write_id\":7", "write_id: expected a string" },
+        bad_value{ VALID ",\"prefer\":\"speed\"", "prefer: expected one of" },
+        bad_value{ VALID ",\"ejection\":\"off\"",
+                   "ejection: expected one of" },
+        bad_value{ VALID ",\"floor_capacity\":-1",
+                   "floor_capacity: expected" },
+        bad_value{ VALID ",\"write_id\":7", "write_id: expected a string" },
         bad_value{ TARGET ("\"name\":\"t\",\"address\":\"127.0.0.1:2\""),
-                   "targets[1].name: expected a name of its own" },
+                   "targets[1].name: expected a unique name" },
         bad_value{ TARGET ("\"name\":\"u\",\"address\":\"127.0.0.1:1\""),
-                   "targets[1].address: expected an address of its own" },
+                   "targets[1].address: expected a unique address" },
         bad_value{ TARGET ("\"name\":\"u\",\"address\":\"localhost:1\""),
                    "targets[1].address: expected IP:PORT" },
         bad_value{ TARGET ("\"name\":\"u\",\"address\":\"127.0.0.1:0\""),
--- a/wire/tests/target_record_test.cc
+++ b/wire/tests/target_record_test.cc
@@ -9,15 +9,15 @@
 
 namespace
 {
-const char *const whole
+const char *const full_text
     = "{ \"service\": \"holds\", \"address\": \"10.1.0.9:8080\","
       " \"dc\": \"north-a\", \"slots\": 3, \"state\": \"drained\","
       " \"warm_up_ms\": \"1.5s\", \"software\": \"v2\" }";
 
-TEST (TargetRecord, ReadsAllMembersAndWritesThemBack)
+TEST (TargetRecord, ParsedAndFormattedRecordsAreEqual)
 {
   target_record record;
-  ASSERT_EQ (target_record_parse ("i-1", whole, &record), STATUS_OK)
+  ASSERT_EQ (target_record_parse ("i-1", full_text, &record), STATUS_OK)
       << status_message ();
   EXPECT_STREQ (record.name, "i-1");
   EXPECT_STREQ (record.service, "holds");
@@ -34,7 +34,7 @@
   EXPECT_EQ (memcmp (&record, &again, sizeof record), 0);
 }
 
-TEST (TargetRecord, NamesWhatIsWrong)
+TEST (TargetRecord, ErrorsNameTheMember)
 {
   target_record record;
   EXPECT_EQ (target_record_parse ("i-1", "{ \"service\": \"a\" }", &record),
@@ -42,7 +42,7 @@
   EXPECT_NE (std::string (status_message ()).find ("address"),
              std::string::npos);
   EXPECT_EQ (
-      target_record_parse (std::string (80, 'x').c_str (), whole, &record),
+      target_record_parse (std::string (80, 'x').c_str (), full_text, &record),
       STATUS_INVALID);
 }
 } // namespace
