--- a/wire/fleet_config.h
+++ b/wire/fleet_config.h
@@ -41,8 +41,7 @@
 struct route_part
 {
   char service[SERVICE_NAME_SIZE];
-  uint32_t
-      weight; /**< its share is weight / sum of the weights of all parts */
+  uint32_t weight; /**< its share is weight / sum of all parts' weights */
 };
 
 /** A route and the limits of its requests. */
@@ -63,8 +62,7 @@
 {
   char name[SERVICE_NAME_SIZE];
   char health_path[SERVICE_PATH_SIZE];
-  uint32_t
-      connections; /**< maximum open to one target, summed over all hosts */
+  uint32_t connections; /**< maximum to one target, summed over all hosts */
 };
 
 /** Limits on what callers send. */
--- a/wire/fleet_workspace.h
+++ b/wire/fleet_workspace.h
@@ -36,8 +36,8 @@
 /** Request quota of a workspace, summed over all hosts. */
 struct quota
 {
-  uint64_t rate_millis; /**< thousandths of a request per second; 0: no
-                           limit */
+  /** Thousandths of a request per second; 0: no limit. */
+  uint64_t rate_millis;
   uint32_t burst; /**< requests beyond the rate, when the bucket is full */
 };
 
--- a/wire/platform_http_call.c
+++ b/wire/platform_http_call.c
@@ -77,7 +77,7 @@
     }
   char why[64];
   char message[192];
-  snprintf (why, sizeof why, "status %ld", http_code);
+  snprintf (why, sizeof why, "answered %ld", http_code);
   snprintf (message, sizeof message, "the platform at %s %s (%s); %s",
             http->addresses[call->address],
             unsent ? "can't be reached" : "sent no response",
--- a/wire/service_spec.h
+++ b/wire/service_spec.h
@@ -62,9 +62,9 @@
   int32_t warm_up_ms;   /**< remaining warm-up time that it reports; -1: it
                              doesn't */
   enum target_state state;
-  int64_t started_ms; /**< start of its process; 0: unknown.  A different value
-                           means a new process, for which earlier
-                           observations don't hold */
+  /** Start time of its process; 0: unknown.  A different value means a new
+   * process, for which earlier observations don't hold. */
+  int64_t started_ms;
 };
 
 /** Methods of a route, as a bit mask; 0 means any. */
