--- a/base/clock.h
+++ b/base/clock.h
@@ -1,9 +1,9 @@
 /** @file
- * The one clock of a host: time since boot, suspension included.
+ * The clock of a host: time since boot, including suspend.
  *
- * Leases are judged by it.  CLOCK_MONOTONIC stands still while a machine is
- * suspended, so a holder that slept through its lease would believe that it
- * still holds it; CLOCK_BOOTTIME goes on.
+ * Leases are measured with it.  CLOCK_MONOTONIC stops while a machine is
+ * suspended, so a holder that was suspended until after the expiry of its
+ * lease would assume that the lease is still valid; CLOCK_BOOTTIME continues.
  */
 #ifndef BASE_CLOCK_H
 #define BASE_CLOCK_H
--- a/base/counters.c
+++ b/base/counters.c
@@ -19,8 +19,9 @@
 struct series
 {
   struct counter counter;
-  struct counter_histogram histogram; /* used in place of the counter */
-  char *labels;                       /* as exposed, without the braces */
+  struct counter_histogram
+      histogram; /* used instead of the counter for histograms */
+  char *labels;  /* as exposed, without braces */
   UT_hash_handle hh;
 };
 
@@ -102,7 +103,7 @@
   return family;
 }
 
-/* TEXT is empty at first. */
+/* Formats the labels of a series into TEXT, which must be empty. */
 static void
 format_labels (const struct counter_family *family,
                const char *const *label_values, char text[LABELS_TEXT_SIZE])
@@ -111,11 +112,11 @@
   for (int i = 0; i < LABELS_MAX && family->label_names[i] != NULL; i++)
     {
       const char *value = label_values == NULL ? "other" : label_values[i];
-      const size_t room = LABELS_TEXT_SIZE - used;
+      const size_t available = LABELS_TEXT_SIZE - used;
       const int length
-          = snprintf (text + used, room, "%s%s=", i > 0 ? "," : "",
+          = snprintf (text + used, available, "%s%s=", i > 0 ? "," : "",
                       family->label_names[i]);
-      if (length < 0 || (size_t)length + 3 > room)
+      if (length < 0 || (size_t)length + 3 > available)
         return;
       used += (size_t)length;
       used += json_text_quote (text + used, LABELS_TEXT_SIZE - used, value);
@@ -174,7 +175,8 @@
   histogram->sum_us += (uint64_t)time_us;
 }
 
-/* Buckets are exposed summed up: each counts all below its bound. */
+/* Exposes the buckets as cumulative counts: each includes all values up to its
+   bound. */
 static void
 expose_histogram (FILE *out, const struct counter_family *family,
                   const struct series *series)
--- a/base/counters.h
+++ b/base/counters.h
@@ -1,11 +1,11 @@
 /** @file
- * Counters, gauges and histograms of a host, and their text exposition.
+ * Counters, gauges and histograms of a host, exposed as text.
  *
  * A family has a name, a help line and up to four label names; a series is a
- * family with label values.  Series are looked up once and then counted by
- * pointer.  The number of series a family may hold is bounded: past the
- * bound, all further ones share one series labelled "other", so that a name
- * chosen by a caller can't grow memory.
+ * family with label values.  A series is looked up once and then updated
+ * through its pointer.  The number of series of a family is limited: beyond
+ * the limit, all further ones share a series labelled "other", so that names
+ * chosen by callers can't grow memory without limit.
  */
 #ifndef BASE_COUNTERS_H
 #define BASE_COUNTERS_H
@@ -16,20 +16,20 @@
 struct counters;
 struct counter_family;
 
-/** One value; add to it with counter_add() or set it as a gauge. */
+/** A counter for counter_add(), or a gauge for counter_set(). */
 struct counter
 {
   int64_t value;
 };
 
-/** Upper bounds of a histogram's buckets, in seconds; one more takes the
- * rest. */
+/** Number of histogram buckets with an upper bound; one more bucket takes
+ * larger values. */
 enum
 {
   COUNTER_BUCKETS = 15
 };
 
-/** How often a time fell into each bucket. */
+/** Histogram of durations. */
 struct counter_histogram
 {
   uint64_t buckets[COUNTER_BUCKETS + 1];
@@ -39,12 +39,12 @@
 
 enum counter_kind
 {
-  COUNTER_SUM,      /**< only grows */
-  COUNTER_GAUGE,    /**< goes up and down */
-  COUNTER_HISTOGRAM /**< of times; see counter_histogram_series() */
+  COUNTER_SUM,      /**< monotonically increasing */
+  COUNTER_GAUGE,    /**< may increase and decrease */
+  COUNTER_HISTOGRAM /**< of durations; see counter_histogram_series() */
 };
 
-/** What a family is; label names may be left NULL from the end. */
+/** Definition of a family.  Unused label names at the end are NULL. */
 struct counter_family_options
 {
   const char *name; /**< as exposed, with its unit: "jaystair_..._total" */
@@ -57,22 +57,22 @@
 struct counters *counters_create (void);
 void counters_destroy (struct counters *counters);
 
-/** Add a family, or find the one of that name. */
+/** Find the family of this name, or add it. */
 struct counter_family *
 counters_family (struct counters *counters,
                  const struct counter_family_options *options);
 
-/** The series of FAMILY with these label values (as many as label names);
- * the pointer stays good as long as COUNTERS. */
+/** Find or add the series of FAMILY with these label values, one per label
+ * name.  The pointer is valid as long as the counters exist. */
 struct counter *counter_series (struct counter_family *family,
                                 const char *const *label_values);
 
-/** The series of FAMILY, a histogram, with these label values. */
+/** Same as counter_series(), for a FAMILY of histograms. */
 struct counter_histogram *
 counter_histogram_series (struct counter_family *family,
                           const char *const *label_values);
 
-/** Count a time. */
+/** Add a duration to HISTOGRAM. */
 void counter_observe (struct counter_histogram *histogram, int64_t time_us);
 
 static inline void
@@ -87,7 +87,8 @@
   counter->value = value;
 }
 
-/** All series in the usual text exposition format, in new memory. */
+/** Format all series in the Prometheus text exposition format, in new
+ * memory. */
 char *counters_expose (const struct counters *counters);
 
 #endif
--- a/base/digest.c
+++ b/base/digest.c
@@ -6,9 +6,9 @@
 #include <openssl/sha.h>
 
 _Static_assert(DIGEST_BYTES == SHA256_DIGEST_LENGTH,
-               "a digest is one of SHA-256");
+               "a digest is a SHA-256 digest");
 
-static const char digits[] = "0123456789abcdef";
+static const char hex_digits[] = "0123456789abcdef";
 
 struct digest
 digest_of (const void *data, size_t size)
@@ -23,20 +23,20 @@
 {
   for (size_t i = 0; i < DIGEST_BYTES; i++)
     {
-      text[2 * i] = digits[digest->bytes[i] >> 4];
-      text[2 * i + 1] = digits[digest->bytes[i] & 0xf];
+      text[2 * i] = hex_digits[digest->bytes[i] >> 4];
+      text[2 * i + 1] = hex_digits[digest->bytes[i] & 0xf];
     }
   text[2 * DIGEST_BYTES] = '\0';
 }
 
-/* The value of a hexadecimal digit, or -1. */
+/* Returns the value of a hexadecimal digit, or -1. */
 static int
 digit_value (char digit)
 {
   if (digit >= 'A' && digit <= 'F')
     digit = (char)(digit - 'A' + 'a');
-  const char *found = digit != '\0' ? strchr (digits, digit) : NULL;
-  return found != NULL ? (int)(found - digits) : -1;
+  const char *found = digit != '\0' ? strchr (hex_digits, digit) : NULL;
+  return found != NULL ? (int)(found - hex_digits) : -1;
 }
 
 bool
@@ -55,7 +55,7 @@
   return true;
 }
 
-/* Takes as long for any two, so that its time tells nothing of a secret. */
+/* Constant time prevents a timing attack on secrets. */
 bool
 digest_equal (const struct digest *a, const struct digest *b)
 {
--- a/base/digest.h
+++ b/base/digest.h
@@ -1,5 +1,5 @@
 /** @file
- * SHA-256 digests: what is kept of a secret in its place.
+ * SHA-256 digests, which are stored instead of secrets.
  */
 #ifndef BASE_DIGEST_H
 #define BASE_DIGEST_H
@@ -11,7 +11,7 @@
 enum
 {
   DIGEST_BYTES = 32,
-  /** Of a digest as text: two hexadecimal digits a byte, and a NUL. */
+  /** Size of a digest as text: two hexadecimal digits per byte, and a NUL. */
   DIGEST_TEXT_SIZE = 2 * DIGEST_BYTES + 1,
 };
 
@@ -20,16 +20,17 @@
   uint8_t bytes[DIGEST_BYTES];
 };
 
-/** The digest of SIZE bytes of DATA. */
+/** Compute the digest of SIZE bytes of DATA. */
 struct digest digest_of (const void *data, size_t size);
 
-/** DIGEST in lower-case hexadecimal digits. */
+/** Format DIGEST as lower-case hexadecimal digits. */
 void digest_format (const struct digest *digest, char text[DIGEST_TEXT_SIZE]);
 
-/** Read what digest_format() writes, in either case.
- * @return whether TEXT is a digest */
+/** Parse the output of digest_format(); upper-case digits are accepted too.
+ * @return whether TEXT is a digest. */
 bool digest_parse (const char *text, struct digest *digest);
 
+/** Compare digests in constant time. */
 bool digest_equal (const struct digest *a, const struct digest *b);
 
 #endif
--- a/base/duration.h
+++ b/base/duration.h
@@ -1,5 +1,5 @@
 /** @file
- * Lengths of time as people write them.
+ * Parsing of durations with a unit.
  */
 #ifndef BASE_DURATION_H
 #define BASE_DURATION_H
@@ -7,8 +7,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Read "1500ms" or "2.5s" into *VALUE_MS.
- * @return false for any other text */
+/** Parse a duration such as "1500ms" or "2.5s" into *VALUE_MS.
+ * @return false if TEXT has another form or exceeds INT32_MAX milliseconds. */
 bool duration_parse (const char *text, int64_t *value_ms);
 
 #endif
--- a/base/fingerprint.c
+++ b/base/fingerprint.c
@@ -13,10 +13,10 @@
 
 enum
 {
-  DIGITS_OF_HALF = 16,
+  HALF_HEX_DIGITS = 16,
 };
 
-/* Reads a big-endian 64-bit integer at OFFSET of DIGEST. */
+/* Reads the big-endian 64-bit integer at OFFSET of DIGEST. */
 static uint64_t
 digest_uint64_be (const struct digest *digest, size_t offset)
 {
@@ -71,7 +71,7 @@
 parse_half (const char *text, uint64_t *half)
 {
   *half = 0;
-  for (size_t i = 0; i < DIGITS_OF_HALF; i++)
+  for (size_t i = 0; i < HALF_HEX_DIGITS; i++)
     {
       const char *digit
           = text[i] != '\0' ? strchr (hex_digits, text[i]) : NULL;
@@ -87,6 +87,6 @@
 {
   *fingerprint = (struct fingerprint){ 0 };
   return parse_half (text, &fingerprint->high)
-         && parse_half (text + DIGITS_OF_HALF, &fingerprint->low)
-         && text[2 * DIGITS_OF_HALF] == '\0';
+         && parse_half (text + HALF_HEX_DIGITS, &fingerprint->low)
+         && text[2 * HALF_HEX_DIGITS] == '\0';
 }
--- a/base/fingerprint.h
+++ b/base/fingerprint.h
@@ -12,7 +12,7 @@
 
 enum
 {
-  /** Of a fingerprint as text: 32 hexadecimal digits and a NUL. */
+  /** Size of a fingerprint as text: 32 hexadecimal digits and a NUL. */
   FINGERPRINT_TEXT_SIZE = 33,
 };
 
@@ -37,8 +37,8 @@
 bool fingerprint_equal (const struct fingerprint *a,
                         const struct fingerprint *b);
 
-/** Read what fingerprint_format() writes; `head_hash` becomes 0.
- * @return whether TEXT is a fingerprint */
+/** Parse the output of fingerprint_format(); `head_hash` becomes 0.
+ * @return whether TEXT is a fingerprint. */
 bool fingerprint_parse (const char *text, struct fingerprint *fingerprint);
 
 /** Format the digest as lower-case hexadecimal digits. */
--- a/base/hash.h
+++ b/base/hash.h
@@ -1,6 +1,6 @@
 /** @file
- * Hashes that are the same on every host: placement depends on them, so
- * their values are part of the peer protocol and must not change.
+ * Hash functions with the same values on all hosts.  Placement depends on
+ * them, so they are part of the peer protocol and must not change.
  */
 #ifndef BASE_HASH_H
 #define BASE_HASH_H
@@ -8,10 +8,10 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Hash of SIZE bytes (FNV-1a, finished by a 64-bit mixer). */
+/** Hash SIZE bytes (FNV-1a with a 64-bit finalizer). */
 uint64_t hash_bytes (const void *data, size_t size);
 uint64_t hash_string (const char *text);
-/** Order-dependent combination of two hashes. */
+/** Combine two hashes; the order matters. */
 uint64_t hash_pair (uint64_t first, uint64_t second);
 
 #endif
--- a/base/json_text.c
+++ b/base/json_text.c
@@ -10,7 +10,7 @@
 };
 
 static const char *
-escape (unsigned char c, char buffer[ESCAPE_SIZE])
+escape_char (unsigned char c, char buffer[ESCAPE_SIZE])
 {
   if (c == '"' || c == '\\')
     snprintf (buffer, ESCAPE_SIZE, "\\%c", c);
@@ -29,11 +29,12 @@
   buffer[used++] = '"';
   for (; *text != '\0'; text++)
     {
-      char piece[ESCAPE_SIZE];
-      const size_t length = strlen (escape ((unsigned char)*text, piece));
+      char escaped[ESCAPE_SIZE];
+      const size_t length
+          = strlen (escape_char ((unsigned char)*text, escaped));
       if (used + length + 2 > size)
         break;
-      memcpy (buffer + used, piece, length);
+      memcpy (buffer + used, escaped, length);
       used += length;
     }
   buffer[used++] = '"';
--- a/base/log.c
+++ b/base/log.c
@@ -13,21 +13,21 @@
 
 enum
 {
-  REPEAT_SLOTS = 64,
-  STAMP_SIZE = 40,
+  RATE_LIMIT_SLOTS = 64,
+  TIME_TEXT_SIZE = 40,
   SECOND_MS = 1000,
 };
 
-/** How often one event was written in the second under way. */
-struct repeat
+/** Rate limit of an event: its lines in the current second. */
+struct rate_limit
 {
   uint64_t event_hash;
-  int64_t since_ms;
+  int64_t start_ms;
   uint32_t written;
   uint32_t withheld;
 };
 
-/** A line under construction. */
+/** A line that is being formatted. */
 struct line
 {
   char text[LOG_LINE_SIZE];
@@ -36,8 +36,8 @@
 
 static struct log_options config
     = { .level = LOG_LEVEL_INFO, .fd = STDERR_FILENO };
-static struct repeat repeats[REPEAT_SLOTS];
-static uint64_t lost; /* lines that found no room */
+static struct rate_limit rate_limits[RATE_LIMIT_SLOTS];
+static uint64_t lost; /* lines dropped because the log was full */
 
 static const char *const level_names[] = { [LOG_LEVEL_ERROR] = "error",
                                            [LOG_LEVEL_WARNING] = "warning",
@@ -50,7 +50,7 @@
   config = *options;
   if (config.fd == 0)
     config.fd = STDERR_FILENO;
-  memset (repeats, 0, sizeof repeats);
+  memset (rate_limits, 0, sizeof rate_limits);
 }
 
 bool
@@ -69,16 +69,16 @@
         return STATUS_OK;
       }
   return status_set (STATUS_INVALID,
-                     "log level \"%s\" is not known: use error, warning, "
-                     "info or debug",
+                     "unknown log level \"%s\"; use error, warning, info or "
+                     "debug",
                      text);
 }
 
 static void
 line_add (struct line *line, const char *text)
 {
-  const size_t room = sizeof line->text - 2 - line->used;
-  const size_t length = strnlen (text, room);
+  const size_t available = sizeof line->text - 2 - line->used;
+  const size_t length = strnlen (text, available);
   memcpy (line->text + line->used, text, length);
   line->used += length;
 }
@@ -86,10 +86,10 @@
 static void
 line_add_quoted (struct line *line, const char *text)
 {
-  const size_t room = sizeof line->text - 2 - line->used;
-  if (room < 4)
+  const size_t available = sizeof line->text - 2 - line->used;
+  if (available < 4)
     return;
-  line->used += json_text_quote (line->text + line->used, room, text);
+  line->used += json_text_quote (line->text + line->used, available, text);
 }
 
 static void
@@ -100,7 +100,7 @@
   line_add (line, text);
 }
 
-/* A value that a key=value reader could split wrongly is quoted. */
+/* Quotes a value that a key=value parser could split wrongly. */
 static void
 line_add_value (struct line *line, const char *text)
 {
@@ -111,14 +111,16 @@
 }
 
 static void
-stamp (char text[STAMP_SIZE])
+format_time (char text[TIME_TEXT_SIZE])
 {
   struct timespec now;
   struct tm parts;
   clock_gettime (CLOCK_REALTIME, &now);
   gmtime_r (&now.tv_sec, &parts);
-  const size_t used = strftime (text, STAMP_SIZE, "%Y-%m-%dT%H:%M:%S", &parts);
-  snprintf (text + used, STAMP_SIZE - used, ".%03ldZ", now.tv_nsec / 1000000);
+  const size_t used
+      = strftime (text, TIME_TEXT_SIZE, "%Y-%m-%dT%H:%M:%S", &parts);
+  snprintf (text + used, TIME_TEXT_SIZE - used, ".%03ldZ",
+            now.tv_nsec / 1000000);
 }
 
 static void
@@ -161,8 +163,8 @@
 format_text (struct line *line, enum log_level level, const char *module,
              const char *event, const struct log_field *fields, size_t count)
 {
-  char time_text[STAMP_SIZE];
-  stamp (time_text);
+  char time_text[TIME_TEXT_SIZE];
+  format_time (time_text);
   line_add (line, time_text);
   line_add (line, " ");
   line_add (line, level_names[level]);
@@ -177,8 +179,8 @@
 format_json (struct line *line, enum log_level level, const char *module,
              const char *event, const struct log_field *fields, size_t count)
 {
-  char time_text[STAMP_SIZE];
-  stamp (time_text);
+  char time_text[TIME_TEXT_SIZE];
+  format_time (time_text);
   const struct log_field head[]
       = { LOG_STR ("level", level_names[level]), LOG_STR ("module", module),
           LOG_STR ("event", event) };
@@ -199,14 +201,15 @@
   else
     format_text (&line, level, module, event, fields, count);
   line.text[line.used++] = '\n';
-  /* One write a line keeps lines of several processes whole in one file. */
+  /* A single write per line keeps lines of several processes in one file
+     intact. */
   const ssize_t written = write (config.fd, line.text, line.used);
   (void)written;
 }
 
-/* Guards against a reader of the log that has stopped: once the pipe to it is
-   full, a write waits for it, and with it all requests.  A pipe that polls
-   writable takes PIPE_BUF bytes without waiting, more than a line has. */
+/* If the reader of the log stops and the pipe to it is full, a write would
+   block, and all requests with it.  A pipe that polls writable accepts
+   PIPE_BUF bytes without blocking, which is more than a line has. */
 static bool
 would_block (void)
 {
@@ -214,45 +217,49 @@
   return poll (&fd, 1, 0) == 1 ? (fd.revents & POLLOUT) == 0 : true;
 }
 
-_Static_assert(LOG_LINE_SIZE <= PIPE_BUF, "a line may wait for its reader");
+_Static_assert(LOG_LINE_SIZE <= PIPE_BUF, "writing a line may block");
 
-/* Guards against a log that drowns its reader and the disk behind it when
-   one event repeats for each request: past the limit of a second the lines
-   are counted, and the next line that may pass tells how many are missing. */
+/* Applies the rate limit of an event.  Without it, an event that is logged for
+   each request would overload the reader of the log and fill the disk.  Lines
+   beyond the limit per second are counted, and the next line that is written
+   reports their number in *WITHHELD. */
 static bool
-repeat_allows (enum log_level level, const char *module, const char *event,
-               uint32_t *withheld)
+rate_limit_allows (enum log_level level, const char *module, const char *event,
+                   uint32_t *withheld)
 {
-  const uint32_t most = level <= LOG_LEVEL_WARNING ? config.warnings_per_second
-                                                   : config.repeats_per_second;
+  const uint32_t max_lines = level <= LOG_LEVEL_WARNING
+                                 ? config.warnings_per_second
+                                 : config.repeats_per_second;
   *withheld = 0;
-  if (most == 0)
+  if (max_lines == 0)
     return true;
   const uint64_t hash = hash_pair (hash_string (module), hash_string (event));
-  struct repeat *repeat = &repeats[hash % REPEAT_SLOTS];
+  struct rate_limit *rate_limit = &rate_limits[hash % RATE_LIMIT_SLOTS];
   const int64_t now_ms = clock_now_ms ();
-  if (repeat->event_hash != hash || now_ms - repeat->since_ms >= SECOND_MS)
+  if (rate_limit->event_hash != hash
+      || now_ms - rate_limit->start_ms >= SECOND_MS)
     {
-      if (repeat->event_hash == hash)
-        *withheld = repeat->withheld;
-      *repeat = (struct repeat){ .event_hash = hash, .since_ms = now_ms };
+      if (rate_limit->event_hash == hash)
+        *withheld = rate_limit->withheld;
+      *rate_limit
+          = (struct rate_limit){ .event_hash = hash, .start_ms = now_ms };
     }
-  if (repeat->written >= most)
+  if (rate_limit->written >= max_lines)
     {
-      repeat->withheld++;
+      rate_limit->withheld++;
       return false;
     }
-  repeat->written++;
+  rate_limit->written++;
   return true;
 }
 
-/* A line that says how many before it were lost. */
+/* Writes a line that reports the number of lost lines. */
 static void
 emit_lost (void)
 {
-  const struct log_field note[] = { LOG_INT ("lines", lost) };
+  const struct log_field fields[] = { LOG_INT ("lines", lost) };
   lost = 0;
-  emit (LOG_LEVEL_WARNING, "log", "log-lost", note, 1);
+  emit (LOG_LEVEL_WARNING, "log", "log-lost", fields, 1);
 }
 
 void
@@ -260,7 +267,7 @@
            const struct log_field *fields, size_t count)
 {
   uint32_t withheld;
-  if (!repeat_allows (level, module, event, &withheld))
+  if (!rate_limit_allows (level, module, event, &withheld))
     return;
   if (would_block ())
     {
@@ -271,9 +278,9 @@
     emit_lost ();
   if (withheld > 0)
     {
-      const struct log_field note[]
+      const struct log_field report[]
           = { LOG_STR ("repeated", event), LOG_INT ("withheld", withheld) };
-      emit (level, module, "log-withheld", note, 2);
+      emit (level, module, "log-withheld", report, 2);
     }
   emit (level, module, event, fields, count);
 }
--- a/base/log.h
+++ b/base/log.h
@@ -1,10 +1,10 @@
 /** @file
- * Leveled, structured logs.
+ * Structured logging with levels.
  *
- * One event a line, as `time level module event key=value ...` or as a JSON
- * object.  A source names its module once, before including this header:
- * `#define LOG_MODULE "router"`.  Lines that repeat one event faster than
- * the limit are counted and summed up instead of written.
+ * Each line is an event, as `time level module event key=value ...` or as a
+ * JSON object.  A source file defines its module before it includes this
+ * header: `#define LOG_MODULE "router"`.  Lines of an event beyond its rate
+ * limit are suppressed, and a later line reports their number.
  */
 #ifndef BASE_LOG_H
 #define BASE_LOG_H
@@ -24,10 +24,10 @@
   LOG_LEVEL_DEBUG,
 };
 
-/** Longest line written; what is beyond it is cut. */
+/** Maximum size of a line; longer lines are truncated. */
 #define LOG_LINE_SIZE 2048
 
-/** One key with its value: text where text isn't NULL, else the number. */
+/** A key and its value: the text, or the number if the text is NULL. */
 struct log_field
 {
   const char *key;
@@ -40,32 +40,34 @@
   {                                                                           \
     .key = (name), .text = (value) ? (value) : "-", .number = 0               \
   }
-/** A whole-number field. */
+/** An integer field. */
 #define LOG_INT(name, value)                                                  \
   {                                                                           \
     .key = (name), .text = NULL, .number = (int64_t)(value)                   \
   }
 
-/** How the logger behaves; the defaults are those of a zeroed struct. */
+/** Options of the logger; a zeroed struct has the defaults. */
 struct log_options
 {
-  enum log_level level;        /**< the least grave level written */
-  bool json;                   /**< JSON lines in place of key=value */
-  int fd;                      /**< where to; 0 means standard error */
-  uint32_t repeats_per_second; /**< lines an event may write; 0: no limit */
-  /** The same for warnings and errors: what fails is asked for afterwards, so
-   * more of it is kept than of what goes well. */
+  enum log_level level;        /**< the least severe level written */
+  bool json;                   /**< JSON lines instead of key=value */
+  int fd;                      /**< destination; 0 means standard error */
+  uint32_t repeats_per_second; /**< maximum lines per event; 0: no limit */
+  /** The same for warnings and errors.  It is separate because failures are
+   * looked up in the log afterwards, so that more of their lines must be kept
+   * than of successes. */
   uint32_t warnings_per_second;
 };
 
 void log_configure (const struct log_options *options);
 bool log_enabled (enum log_level level);
 
-/** "error", "warning", "info" or "debug"; STATUS_INVALID otherwise. */
+/** Parse "error", "warning", "info" or "debug".
+ * @return STATUS_INVALID for any other TEXT. */
 enum status log_level_parse (const char *text, enum log_level *level);
 
-/** Write one event.  The first field of FIELDS is a blank that lets the
- * macros pass none. */
+/** Write an event.  Fields without a key are ignored: the macros pass one so
+ * that the list is never empty. */
 void log_write (enum log_level level, const char *module, const char *event,
                 const struct log_field *fields, size_t count);
 
@@ -86,7 +88,7 @@
 #define LOG_ERR(event, ...) LOG_AT (LOG_LEVEL_ERROR, event, ##__VA_ARGS__)
 #define LOG_WARN(event, ...) LOG_AT (LOG_LEVEL_WARNING, event, ##__VA_ARGS__)
 #define LOG_INFO(event, ...) LOG_AT (LOG_LEVEL_INFO, event, ##__VA_ARGS__)
-/** As LOG_ERR with the text of errno. */
+/** Same as LOG_ERR with the description of errno. */
 #define LOG_ERRNO(event, ...)                                                 \
   LOG_ERR (event, LOG_STR ("errno", strerror (errno)), ##__VA_ARGS__)
 /** Compiled only with -DLOG_DEBUG. */
--- a/base/options.c
+++ b/base/options.c
@@ -12,11 +12,11 @@
 
 enum
 {
-  FOUND_SIZE = 64,
+  VALUE_TEXT_SIZE = 64,
 };
 
 static const char *
-describe (struct json_object *node, char text[FOUND_SIZE])
+describe_value (struct json_object *node, char text[VALUE_TEXT_SIZE])
 {
   switch (json_object_get_type (node))
     {
@@ -27,35 +27,35 @@
     case json_type_null:
       return "null";
     default:
-      snprintf (text, FOUND_SIZE, "%.60s",
+      snprintf (text, VALUE_TEXT_SIZE, "%.60s",
                 json_object_to_json_string_ext (node, JSON_C_TO_STRING_PLAIN));
       return text;
     }
 }
 
 static void
-join_place (char *place, size_t size, const char *parent, const char *key)
+join_path (char *path, size_t size, const char *parent, const char *key)
 {
   if (parent[0] == '\0')
-    snprintf (place, size, "%s", key);
+    snprintf (path, size, "%s", key);
   else
-    snprintf (place, size, "%s.%s", parent, key);
+    snprintf (path, size, "%s.%s", parent, key);
 }
 
 void
-options_begin (struct options *options, const char *file, const char *place,
+options_begin (struct options *options, const char *file, const char *path,
                struct json_object *node)
 {
   *options = (struct options){ .file = file, .node = node };
-  snprintf (options->path, sizeof options->path, "%s", place);
+  snprintf (options->path, sizeof options->path, "%s", path);
   if (json_object_is_type (node, json_type_object))
     return;
-  char found[FOUND_SIZE];
+  char found[VALUE_TEXT_SIZE];
   options->status = status_set (
       STATUS_INVALID,
       "%s: %s: expected an object { ... }, found %s; write the "
-      "options as members of one object",
-      file, place[0] == '\0' ? "top" : place, describe (node, found));
+      "options as members of an object",
+      file, path[0] == '\0' ? "top" : path, describe_value (node, found));
   options->node = NULL;
 }
 
@@ -65,18 +65,18 @@
 {
   if (options->status != STATUS_OK)
     return;
-  char what[256];
+  char message[256];
   va_list args;
   va_start (args, format);
-  vsnprintf (what, sizeof what, format, args);
+  vsnprintf (message, sizeof message, format, args);
   va_end (args);
-  char place[sizeof options->path];
-  join_place (place, sizeof place, options->path, key);
-  options->status
-      = status_set (STATUS_INVALID, "%s: %s: %s", options->file, place, what);
+  char path[sizeof options->path];
+  join_path (path, sizeof path, options->path, key);
+  options->status = status_set (STATUS_INVALID, "%s: %s: %s", options->file,
+                                path, message);
 }
 
-/* Find member KEY and remember that it was asked for. */
+/* Finds member KEY and records it as known. */
 static struct json_object *
 member (struct options *options, const char *key)
 {
@@ -89,31 +89,31 @@
   return node;
 }
 
-/* Does the object hold KEY at all, even as null? */
+/* Tests whether the object has a member KEY, even if it is null. */
 static bool
-present (const struct options *options, const char *key)
+is_present (const struct options *options, const char *key)
 {
   return options->status == STATUS_OK
          && json_object_object_get_ex (options->node, key, NULL);
 }
 
 static void
-fail_found (struct options *options, const char *key, const char *expected,
+fail_value (struct options *options, const char *key, const char *expected,
             struct json_object *node)
 {
-  char found[FOUND_SIZE];
+  char found[VALUE_TEXT_SIZE];
   options_fail (options, key,
-                "expected %s, found %s; set it so or leave it "
+                "expected %s, found %s; correct it or leave it "
                 "out",
-                expected, describe (node, found));
+                expected, describe_value (node, found));
 }
 
-/* Is KEY there?  It is a failure when it isn't though REQUIRED. */
+/* Tests whether KEY is present; fails if it is absent but REQUIRED. */
 static bool
-is_given (struct options *options, const char *key, bool required,
-          const char *expected)
+check_present (struct options *options, const char *key, bool required,
+               const char *expected)
 {
-  if (present (options, key))
+  if (is_present (options, key))
     return true;
   if (required)
     options_fail (options, key, "expected %s, found nothing; add it",
@@ -126,16 +126,16 @@
                 struct options *child)
 {
   struct json_object *node = member (parent, key);
-  if (!is_given (parent, key, required, "an object"))
+  if (!check_present (parent, key, required, "an object"))
     return false;
   if (!json_object_is_type (node, json_type_object))
     {
-      fail_found (parent, key, "an object { ... }", node);
+      fail_value (parent, key, "an object { ... }", node);
       return false;
     }
-  char place[sizeof parent->path];
-  join_place (place, sizeof place, parent->path, key);
-  options_begin (child, parent->file, place, node);
+  char path[sizeof parent->path];
+  join_path (path, sizeof path, parent->path, key);
+  options_begin (child, parent->file, path, node);
   return true;
 }
 
@@ -143,11 +143,11 @@
 options_array (struct options *options, const char *key, size_t max)
 {
   struct json_object *node = member (options, key);
-  if (!present (options, key))
+  if (!is_present (options, key))
     return NULL;
   if (!json_object_is_type (node, json_type_array))
     {
-      fail_found (options, key, "an array [ ... ]", node);
+      fail_value (options, key, "an array [ ... ]", node);
       return NULL;
     }
   if (json_object_array_length (node) > max)
@@ -166,10 +166,10 @@
                  struct options *child)
 {
   char name[sizeof parent->path];
-  char place[sizeof parent->path];
+  char path[sizeof parent->path];
   snprintf (name, sizeof name, "%s[%zu]", key, index);
-  join_place (place, sizeof place, parent->path, name);
-  options_begin (child, parent->file, place,
+  join_path (path, sizeof path, parent->path, name);
+  options_begin (child, parent->file, path,
                  json_object_array_get_idx (array, index));
 }
 
@@ -178,7 +178,7 @@
              int64_t max, int64_t *value)
 {
   struct json_object *node = member (options, key);
-  if (!present (options, key))
+  if (!is_present (options, key))
     return;
   errno = 0;
   const int64_t number = json_object_get_int64 (node);
@@ -187,7 +187,7 @@
             (long long)min, (long long)max);
   if (!json_object_is_type (node, json_type_int) || number < min
       || number > max)
-    fail_found (options, key, expected, node);
+    fail_value (options, key, expected, node);
   else
     *value = number;
 }
@@ -206,7 +206,7 @@
                 double max, double *value)
 {
   struct json_object *node = member (options, key);
-  if (!present (options, key))
+  if (!is_present (options, key))
     return;
   const bool is_number = json_object_is_type (node, json_type_int)
                          || json_object_is_type (node, json_type_double);
@@ -214,7 +214,7 @@
   char expected[96];
   snprintf (expected, sizeof expected, "a number from %g to %g", min, max);
   if (!is_number || !(number >= min && number <= max))
-    fail_found (options, key, expected, node);
+    fail_value (options, key, expected, node);
   else
     *value = number;
 }
@@ -224,7 +224,7 @@
                   int64_t max_ms, int64_t *value_ms)
 {
   struct json_object *node = member (options, key);
-  if (!present (options, key))
+  if (!is_present (options, key))
     return;
   if (!json_object_is_type (node, json_type_string))
     {
@@ -234,12 +234,12 @@
   int64_t found_ms = 0;
   char expected[96];
   snprintf (expected, sizeof expected,
-            "a time from %lldms to %lldms, as 1500 (ms), \"1500ms\" or "
-            "\"1.5s\"",
+            "a duration from %lldms to %lldms, as 1500 (ms), "
+            "\"1500ms\" or \"1.5s\"",
             (long long)min_ms, (long long)max_ms);
   if (!duration_parse (json_object_get_string (node), &found_ms)
       || found_ms < min_ms || found_ms > max_ms)
-    fail_found (options, key, expected, node);
+    fail_value (options, key, expected, node);
   else
     *value_ms = found_ms;
 }
@@ -248,10 +248,10 @@
 options_bool (struct options *options, const char *key, bool *value)
 {
   struct json_object *node = member (options, key);
-  if (!present (options, key))
+  if (!is_present (options, key))
     return;
   if (!json_object_is_type (node, json_type_boolean))
-    fail_found (options, key, "true or false", node);
+    fail_value (options, key, "true or false", node);
   else
     *value = json_object_get_boolean (node);
 }
@@ -261,21 +261,21 @@
                 char *value, size_t size)
 {
   struct json_object *node = member (options, key);
-  if (!is_given (options, key, required, "a string"))
+  if (!check_present (options, key, required, "a string"))
     return;
   char expected[96];
   snprintf (expected, sizeof expected, "a string of %s%zu bytes",
             required ? "1 to " : "at most ", size - 1);
   if (!json_object_is_type (node, json_type_string))
     {
-      fail_found (options, key, expected, node);
+      fail_value (options, key, expected, node);
       return;
     }
   const char *text = json_object_get_string (node);
   const size_t length = (size_t)json_object_get_string_len (node);
   if (length >= size || strlen (text) != length || (required && length == 0))
     {
-      fail_found (options, key, expected, node);
+      fail_value (options, key, expected, node);
       return;
     }
   memcpy (value, text, length + 1);
@@ -286,7 +286,7 @@
               const char *const *names, size_t count, int *value)
 {
   struct json_object *node = member (options, key);
-  if (!present (options, key))
+  if (!is_present (options, key))
     return;
   char expected[160] = "one of";
   size_t used = strlen (expected);
@@ -303,7 +303,7 @@
         used += (size_t)snprintf (expected + used, sizeof expected - used,
                                   "%s \"%s\"", i > 0 ? "," : "", names[i]);
     }
-  fail_found (options, key, expected, node);
+  fail_value (options, key, expected, node);
 }
 
 static bool
@@ -341,7 +341,7 @@
 options_address (struct options *options, const char *key, bool required,
                  char *value, size_t size)
 {
-  const bool given = present (options, key);
+  const bool given = is_present (options, key);
   options_string (options, key, required, value, size);
   if (!given || options->status != STATUS_OK)
     return;
@@ -349,13 +349,13 @@
     return;
   if (!is_address (value))
     options_fail (options, key,
-                  "expected IP:PORT by number (127.0.0.1:8080 or "
-                  "[::1]:8080), found \"%s\"; host names aren't looked up",
+                  "expected IP:PORT with a numeric IP (127.0.0.1:8080 or "
+                  "[::1]:8080), found \"%s\"; host names aren't resolved",
                   value);
 }
 
 static bool
-was_asked (const struct options *options, const char *key)
+is_known (const struct options *options, const char *key)
 {
   for (size_t i = 0; i < options->known_count; i++)
     if (strcmp (options->known_keys[i], key) == 0)
@@ -371,7 +371,7 @@
   json_object_object_foreach (options->node, key, node)
   {
     (void)node;
-    if (was_asked (options, key))
+    if (is_known (options, key))
       continue;
     char known[256] = "";
     size_t used = 0;
--- a/base/options_parse.c
+++ b/base/options_parse.c
@@ -9,13 +9,14 @@
 
 enum
 {
-  FILE_MAX_BYTES = 8 * 1024 * 1024,
+  SETTINGS_MAX_BYTES = 8 * 1024 * 1024,
   PARSE_DEPTH_MAX = 32,
 };
 
-/* Line and column, both from 1, of the byte at OFFSET. */
+/* Computes line and column, both starting at 1, of the byte at OFFSET. */
 static void
-locate (const char *text, size_t offset, unsigned *line, unsigned *column)
+locate_offset (const char *text, size_t offset, unsigned *line,
+               unsigned *column)
 {
   *line = 1;
   *column = 1;
@@ -31,7 +32,7 @@
 }
 
 static bool
-only_space (const char *text, size_t size)
+is_white_space (const char *text, size_t size)
 {
   for (size_t i = 0; i < size; i++)
     if (strchr (" \t\r\n", text[i]) == NULL || text[i] == '\0')
@@ -39,27 +40,27 @@
   return true;
 }
 
-/* Did TEXT hold one JSON value and nothing behind it?  END is where the
-   tokener stopped. */
+/* Checks that TEXT holds a JSON value and nothing after it.  END is the offset
+   where the tokener stopped. */
 static enum status
 check_parsed (const char *file, const char *text, size_t size, size_t end,
               enum json_tokener_error error)
 {
   unsigned line;
   unsigned column;
-  locate (text, end < size ? end : size, &line, &column);
+  locate_offset (text, end < size ? end : size, &line, &column);
   if (error != json_tokener_success)
     return status_set (STATUS_INVALID,
-                       "%s:%u:%u: not JSON (%s); mend the text at or "
-                       "before this place",
+                       "%s:%u:%u: invalid JSON (%s); correct the text at or "
+                       "before this position",
                        file, line, column,
                        error == json_tokener_continue
-                           ? "it ends too early"
+                           ? "unexpected end"
                            : json_tokener_error_desc (error));
-  if (end < size && !only_space (text + end, size - end))
+  if (end < size && !is_white_space (text + end, size - end))
     return status_set (STATUS_INVALID,
-                       "%s:%u:%u: text behind the end of the settings; "
-                       "remove it or mend the braces before it",
+                       "%s:%u:%u: text after the end of the settings; "
+                       "remove it or correct the braces before it",
                        file, line, column);
   return STATUS_OK;
 }
@@ -72,15 +73,15 @@
   struct json_tokener *tokener = json_tokener_new_ex (PARSE_DEPTH_MAX);
   if (tokener == NULL)
     abort ();
-  if (size > FILE_MAX_BYTES)
+  if (size > SETTINGS_MAX_BYTES)
     {
       json_tokener_free (tokener);
       return status_set (STATUS_INVALID,
-                         "%s: %zu bytes are more than the %d that settings "
-                         "may have; split the file",
-                         file, size, FILE_MAX_BYTES);
+                         "%s: %zu bytes exceed the limit of %d bytes for "
+                         "settings; split the file",
+                         file, size, SETTINGS_MAX_BYTES);
     }
-  /* The final NUL, passed on, tells the tokener that the text has ended. */
+  /* Passing the final NUL tells the tokener that the text has ended. */
   char *copy = xmemdup0 (text, size);
   struct json_object *node
       = json_tokener_parse_ex (tokener, copy, (int)size + 1);
@@ -103,21 +104,22 @@
 {
   FILE *in = fopen (path, "rbe");
   if (in == NULL)
-    return status_errno ("%s: can't be opened; check the path and its rights",
+    return status_errno ("%s: can't be opened; check the path and its "
+                         "permissions",
                          path);
-  char *block = xmalloc (FILE_MAX_BYTES + 1);
-  const size_t got = fread (block, 1, FILE_MAX_BYTES + 1, in);
+  char *buffer = xmalloc (SETTINGS_MAX_BYTES + 1);
+  const size_t count = fread (buffer, 1, SETTINGS_MAX_BYTES + 1, in);
   enum status status = STATUS_OK;
   if (ferror (in))
     status = status_errno ("%s: can't be read", path);
   fclose (in);
   if (status != STATUS_OK)
     {
-      free (block);
+      free (buffer);
       return status;
     }
-  *text = block;
-  *size = got;
+  *text = buffer;
+  *size = count;
   return STATUS_OK;
 }
 
--- a/base/status.h
+++ b/base/status.h
@@ -1,41 +1,41 @@
 /** @file
- * Outcome codes shared by all packages, with a last message for people.
+ * Status codes of all modules, with a human-readable message.
  *
- * A function that can fail returns an `enum status`.  The message that goes
- * with the newest failure of this thread is read with status_message(); it
- * says what was wrong and what would mend it.
+ * A function that can fail returns an `enum status`.  The message of the last
+ * failure of this thread is available from status_message(); it states the
+ * cause and the remedy.
  */
 #ifndef BASE_STATUS_H
 #define BASE_STATUS_H
 
-/** How an operation ended. */
+/** Result of an operation. */
 enum status
 {
   STATUS_OK = 0,
-  STATUS_INVALID,     /**< the input is wrong; the message says where */
+  STATUS_INVALID,     /**< invalid input; the message says where */
   STATUS_NOT_FOUND,   /**< no such object */
-  STATUS_REFUSED,     /**< the other side said no; nothing was changed */
-  STATUS_LOST_ANSWER, /**< sent, answer not seen: may have taken effect */
-  STATUS_UNREACHABLE, /**< never sent; surely without effect */
+  STATUS_REFUSED,     /**< refused by the other side; nothing was changed */
+  STATUS_LOST_ANSWER, /**< sent, but no response: may have taken effect */
+  STATUS_UNREACHABLE, /**< not sent; without effect */
   STATUS_TIMEOUT,     /**< the deadline passed */
-  STATUS_LIMIT,       /**< a bound of ours is reached */
-  STATUS_CANCELLED,   /**< the asker went away */
-  STATUS_SYSTEM,      /**< the operating system said no (errno) */
+  STATUS_LIMIT,       /**< a limit is reached */
+  STATUS_CANCELLED,   /**< cancelled by the requester */
+  STATUS_SYSTEM,      /**< error of the operating system (errno) */
 };
 
-/** Record MESSAGE (printf format) as the last one and return CODE. */
+/** Set the message of this thread (printf format) and return CODE. */
 enum status status_set (enum status code, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 
-/** As status_set(), with the text of errno behind the message; the code is
- * STATUS_SYSTEM. */
+/** Same as status_set() with STATUS_SYSTEM, and with the description of errno
+ * appended to the message. */
 enum status status_errno (const char *format, ...)
     __attribute__ ((format (printf, 1, 2)));
 
-/** The message of the newest failure of this thread; never NULL. */
+/** Message of the last failure of this thread; never NULL. */
 const char *status_message (void);
 
-/** The code's short name, as in logs and JSON: "ok", "not-found", ... */
+/** Name of CODE in logs and JSON: "ok", "not-found", ... */
 const char *status_name (enum status code);
 
 #endif
--- a/base/tests/counters_test.cc
+++ b/base/tests/counters_test.cc
@@ -41,9 +41,9 @@
   counters_destroy (all);
 }
 
-/* A caller makes up label values without end.  Memory must stay bounded and
-   nothing counted may be lost: what is past the bound shares one series. */
-TEST (Counters, SeriesPastTheBoundShareOne)
+/* If callers send ever new label values, memory must stay bounded and no count
+   must be lost: series beyond the limit share one. */
+TEST (Counters, SeriesBeyondTheLimitShareOne)
 {
   counters *all = counters_create ();
   counter_family_options options{};
@@ -63,8 +63,8 @@
   counters_destroy (all);
 }
 
-/* The buckets against a plain count of the same times. */
-TEST (Counters, HistogramsCountWhatANaiveCountDoes)
+/* Compares the buckets with a naive count of the same durations. */
+TEST (Counters, HistogramsMatchANaiveCount)
 {
   counters *c = counters_create ();
   const counter_family_options options = {
--- a/base/tests/digest_test.cc
+++ b/base/tests/digest_test.cc
@@ -17,7 +17,7 @@
   return text;
 }
 
-/* The example of FIPS 180-4. */
+/* The example from FIPS 180-4. */
 TEST (Digest, IsSha256)
 {
   EXPECT_EQ (
@@ -25,7 +25,7 @@
       "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-TEST (Digest, TextComesBackEqual)
+TEST (Digest, ParsesItsFormattedText)
 {
   const digest written = digest_of ("key", 3);
   digest read = {};
@@ -38,14 +38,14 @@
   EXPECT_TRUE (digest_equal (&written, &read));
 }
 
-TEST (Digest, OtherTextsAreRefused)
+TEST (Digest, InvalidTextsAreRefused)
 {
   digest read = {};
-  const std::string whole = text_of (digest_of ("key", 3));
+  const std::string full_text = text_of (digest_of ("key", 3));
   EXPECT_FALSE (digest_parse ("", &read));
-  EXPECT_FALSE (digest_parse (whole.substr (1).c_str (), &read));
-  EXPECT_FALSE (digest_parse ((whole + "0").c_str (), &read));
-  EXPECT_FALSE (digest_parse ((whole.substr (1) + "g").c_str (), &read));
+  EXPECT_FALSE (digest_parse (full_text.substr (1).c_str (), &read));
+  EXPECT_FALSE (digest_parse ((full_text + "0").c_str (), &read));
+  EXPECT_FALSE (digest_parse ((full_text.substr (1) + "g").c_str (), &read));
 }
 
 TEST (Digest, DiffersWithEachByte)
--- a/base/tests/log_test.cc
+++ b/base/tests/log_test.cc
@@ -40,15 +40,15 @@
     log_configure (&options);
     close (ends[1]);
     std::string text;
-    char block[4096];
-    for (ssize_t n; (n = read (ends[0], block, sizeof block)) > 0;)
-      text.append (block, (size_t)n);
+    char buffer[4096];
+    for (ssize_t n; (n = read (ends[0], buffer, sizeof buffer)) > 0;)
+      text.append (buffer, (size_t)n);
     close (ends[0]);
     return text;
   }
 };
 
-TEST_F (Log, TextQuotesWhatAReaderCouldSplit)
+TEST_F (Log, TextQuotesValuesThatAParserCouldSplit)
 {
   configure (false, 0);
   LOG_INFO ("route", LOG_STR ("why", "a \"b\"\nc"), LOG_INT ("attempt", 2));
@@ -59,7 +59,7 @@
       << text;
 }
 
-TEST_F (Log, JsonLineParsesWhateverTheValue)
+TEST_F (Log, JsonLinesAreValidForAnyValue)
 {
   configure (true, 0);
   const std::string wide (3000, '"');
@@ -72,7 +72,7 @@
   json_object_put (line);
 }
 
-TEST_F (Log, LevelsBelowAreNotWritten)
+TEST_F (Log, LowerLevelsAreNotWritten)
 {
   configure (false, 0);
   EXPECT_FALSE (log_enabled (LOG_LEVEL_DEBUG));
@@ -80,20 +80,20 @@
   EXPECT_EQ (finish (), "");
 }
 
-/* Whoever reads the log stops reading, and its pipe fills up.  A line that
-   waited for room would hold up every request of the host; lines are lost in
-   place of that, and the log says how many once there is room. */
-TEST_F (Log, AReaderThatStopsBlocksNothing)
+/* If the reader of the log stops, its pipe fills up.  A line that waited for
+   free space would block all requests of the host, so lines are dropped
+   instead and their number is logged once there is space. */
+TEST_F (Log, AStoppedReaderDoesNotBlock)
 {
   configure (false, 0);
   const std::string wide (1500, 'x');
   for (int i = 0; i < 200; i++)
     LOG_INFO ("fill", LOG_STR ("text", wide.c_str ()));
   std::string text;
-  char block[65536];
-  const ssize_t got = read (ends[0], block, sizeof block);
-  ASSERT_GT (got, 0);
-  text.append (block, (size_t)got);
+  char buffer[65536];
+  const ssize_t count = read (ends[0], buffer, sizeof buffer);
+  ASSERT_GT (count, 0);
+  text.append (buffer, (size_t)count);
   LOG_INFO ("after");
   text += finish ();
   size_t lines = 0;
@@ -107,9 +107,9 @@
   EXPECT_GT (text.find ("test after"), lost);
 }
 
-/* One event repeats for every request.  Past the limit the lines are counted
-   and not written, so the log doesn't drown its reader. */
-TEST_F (Log, RepeatsAreWithheld)
+/* An event that is logged for every request must not overload the reader of
+   the log: beyond the limit, lines are counted instead of written. */
+TEST_F (Log, LinesBeyondTheRateLimitAreSuppressed)
 {
   configure (false, 3);
   for (int i = 0; i < 100; i++)
@@ -120,14 +120,14 @@
   for (size_t at = text.find ("test again"); at != std::string::npos;
        at = text.find ("test again", at + 1))
     again++;
-  EXPECT_LE (again, 6u); /* a second may turn over in between */
+  EXPECT_LE (again, 6u); /* the current second may change in between */
   EXPECT_NE (text.find ("test other"), std::string::npos);
 }
 
-/* A host answers a thousand requests a second and fails forty of them.  If all
-   lines had one limit, most of the forty would be missing when someone asks
-   for one of them afterwards. */
-TEST_F (Log, WhatFailsHasALimitOfItsOwn)
+/* If a host serves a thousand requests per second and forty of them fail, most
+   of the forty would be missing from the log with a common limit for all
+   lines, and couldn't be looked up afterwards. */
+TEST_F (Log, WarningsHaveASeparateRateLimit)
 {
   configure (false, 3, 40);
   for (int i = 0; i < 100; i++)
@@ -140,7 +140,7 @@
        at = text.find ("test bad", at + 1))
     bad++;
   EXPECT_GE (bad, 40u);
-  EXPECT_LE (bad, 80u); /* a second may turn over in between */
+  EXPECT_LE (bad, 80u); /* the current second may change in between */
 }
 
 } // namespace
--- a/base/tests/options_test.cc
+++ b/base/tests/options_test.cc
@@ -44,14 +44,14 @@
   EXPECT_STREQ (b, "x");
 }
 
-/* An operator's editor saved half of the file.  The host must say where the
-   text ends, and must not take the half it could read for the whole. */
-TEST_F (Options, EveryCutTextIsRefused)
+/* A truncated settings file must be refused with the position of its end, and
+   must not be accepted as a complete one. */
+TEST_F (Options, EveryTruncatedTextIsRefused)
 {
-  const std::string whole = "{ \"a\": { \"b\": [1, 2] }, \"c\": \"x\" }";
-  for (size_t size = 0; size < whole.size (); size++)
+  const std::string full_text = "{ \"a\": { \"b\": [1, 2] }, \"c\": \"x\" }";
+  for (size_t size = 0; size < full_text.size (); size++)
     {
-      EXPECT_EQ (options_parse ("f.json", whole.data (), size, &tree),
+      EXPECT_EQ (options_parse ("f.json", full_text.data (), size, &tree),
                  STATUS_INVALID)
           << size;
       EXPECT_EQ (tree, nullptr);
@@ -59,14 +59,14 @@
     }
 }
 
-TEST_F (Options, TextBehindTheEndIsRefused)
+TEST_F (Options, TextAfterTheEndIsRefused)
 {
   EXPECT_EQ (options_parse ("f.json", "{}\n}", 4, &tree), STATUS_INVALID);
   EXPECT_NE (strstr (status_message (), "f.json:2:1"), nullptr)
       << status_message ();
 }
 
-TEST_F (Options, UnknownMemberIsNamed)
+TEST_F (Options, AnUnknownMemberIsReported)
 {
   begin ("{ \"limits\": { \"queu\": 3 } }");
   options child;
@@ -89,7 +89,7 @@
 {
 };
 
-TEST_P (BadValue, NamesPlaceAndExpectation)
+TEST_P (BadValue, ErrorNamesPositionAndExpectation)
 {
   json_object *tree;
   const char *text = GetParam ().text;
@@ -130,15 +130,17 @@
         bad_value{ "{\"flag\":1}", "flag: expected true or false" },
         bad_value{ "{\"word\":\"long\"}", "word: expected a string" },
         bad_value{ "{\"word\":\"a\\u0000\"}", "word: expected a string" },
-        bad_value{ "{\"address\":\"localhost:80\"}", "IP:PORT by number" },
-        bad_value{ "{\"address\":\"127.0.0.1\"}", "IP:PORT by number" },
+        bad_value{ "{\"address\":\"localhost:80\"}",
+                   "IP:PORT with a numeric IP" },
+        bad_value{ "{\"address\":\"127.0.0.1\"}",
+                   "IP:PORT with a numeric IP" },
         bad_value{ "{\"address\":\"127.0.0.1:70000\"}", "IP:PORT" },
         bad_value{ "{\"address\":\"[::1:80\"}", "IP:PORT" },
         bad_value{ "{\"choice\":\"green\"}", "one of \"red\", \"blue\"" },
         bad_value{ "{\"list\":[1,2,3]}", "at most 2 elements" },
         bad_value{ "{\"list\":{}}", "expected an array" }));
 
-TEST_F (Options, DurationsAreMillisecondsOrTextWithAUnit)
+TEST_F (Options, DurationsAreMillisecondsOrStringsWithAUnit)
 {
   begin ("{ \"a\": 20, \"b\": \"1500ms\", \"c\": \"2.5s\" }");
   int64_t a = 0, b = 0, c = 0, d = 7;
@@ -153,8 +155,8 @@
   EXPECT_EQ (d, 7);
 }
 
-/* An operator writes "2 minutes".  Taken for 2 ms, every call would time out;
-   the host must name the place and the forms it takes. */
+/* If a duration such as "2 minutes" were read as 2 ms, every call would time
+   out.  The error must name the position and the accepted forms. */
 TEST_F (Options, ADurationOfAnotherFormIsRefused)
 {
   for (const char *text : { "2 minutes", "2", "-1s", "s", "1e3h", "99s" })
--- a/base/xmalloc.c
+++ b/base/xmalloc.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static void *
-check (void *block, size_t size)
+abort_if_null (void *block, size_t size)
 {
   if (block == NULL && size != 0)
     {
@@ -19,19 +19,19 @@
 void *
 xmalloc (size_t size)
 {
-  return check (malloc (size), size);
+  return abort_if_null (malloc (size), size);
 }
 
 void *
 xcalloc (size_t count, size_t size)
 {
-  return check (calloc (count, size), count * size);
+  return abort_if_null (calloc (count, size), count * size);
 }
 
 void *
 xreallocarray (void *block, size_t count, size_t size)
 {
-  return check (reallocarray (block, count, size), count * size);
+  return abort_if_null (reallocarray (block, count, size), count * size);
 }
 
 char *
@@ -39,7 +39,7 @@
 {
   if (text == NULL)
     return NULL;
-  return check (strdup (text), 1);
+  return abort_if_null (strdup (text), 1);
 }
 
 char *
@@ -60,5 +60,5 @@
   va_start (args, format);
   const int length = vasprintf (&text, format, args);
   va_end (args);
-  return check (length < 0 ? NULL : text, 1);
+  return abort_if_null (length < 0 ? NULL : text, 1);
 }
--- a/base/xmalloc.h
+++ b/base/xmalloc.h
@@ -1,5 +1,6 @@
 /** @file
- * Allocation that never returns NULL: out of memory ends the process here.
+ * Memory allocation that never fails: the process aborts if it is out of
+ * memory.
  */
 #ifndef BASE_XMALLOC_H
 #define BASE_XMALLOC_H
@@ -7,15 +8,16 @@
 #include <stddef.h>
 
 void *xmalloc (size_t size);
-/** Zeroed memory for COUNT elements of SIZE bytes. */
+/** Allocate zeroed memory for COUNT elements of SIZE bytes. */
 void *xcalloc (size_t count, size_t size);
-/** Resize to COUNT elements of SIZE bytes; the product is checked. */
+/** Resize BLOCK to COUNT elements of SIZE bytes; the product is checked for
+ * overflow. */
 void *xreallocarray (void *block, size_t count, size_t size);
-/** A copy of TEXT; NULL stays NULL. */
+/** Duplicate TEXT; NULL if TEXT is NULL. */
 char *xstrdup (const char *text);
-/** A copy of SIZE bytes of DATA with a NUL behind them. */
+/** Duplicate SIZE bytes of DATA and append a NUL. */
 char *xmemdup0 (const void *data, size_t size);
-/** printf into new memory. */
+/** Same as sprintf(), in new memory. */
 char *xasprintf (const char *format, ...)
     __attribute__ ((format (printf, 1, 2)));
 
