--- a/node/bus.c
+++ b/node/bus.c
@@ -10,24 +10,24 @@
 {
   enum bus_topic topic;
   bus_handler *handler;
-  void *owner; /* NULL once dropped */
+  void *owner; /* NULL once unsubscribed */
   struct subscription *prev, *next;
 };
 
-struct pending
+struct queued_message
 {
   struct bus_message message;
-  struct pending *prev;
-  struct pending *next;
+  struct queued_message *prev;
+  struct queued_message *next;
 };
 
 struct bus
 {
   struct ev_loop *loop;
   struct ev_prepare deliver;
-  struct ev_idle awake; /* keeps the loop from sleeping on queued messages */
+  struct ev_idle keep_awake; /* keeps the loop running while messages wait */
   struct subscription *subscriptions;
-  struct pending *queue;
+  struct queued_message *queue;
   bool delivering;
 };
 
@@ -74,10 +74,10 @@
     }
 }
 
-/* A handler may drop subscriptions, its own included, while the list is
-   walked; they are only marked then and freed here. */
+/* A handler may unsubscribe, even itself, while the list is iterated; such
+   subscriptions are only marked and are freed here. */
 static void
-sweep (struct bus *bus)
+free_unsubscribed (struct bus *bus)
 {
   struct subscription *subscription;
   struct subscription *next;
@@ -91,7 +91,7 @@
 }
 
 static void
-hand_out (struct bus *bus, const struct bus_message *message)
+dispatch (struct bus *bus, const struct bus_message *message)
 {
   const struct subscription *subscription;
   DL_FOREACH (bus->subscriptions, subscription)
@@ -108,19 +108,19 @@
   bus->delivering = true;
   while (bus->queue != NULL)
     {
-      struct pending *pending = bus->queue;
+      struct queued_message *pending = bus->queue;
       DL_DELETE (bus->queue, pending);
-      hand_out (bus, &pending->message);
+      dispatch (bus, &pending->message);
       message_release (&pending->message);
       free (pending);
     }
   bus->delivering = false;
-  sweep (bus);
-  ev_idle_stop (loop, &bus->awake);
+  free_unsubscribed (bus);
+  ev_idle_stop (loop, &bus->keep_awake);
 }
 
 static void
-awake_cb (struct ev_loop *loop, struct ev_idle *watcher, int events)
+keep_awake_cb (struct ev_loop *loop, struct ev_idle *watcher, int events)
 {
 }
 
@@ -132,7 +132,7 @@
   ev_prepare_init (&bus->deliver, deliver_cb);
   bus->deliver.data = bus;
   ev_prepare_start (loop, &bus->deliver);
-  ev_idle_init (&bus->awake, awake_cb);
+  ev_idle_init (&bus->keep_awake, keep_awake_cb);
   return bus;
 }
 
@@ -142,10 +142,10 @@
   if (bus == NULL)
     return;
   ev_prepare_stop (bus->loop, &bus->deliver);
-  ev_idle_stop (bus->loop, &bus->awake);
+  ev_idle_stop (bus->loop, &bus->keep_awake);
   while (bus->queue != NULL)
     {
-      struct pending *pending = bus->queue;
+      struct queued_message *pending = bus->queue;
       DL_DELETE (bus->queue, pending);
       message_release (&pending->message);
       free (pending);
@@ -180,14 +180,14 @@
       subscription->owner = NULL;
   }
   if (!bus->delivering)
-    sweep (bus);
+    free_unsubscribed (bus);
 }
 
 void
 bus_post (struct bus *bus, const struct bus_message *message)
 {
-  struct pending *pending = xcalloc (1, sizeof *pending);
+  struct queued_message *pending = xcalloc (1, sizeof *pending);
   pending->message = *message;
   DL_APPEND (bus->queue, pending);
-  ev_idle_start (bus->loop, &bus->awake);
+  ev_idle_start (bus->loop, &bus->keep_awake);
 }
--- a/node/bus.h
+++ b/node/bus.h
@@ -1,11 +1,11 @@
 /** @file
  * Messages between the tasks of a host.
  *
- * A task owns its sockets and its state; what another task must know it is
- * told by a message.  Messages are delivered on the loop, after the callback
- * that posted them has returned, in the order posted.  Pointers in a message
- * are owned by the message and released after the last subscriber has seen
- * it; a subscriber that keeps something copies it.
+ * A task owns its sockets and its state; what another task must know is sent
+ * to it as a message.  Messages are delivered on the event loop, in the order
+ * posted, after the callback that posted them has returned.  Pointers in a
+ * message are owned by the message and released once the last subscriber has
+ * received it; a subscriber that keeps something copies it.
  */
 #ifndef NODE_BUS_H
 #define NODE_BUS_H
@@ -29,18 +29,18 @@
 {
   BUS_SERVICE_IN_FORCE, /**< a service appeared or changed */
   BUS_SERVICE_REMOVED,
-  BUS_CONFIG_IN_FORCE,  /**< the fleet's configuration changed */
-  BUS_EJECTIONS,        /**< the enforced ejections of a service changed */
-  BUS_SLOT_SHARES,      /**< this host's part of a service's slots changed */
-  BUS_PATH_FAULTS,      /**< targets that this host should avoid changed */
-  BUS_HOST_SET,         /**< the hosts to hand out for a service changed */
-  BUS_OUTCOME_OBSERVED, /**< an attempt of this host ended */
-  BUS_OUTCOME_RECEIVED, /**< an attempt of another host ended */
-  BUS_MEMBERS,          /**< what is believed of the other hosts changed */
-  BUS_FRESHNESS,        /**< a proof that the configuration is the newest */
+  BUS_CONFIG_IN_FORCE, /**< the fleet's configuration changed */
+  BUS_EJECTIONS,       /**< the enforced ejections of a service changed */
+  BUS_SLOT_SHARES,     /**< this host's share of a service's slots changed */
+  BUS_PATH_FAULTS,     /**< the targets that this host avoids changed */
+  BUS_HOST_SET,        /**< the hosts listed to callers of a service changed */
+  BUS_OUTCOME_OBSERVED,    /**< an attempt of this host ended */
+  BUS_OUTCOME_RECEIVED,    /**< an attempt of another host ended */
+  BUS_MEMBERS,             /**< the view of the other hosts changed */
+  BUS_FRESHNESS,           /**< proof that the configuration is the newest */
   BUS_FRESHNESS_REQUESTED, /**< requests wait for such a proof */
-  BUS_QUOTA_REQUESTED,     /**< requests want tokens of a workspace */
-  BUS_QUOTA_GRANTED,       /**< a keeper's answer */
+  BUS_QUOTA_REQUESTED,     /**< requests need tokens of a workspace */
+  BUS_QUOTA_GRANTED,       /**< a coordinator's answer */
   BUS_POISON_ANNOUNCED,    /**< a change of poison requests, for other hosts */
   BUS_POISON_RECEIVED,     /**< such a change from another host */
   BUS_LIMITS_ANNOUNCED,    /**< a change of targets' limits, for other hosts */
@@ -65,7 +65,8 @@
   struct fleet_config *config;
 };
 
-/** Targets of a service that get no work by ejection, by name. */
+/** Names of the targets of a service that get no requests because they are
+ * ejected. */
 struct bus_ejections
 {
   char service[SERVICE_NAME_SIZE];
@@ -74,7 +75,7 @@
   size_t count;
 };
 
-/** One host to hand out to callers. */
+/** A host that is listed to callers. */
 struct bus_host_entry
 {
   char name[SERVICE_NAME_SIZE];
@@ -82,7 +83,7 @@
   char caller_address[SERVICE_ADDRESS_SIZE];
 };
 
-/** The live hosts that serve a service, best placed first. */
+/** The live hosts that serve a service, in order of preference. */
 struct bus_host_set
 {
   char service[SERVICE_NAME_SIZE];
@@ -92,16 +93,16 @@
   size_t fleet_count; /**< live hosts of the whole fleet */
 };
 
-/** What this host may use of each target of a service, as its owner has
- * granted; a share of nothing: no grant is in force. */
+/** The share of each target's slots that the owner of a service grants this
+ * host; a zero share: no grant is in force. */
 struct bus_slot_shares
 {
   char service[SERVICE_NAME_SIZE];
   struct slot_share share;
 };
 
-/** Targets of a service, by name, that this host's dc or this host alone sees
- * fail: to be avoided, not ejected. */
+/** Names of the targets of a service that fail only from this host or its dc:
+ * avoided, not ejected. */
 struct bus_path_faults
 {
   char service[SERVICE_NAME_SIZE];
@@ -117,7 +118,8 @@
   enum attempt_end end;
 };
 
-/** Tokens of a workspace: wanted (only answer.wanted counts), or granted. */
+/** Tokens of a workspace: requested (only answer.wanted is used) or
+ * granted. */
 struct bus_quota
 {
   uint64_t workspace; /**< hash_string() of its name */
@@ -135,12 +137,12 @@
 /** State of requests that may crash targets. */
 struct bus_poison
 {
-  char service[SERVICE_NAME_SIZE]; /**< "": rows of several */
+  char service[SERVICE_NAME_SIZE]; /**< "": rows of several services */
   struct poison_row *rows;
   size_t count;
   enum poison_recipients to; /**< with BUS_POISON_ANNOUNCED */
   bool is_stored; /**< with BUS_POISON_ANNOUNCED: write the first row to the
-                       platform, or remove it if it is not a block */
+                     platform, or remove it if it isn't a block */
 };
 
 /** Which hosts receive an announcement. */
@@ -188,9 +190,9 @@
 void bus_destroy (struct bus *bus);
 void bus_subscribe (struct bus *bus, enum bus_topic topic,
                     bus_handler *handler, void *owner);
-/** Drop every subscription of OWNER. */
+/** Remove all subscriptions of OWNER. */
 void bus_unsubscribe (struct bus *bus, void *owner);
-/** Queue MESSAGE; the bus takes over what it points to. */
+/** Queue MESSAGE; the bus takes ownership of what it points to. */
 void bus_post (struct bus *bus, const struct bus_message *message);
 
 #endif
--- a/node/host_resources.c
+++ b/node/host_resources.c
@@ -2,15 +2,16 @@
 
 enum
 {
-  /* A connection with a request under way: the library's buffers, those of
-     the request, and its part of a connection to a target.  The slope of peak
-     memory over connections on hosts with 500 to 3,000 of them. */
-  KIBIBYTES_A_CONNECTION = 60,
-  /* The rest is for the program itself and for long bodies. */
+  /* Memory of a connection with a request in flight: the buffers of the HTTP
+     library and of the request, and its part of a connection to a target.  It
+     is the slope of peak memory over connections on hosts with 500 to 3,000 of
+     them. */
+  CONNECTION_KIB = 60,
+  /* The rest is for the process itself and for long bodies. */
   MEMORY_PERCENT = 75,
   /* The rest is for connections to targets, peers and the platform. */
   FILES_PERCENT = 55,
-  KIBIBYTES_A_MEGABYTE = 1024
+  KIB_PER_MIB = 1024
 };
 
 void
@@ -33,7 +34,7 @@
 }
 
 static uint64_t
-least (uint64_t a, uint64_t b)
+min_u64 (uint64_t a, uint64_t b)
 {
   return a < b ? a : b;
 }
@@ -42,13 +43,14 @@
 host_resources_max_connections (const struct host_resources *resources,
                                 uint32_t unknown)
 {
-  uint64_t most = UINT32_MAX;
+  uint64_t max_connections = UINT32_MAX;
   if (resources->memory_mb > 0)
-    most = (uint64_t)resources->memory_mb * KIBIBYTES_A_MEGABYTE
-           * MEMORY_PERCENT / 100 / KIBIBYTES_A_CONNECTION;
+    max_connections = (uint64_t)resources->memory_mb * KIB_PER_MIB
+                      * MEMORY_PERCENT / 100 / CONNECTION_KIB;
   if (resources->files > 0)
-    most = least (most, (uint64_t)resources->files * FILES_PERCENT / 100);
-  if (most == UINT32_MAX)
+    max_connections = min_u64 (max_connections, (uint64_t)resources->files
+                                                    * FILES_PERCENT / 100);
+  if (max_connections == UINT32_MAX)
     return unknown;
-  return most > 0 ? (uint32_t)most : 1;
+  return max_connections > 0 ? (uint32_t)max_connections : 1;
 }
--- a/node/host_resources.h
+++ b/node/host_resources.h
@@ -1,5 +1,5 @@
 /** @file
- * What a host has, and the bounds that follow from it.
+ * The resources of a host, and the limits derived from them.
  */
 #ifndef NODE_HOST_RESOURCES_H
 #define NODE_HOST_RESOURCES_H
@@ -9,14 +9,15 @@
 #include "base/options.h"
 #include "policy/fleet/host_capacity.h"
 
-/** Read the object "resources" of TOP, if it is there. */
+/** Read the object "resources" of TOP, if present. */
 void host_resources_read (struct options *top,
                           struct host_resources *resources);
 
-/** How many callers may be connected at once to a host with RESOURCES;
- * UNKNOWN where these don't say.  Too few is as bad as too many: callers whose
- * connections nobody accepts wait for nothing, and requests that lie there are
- * answered after all time for them has passed. */
+/** The maximum of concurrent caller connections for a host with RESOURCES;
+ * UNKNOWN where these don't say.  A maximum that is too low does as much harm
+ * as one that is too high: connections stay unaccepted in the listen backlog
+ * while the host is idle, and their requests are served only after their
+ * deadlines have passed. */
 uint32_t
 host_resources_max_connections (const struct host_resources *resources,
                                 uint32_t unknown);
--- a/node/host_settings.c
+++ b/node/host_settings.c
@@ -12,9 +12,9 @@
   HOUR_MS = 3600 * 1000,
   DAY_MS = 24 * HOUR_MS,
   KIBIBYTE = 1024,
-  /* Some callers keep an answer three times as long; what is left of the
-     shutdown is for the requests that they sent last. */
-  KEEP_PARTS_OF_SHUTDOWN = 6,
+  /* Some callers cache a response three times as long as allowed, and the rest
+     of the shutdown time is for the requests that they sent last. */
+  SHUTDOWN_TO_KEEP_ANSWER_RATIO = 6,
 };
 
 static const char *const service_sources[] = { "objects", "registry" };
@@ -128,9 +128,9 @@
   read_ms (&options, "revoke_ms", 0, HOUR_MS, &access->revoke_ms);
   read_ms (&options, "quota_window_ms", 100, HOUR_MS,
            &access->quota_window_ms);
-  double over = access->quota_overshoot_percent / 100.0;
-  options_double (&options, "quota_overshoot", 0, 1, &over);
-  access->quota_overshoot_percent = (uint32_t)(over * 100 + 0.5);
+  double overshoot = access->quota_overshoot_percent / 100.0;
+  options_double (&options, "quota_overshoot", 0, 1, &overshoot);
+  access->quota_overshoot_percent = (uint32_t)(overshoot * 100 + 0.5);
   options_uint32 (&options, "quota_slack", 0, 1000000, &access->quota_slack);
   options_end_child (top, &options);
 }
@@ -152,8 +152,8 @@
   options_end_child (top, &options);
 }
 
-/* Times that contradict one another would break a promise later and quietly,
-   so they are refused here. */
+/* Contradictory times would silently break guarantees later, so they are
+   refused here. */
 static void
 check_times (struct options *options, const struct control_times *times)
 {
@@ -180,7 +180,7 @@
   if (times->owner_lease_ms <= times->enforce_ms)
     options_fail (options, "owner_lease_ms",
                   "expected more than enforce_ms (%u), found %u; a new owner "
-                  "must find the old one's ejections lapsed",
+                  "must find the old one's ejections expired",
                   times->enforce_ms, times->owner_lease_ms);
 }
 
@@ -233,7 +233,7 @@
   options_end_child (top, &options);
 }
 
-/* Read the array KEY of addresses into rows of HOST_ADDRESS_SIZE. */
+/* Read the array KEY of addresses into ROWS, at most MAX. */
 static size_t
 read_addresses (struct options *options, const char *key,
                 char (*rows)[HOST_ADDRESS_SIZE], size_t max)
@@ -282,7 +282,7 @@
 }
 
 static void
-read_addresses_of_host (struct options *top, struct host_settings *settings)
+read_listen_addresses (struct options *top, struct host_settings *settings)
 {
   struct options options;
   if (!options_object (top, "addresses", true, &options))
@@ -300,8 +300,9 @@
   options_end_child (top, &options);
 }
 
-/* Guards against a host that tells others an address nobody can connect to:
-   it would look dead to all, and callers sent to it would find nothing. */
+/* A wildcard address can't be connected to.  A host that announced it would
+   look dead to all other hosts, and callers sent to it would fail to
+   connect. */
 static void
 check_reachable (struct options *top, const char *key, const char *bound,
                  const char *advertised)
@@ -310,7 +311,7 @@
                    || strncmp (bound, "[::]:", 5) == 0;
   if (any && advertised[0] == '\0')
     options_fail (top, "advertise",
-                  "expected \"%s\", since \"%s\" is no address to connect "
+                  "expected \"%s\", since \"%s\" isn't an address to connect "
                   "to; add the one that others reach",
                   key, bound);
 }
@@ -345,10 +346,10 @@
 uint32_t
 host_settings_keep_answer_ms (const struct host_settings *settings)
 {
-  const uint32_t most_ms
-      = settings->times.shutdown_ms / KEEP_PARTS_OF_SHUTDOWN;
-  const uint32_t wanted_ms = settings->limits.keep_answer_ms;
-  return wanted_ms < most_ms ? wanted_ms : most_ms;
+  const uint32_t max_ms
+      = settings->times.shutdown_ms / SHUTDOWN_TO_KEEP_ANSWER_RATIO;
+  const uint32_t requested_ms = settings->limits.keep_answer_ms;
+  return requested_ms < max_ms ? requested_ms : max_ms;
 }
 
 const char *
@@ -369,14 +370,14 @@
 }
 
 static enum status
-read_host (const char *path, struct json_object *tree,
+read_host (const char *path, struct json_object *root,
            struct host_settings *settings)
 {
   struct options top;
-  options_begin (&top, path, "", tree);
+  options_begin (&top, path, "", root);
   options_string (&top, "name", true, settings->name, sizeof settings->name);
   options_string (&top, "dc", true, settings->dc, sizeof settings->dc);
-  read_addresses_of_host (&top, settings);
+  read_listen_addresses (&top, settings);
   read_advertised (&top, settings);
   read_platform (&top, settings);
   settings->peer_seed_count = read_addresses (
@@ -401,18 +402,18 @@
 host_settings_load (const char *path, struct host_settings *settings)
 {
   host_settings_defaults (settings);
-  struct json_object *tree;
-  const enum status status = options_parse_file (path, &tree);
+  struct json_object *root;
+  const enum status status = options_parse_file (path, &root);
   if (status != STATUS_OK)
     return status;
-  const enum status read = read_host (path, tree, settings);
-  json_object_put (tree);
-  return read;
+  const enum status load_status = read_host (path, root, settings);
+  json_object_put (root);
+  return load_status;
 }
 
 static bool
-same_addresses (const char (*a)[HOST_ADDRESS_SIZE], size_t a_count,
-                const char (*b)[HOST_ADDRESS_SIZE], size_t b_count)
+is_same_address_list (const char (*a)[HOST_ADDRESS_SIZE], size_t a_count,
+                      const char (*b)[HOST_ADDRESS_SIZE], size_t b_count)
 {
   if (a_count != b_count)
     return false;
@@ -423,7 +424,8 @@
 }
 
 static bool
-same_names (const struct host_settings *a, const struct host_settings *b)
+have_same_strings (const struct host_settings *a,
+                   const struct host_settings *b)
 {
   return strcmp (a->name, b->name) == 0 && strcmp (a->dc, b->dc) == 0
          && strcmp (a->caller_address, b->caller_address) == 0
@@ -439,7 +441,7 @@
          && strcmp (a->secret_file, b->secret_file) == 0;
 }
 
-/* Without padding, the same bytes are the same values. */
+/* Without padding, memcmp() compares the values. */
 _Static_assert(sizeof (struct caller_limits) == 9 * sizeof (uint32_t),
                "caller_limits has padding: compare its members");
 _Static_assert(sizeof (struct fleet_modes) == 4 * sizeof (bool),
@@ -454,7 +456,8 @@
                "control_times has padding: compare its members");
 
 static bool
-same_numbers (const struct host_settings *a, const struct host_settings *b)
+have_same_numbers (const struct host_settings *a,
+                   const struct host_settings *b)
 {
   return a->set_hosts_per_dc == b->set_hosts_per_dc
          && a->resources.cpu_percent == b->resources.cpu_percent
@@ -474,12 +477,13 @@
 host_settings_need_restart (const struct host_settings *old,
                             const struct host_settings *new_settings)
 {
-  return !same_names (old, new_settings) || !same_numbers (old, new_settings)
-         || !same_addresses (old->platform_addresses,
-                             old->platform_address_count,
-                             new_settings->platform_addresses,
-                             new_settings->platform_address_count)
-         || !same_addresses (old->peer_seeds, old->peer_seed_count,
-                             new_settings->peer_seeds,
-                             new_settings->peer_seed_count);
+  return !have_same_strings (old, new_settings)
+         || !have_same_numbers (old, new_settings)
+         || !is_same_address_list (old->platform_addresses,
+                                   old->platform_address_count,
+                                   new_settings->platform_addresses,
+                                   new_settings->platform_address_count)
+         || !is_same_address_list (old->peer_seeds, old->peer_seed_count,
+                                   new_settings->peer_seeds,
+                                   new_settings->peer_seed_count);
 }
--- a/node/json_row.h
+++ b/node/json_row.h
@@ -1,7 +1,8 @@
 /** @file
- * Members of a JSON object: a row of a table (tables.h), a record, an answer.
+ * Adds members to a JSON object: a row of a table (tables.h), a record or a
+ * response.
  *
- * A key is given once; TEXT is copied.
+ * Each key must be added only once; TEXT is copied.
  */
 #ifndef NODE_JSON_ROW_H
 #define NODE_JSON_ROW_H
--- a/node/mhd_loop.c
+++ b/node/mhd_loop.c
@@ -24,9 +24,9 @@
   ev_timer timer;
 };
 
-/* The daemon's next timeout changes with each run, so the timer is set anew
-   after each.  A timeout of 0 means that work is left over: it is done on the
-   next turn of the loop, so that other watchers get theirs in between. */
+/* The daemon's timeout changes with each run, so the timer is set again
+   after each.  A timeout of 0 means that work is pending: it is done in the
+   next loop iteration, so that other watchers run in between. */
 static void
 arm_timer (struct mhd_loop *mhd_loop)
 {
@@ -39,7 +39,7 @@
 }
 
 static void
-run (struct mhd_loop *mhd_loop)
+run_daemon (struct mhd_loop *mhd_loop)
 {
   MHD_run (mhd_loop->daemon);
   arm_timer (mhd_loop);
@@ -48,13 +48,13 @@
 static void
 on_ready (struct ev_loop *loop, ev_io *io, int events)
 {
-  run (io->data);
+  run_daemon (io->data);
 }
 
 static void
 on_timeout (struct ev_loop *loop, ev_timer *timer, int events)
 {
-  run (timer->data);
+  run_daemon (timer->data);
 }
 
 struct mhd_loop *
--- a/node/mhd_loop.h
+++ b/node/mhd_loop.h
@@ -1,9 +1,9 @@
 /** @file
- * An HTTP server of libmicrohttpd driven by a libev loop.
+ * Drives an HTTP server of libmicrohttpd from a libev loop.
  *
  * The daemon is started with MHD_USE_EPOLL and without a thread of its own
- * (add MHD_ALLOW_SUSPEND_RESUME where connections are suspended).  Its epoll
- * descriptor is watched by the loop and its timeouts become a timer, so that
+ * (add MHD_ALLOW_SUSPEND_RESUME if connections are suspended).  The loop
+ * watches its epoll descriptor and a timer implements its timeouts, so that
  * all of its callbacks run on the loop.
  */
 #ifndef NODE_MHD_LOOP_H
@@ -19,25 +19,27 @@
 
 struct mhd_loop;
 
-/** Watch DAEMON on LOOP.
- * @return NULL when the daemon has no epoll descriptor of its own; the
- * message says which flags are missing. */
+/** Drive DAEMON from LOOP.
+ * @return NULL if the daemon has no epoll descriptor of its own; the message
+ * names the missing flags. */
 struct mhd_loop *mhd_loop_create (struct ev_loop *loop,
                                   struct MHD_Daemon *daemon);
 
-/** Stop watching; call it before MHD_stop_daemon(). NULL does nothing. */
+/** Stop driving the daemon; call it before MHD_stop_daemon().  NULL is
+ * ignored. */
 void mhd_loop_destroy (struct mhd_loop *mhd_loop);
 
-/** Let the daemon go on after MHD_resume_connection() or a response queued
- * outside its callbacks.  Runs it from the loop, never from here, so it may be
- * called within the daemon's callbacks. */
+/** Schedule a run of the daemon, after MHD_resume_connection() or a response
+ * queued outside its callbacks.  It runs from the loop, never from within this
+ * call, so this may be called in the daemon's callbacks. */
 void mhd_loop_wake (struct mhd_loop *mhd_loop);
 
-/** The port that DAEMON listens on, for one bound to port 0; 0 on failure. */
+/** The port that DAEMON listens on, also if it was bound to port 0; 0 on
+ * failure. */
 uint16_t mhd_loop_bound_port (struct MHD_Daemon *daemon);
 
-/** The numeric ADDRESS (`IP:PORT` or `[IP6]:PORT`) as a socket address.
- * @return its size in bytes; 0 when it can't be understood. */
+/** Parse the numeric ADDRESS (`IP:PORT` or `[IP6]:PORT`) into STORAGE.
+ * @return the size of the socket address in bytes; 0 if ADDRESS is invalid. */
 socklen_t mhd_loop_parse_address (const char *address,
                                   struct sockaddr_storage *storage);
 
--- a/node/plain_server.c
+++ b/node/plain_server.c
@@ -20,17 +20,18 @@
   struct mhd_loop *mhd_loop;
 };
 
-/* A body, which no question has, is read and dropped. */
+/* No request that is served here has a body; one that is sent is read and
+   dropped. */
 static enum MHD_Result
 on_request (void *owner, struct MHD_Connection *connection, const char *url,
             const char *method, const char *version, const char *upload_data,
             size_t *upload_data_size, void **state)
 {
   const struct plain_server *server = owner;
-  static int seen;
+  static int header_seen;
   if (*state == NULL)
     {
-      *state = &seen;
+      *state = &header_seen;
       return MHD_YES;
     }
   if (*upload_data_size > 0)
@@ -64,7 +65,7 @@
   *created = NULL;
   if (mhd_loop_parse_address (options->address, &address) == 0)
     return status_set (STATUS_INVALID,
-                       "%s address \"%s\": expected IP:PORT by number",
+                       "%s address \"%s\": expected a numeric IP:PORT",
                        options->what, options->address);
   struct plain_server *server = xcalloc (1, sizeof *server);
   server->options = *options;
@@ -72,7 +73,7 @@
   if (server->daemon == NULL)
     {
       free (server);
-      return status_errno ("%s address %s can't be listened on: free it or "
+      return status_errno ("can't listen on %s address %s: free the port or "
                            "choose another",
                            options->what, options->address);
     }
--- a/node/tables.c
+++ b/node/tables.c
@@ -69,33 +69,33 @@
 }
 
 static void
-append_rows (struct json_object *all, struct json_object *rows)
+append_rows (struct json_object *merged, struct json_object *rows)
 {
   const size_t count = json_object_array_length (rows);
   for (size_t i = 0; i < count; i++)
     json_object_array_add (
-        all, json_object_get (json_object_array_get_idx (rows, i)));
+        merged, json_object_get (json_object_array_get_idx (rows, i)));
   json_object_put (rows);
 }
 
 struct json_object *
 tables_read (const struct tables *tables, const char *name)
 {
-  struct json_object *all = NULL;
+  struct json_object *merged = NULL;
   const struct table *table;
   DL_FOREACH (tables->first, table)
   {
     if (strcmp (table->name, name) != 0)
       continue;
-    if (all == NULL)
-      all = json_object_new_array ();
-    append_rows (all, table->rows (table->owner));
+    if (merged == NULL)
+      merged = json_object_new_array ();
+    append_rows (merged, table->rows (table->owner));
   }
-  return all;
+  return merged;
 }
 
 static bool
-named_before (const struct tables *tables, const struct table *end)
+is_name_before (const struct tables *tables, const struct table *end)
 {
   for (const struct table *table = tables->first; table != end;
        table = table->next)
@@ -111,7 +111,7 @@
   const struct table *table;
   DL_FOREACH (tables->first, table)
   {
-    if (!named_before (tables, table))
+    if (!is_name_before (tables, table))
       json_object_array_add (names, json_object_new_string (table->name));
   }
   return names;
--- a/node/tests/bus_test.cc
+++ b/node/tests/bus_test.cc
@@ -11,19 +11,19 @@
 namespace
 {
 
-struct listener
+struct subscriber
 {
   bus *own_bus;
-  std::vector<uint64_t> seen;
-  bool leave = false;
+  std::vector<uint64_t> versions;
+  bool unsubscribes = false;
 };
 
 void
 on_removed (void *owner, const bus_message *message)
 {
-  auto *self = static_cast<listener *> (owner);
-  self->seen.push_back (message->service_removed.version);
-  if (self->leave)
+  auto *self = static_cast<subscriber *> (owner);
+  self->versions.push_back (message->service_removed.version);
+  if (self->unsubscribes)
     bus_unsubscribe (self->own_bus, self);
 }
 
@@ -49,33 +49,33 @@
   }
 };
 
-TEST_F (Bus, DeliversInOrderAfterThePost)
+TEST_F (Bus, DeliversInOrderAfterPost)
 {
-  listener one{ own_bus, {} };
+  subscriber one{ own_bus, {} };
   bus_subscribe (own_bus, BUS_SERVICE_REMOVED, on_removed, &one);
   post (own_bus, 1);
   post (own_bus, 2);
-  EXPECT_TRUE (one.seen.empty ());
+  EXPECT_TRUE (one.versions.empty ());
   ev_run (loop, EVRUN_NOWAIT);
-  EXPECT_EQ (one.seen, (std::vector<uint64_t>{ 1, 2 }));
+  EXPECT_EQ (one.versions, (std::vector<uint64_t>{ 1, 2 }));
 }
 
-/* A task ends itself on a message while another message waits for it.  The
-   bus must not call into the ended task. */
-TEST_F (Bus, NothingReachesATaskThatLeft)
+/* A task unsubscribes in the handler of a message while another message is
+   queued for it.  The bus must not call a handler of that task again. */
+TEST_F (Bus, DeliversNothingToAnUnsubscribedTask)
 {
-  listener one{ own_bus, {}, true };
-  listener two{ own_bus, {} };
+  subscriber one{ own_bus, {}, true };
+  subscriber two{ own_bus, {} };
   bus_subscribe (own_bus, BUS_SERVICE_REMOVED, on_removed, &one);
   bus_subscribe (own_bus, BUS_SERVICE_REMOVED, on_removed, &two);
   post (own_bus, 1);
   post (own_bus, 2);
   ev_run (loop, EVRUN_NOWAIT);
-  EXPECT_EQ (one.seen, (std::vector<uint64_t>{ 1 }));
-  EXPECT_EQ (two.seen, (std::vector<uint64_t>{ 1, 2 }));
+  EXPECT_EQ (one.versions, (std::vector<uint64_t>{ 1 }));
+  EXPECT_EQ (two.versions, (std::vector<uint64_t>{ 1, 2 }));
 }
 
-TEST_F (Bus, OwnedMemoryIsReleasedWithoutSubscribers)
+TEST_F (Bus, ReleasesMessagesWithoutSubscribers)
 {
   bus_message message{};
   message.topic = BUS_HOST_SET;
--- a/node/tests/host_settings_test.cc
+++ b/node/tests/host_settings_test.cc
@@ -48,7 +48,7 @@
   }
 };
 
-TEST_F (HostSettings, ResourcesOfTheHost)
+TEST_F (HostSettings, ReadsResources)
 {
   ASSERT_EQ (load (std::string (minimal)
                    + ",\"resources\":{\"cpu_share\":0.25,\"core_speed\":2,"
@@ -65,9 +65,9 @@
   expect_refused ("\"resources\":{\"link_mbps\":\"fast\"}", "link_mbps");
 }
 
-/* The shipped example tells operators the defaults.  If it drifts from the
-   code, a setting they rely on isn't what the file says. */
-TEST_F (HostSettings, ExampleMatchesTheDefaults)
+/* The example file documents the defaults for operators.  If the two differ, a
+   setting that an operator relies on has another value. */
+TEST_F (HostSettings, ExampleMatchesDefaults)
 {
   ASSERT_EQ (host_settings_load (SOURCE_DIR "/examples/host.json", &settings),
              STATUS_OK)
@@ -96,14 +96,14 @@
              expected.log_warnings_per_second);
 }
 
-TEST_F (HostSettings, MinimalFileIsEnough)
+TEST_F (HostSettings, AcceptsMinimalFile)
 {
   EXPECT_EQ (load (std::string (minimal) + "}"), STATUS_OK)
       << status_message ();
   EXPECT_STREQ (settings.platform_addresses[0], "127.0.0.1:4");
 }
 
-TEST_F (HostSettings, PeersAreRead)
+TEST_F (HostSettings, ReadsPeers)
 {
   EXPECT_EQ (load (std::string (minimal) + ",\"peers\":[\"127.0.0.1:9\"]}"),
              STATUS_OK);
@@ -111,7 +111,7 @@
   EXPECT_STREQ (settings.peer_seeds[0], "127.0.0.1:9");
 }
 
-TEST_F (HostSettings, WrongValuesNameTheRemedy)
+TEST_F (HostSettings, InvalidValuesNameTheRemedy)
 {
   expect_refused ("\"nmae\":1", "nmae: no such option");
   expect_refused ("\"peers\":[\"h:1\"]", "peers[0].address: expected IP");
@@ -129,7 +129,7 @@
                   "limits.connections: expected a whole number");
 }
 
-TEST_F (HostSettings, PlatformIsGivenOnce)
+TEST_F (HostSettings, RefusesTwoPlatforms)
 {
   std::string both = minimal;
   both.insert (both.rfind ('}'), ",\"file\":\"f.json\"");
@@ -137,9 +137,9 @@
   EXPECT_NE (strstr (status_message (), "give exactly one"), nullptr);
 }
 
-/* A host listens on all its addresses and tells the others "0.0.0.0": it
-   looks dead to everyone.  Its settings must say where it is reached. */
-TEST_F (HostSettings, AnAddressToListenOnIsNoneToConnectTo)
+/* A host that listens on all its addresses and announces "0.0.0.0" looks dead
+   to all other hosts.  Its settings must name the address to announce. */
+TEST_F (HostSettings, WildcardAddressNeedsAdvertisedAddress)
 {
   std::string any = minimal;
   any.replace (any.find ("127.0.0.1:1"), 11, "0.0.0.0:1");
@@ -158,9 +158,9 @@
                 "127.0.0.1:2");
 }
 
-/* An operator edits one setting and reloads.  The log must say whether a
-   restart is needed: for each member but those of the log itself. */
-TEST_F (HostSettings, AllButTheLogNeedsARestart)
+/* After an edit of one setting and a reload, the log must report whether a
+   restart is needed: for each member except those of the log itself. */
+TEST_F (HostSettings, AllButLogSettingsNeedRestart)
 {
   const std::string minimal_file = std::string (minimal) + "}";
   ASSERT_EQ (load (minimal_file), STATUS_OK);
@@ -204,10 +204,10 @@
     }
 }
 
-/* A new setting that the comparison forgets is changed and reloaded: the log
-   says that nothing needs a restart, and the host goes on with the old value.
-   All before the log's settings counts, to the last byte. */
-TEST_F (HostSettings, NoSettingIsForgottenInTheComparison)
+/* If the comparison misses a new setting, a reload reports that no restart is
+   needed and the host keeps the old value.  Every byte before the log settings
+   must count. */
+TEST_F (HostSettings, ComparisonCoversAllSettings)
 {
   host_settings old;
   memset (&old, 'x', sizeof old);
@@ -238,7 +238,7 @@
     }
 }
 
-TEST_F (HostSettings, MissingFileIsNamed)
+TEST_F (HostSettings, NamesMissingFile)
 {
   EXPECT_EQ (host_settings_load ("/nonexistent/file", &settings),
              STATUS_SYSTEM);
--- a/node/tests/mhd_loop_test.cc
+++ b/node/tests/mhd_loop_test.cc
@@ -12,7 +12,7 @@
 #include "node/mhd_loop.h"
 }
 
-TEST (MhdLoop, AddressesAreNumeric)
+TEST (MhdLoop, ParsesNumericAddressesOnly)
 {
   struct sockaddr_storage storage;
   ASSERT_EQ (mhd_loop_parse_address ("127.0.0.2:8080", &storage),
@@ -32,17 +32,17 @@
 }
 
 static enum MHD_Result
-never (void *, struct MHD_Connection *, const char *, const char *,
-       const char *, const char *, size_t *, void **)
+refuse_all (void *, struct MHD_Connection *, const char *, const char *,
+            const char *, const char *, size_t *, void **)
 {
   return MHD_NO;
 }
 
-TEST (MhdLoop, RefusesADaemonItCannotWatch)
+TEST (MhdLoop, RefusesDaemonWithoutEpoll)
 {
   struct MHD_Daemon *daemon
-      = MHD_start_daemon (MHD_USE_NO_LISTEN_SOCKET, 0, nullptr, nullptr, never,
-                          nullptr, MHD_OPTION_END);
+      = MHD_start_daemon (MHD_USE_NO_LISTEN_SOCKET, 0, nullptr, nullptr,
+                          refuse_all, nullptr, MHD_OPTION_END);
   ASSERT_NE (daemon, nullptr);
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   EXPECT_EQ (mhd_loop_create (loop, daemon), nullptr);
@@ -53,23 +53,24 @@
   ev_loop_destroy (loop);
 }
 
-/** A server that holds a request back until the test's timer ends it. */
-struct held
+/** A server that suspends a request until the test resumes it. */
+struct suspending_server
 {
   struct ev_loop *loop;
   struct mhd_loop *mhd_loop;
   struct MHD_Connection *connection;
-  bool over;
+  bool resumed;
   int calls;
 };
 
 static enum MHD_Result
-hold (void *owner, struct MHD_Connection *connection, const char *,
-      const char *, const char *, const char *, size_t *, void **request)
+suspend_until_resumed (void *owner, struct MHD_Connection *connection,
+                       const char *, const char *, const char *, const char *,
+                       size_t *, void **request)
 {
-  auto *held = static_cast<struct held *> (owner);
-  held->calls++;
-  if (held->over)
+  auto *server = static_cast<struct suspending_server *> (owner);
+  server->calls++;
+  if (server->resumed)
     {
       struct MHD_Response *response = MHD_create_response_from_buffer (
           0, nullptr, MHD_RESPMEM_PERSISTENT);
@@ -83,32 +84,33 @@
       *request = owner;
       return MHD_YES;
     }
-  held->connection = connection;
+  server->connection = connection;
   MHD_suspend_connection (connection);
-  ev_break (held->loop, EVBREAK_ALL);
+  ev_break (server->loop, EVBREAK_ALL);
   return MHD_YES;
 }
 
 static void
-on_answer (struct ev_loop *loop, ev_io *, int)
+on_response (struct ev_loop *loop, ev_io *, int)
 {
   ev_break (loop, EVBREAK_ALL);
 }
 
-/* A caller waits for ever though its answer is ready: the request was resumed
-   outside the server's callbacks and the loop had no event to wake it for. */
-TEST (MhdLoop, AResumedRequestIsAnswered)
+/* A caller waits forever although its response is ready, if the request is
+   resumed outside the server's callbacks and no event wakes the loop. */
+TEST (MhdLoop, RespondsToResumedRequest)
 {
-  struct held held = {};
+  struct suspending_server server = {};
   struct sockaddr_storage storage;
   mhd_loop_parse_address ("127.0.0.1:0", &storage);
-  held.loop = ev_loop_new (EVFLAG_AUTO);
-  struct MHD_Daemon *daemon = MHD_start_daemon (
-      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, nullptr, nullptr, hold,
-      &held, MHD_OPTION_SOCK_ADDR, &storage, MHD_OPTION_END);
+  server.loop = ev_loop_new (EVFLAG_AUTO);
+  struct MHD_Daemon *daemon
+      = MHD_start_daemon (MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, nullptr,
+                          nullptr, suspend_until_resumed, &server,
+                          MHD_OPTION_SOCK_ADDR, &storage, MHD_OPTION_END);
   ASSERT_NE (daemon, nullptr);
-  held.mhd_loop = mhd_loop_create (held.loop, daemon);
-  ASSERT_NE (held.mhd_loop, nullptr);
+  server.mhd_loop = mhd_loop_create (server.loop, daemon);
+  ASSERT_NE (server.mhd_loop, nullptr);
   auto *in = reinterpret_cast<struct sockaddr_in *> (&storage);
   in->sin_port = htons (mhd_loop_bound_port (daemon));
   const int fd = socket (AF_INET, SOCK_STREAM, 0);
@@ -117,23 +119,23 @@
   const char request[] = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
   ASSERT_EQ (write (fd, request, sizeof request - 1),
              static_cast<ssize_t> (sizeof request - 1));
-  ev_run (held.loop, 0);
-  ASSERT_NE (held.connection, nullptr);
+  ev_run (server.loop, 0);
+  ASSERT_NE (server.connection, nullptr);
 
-  held.over = true;
-  MHD_resume_connection (held.connection);
-  mhd_loop_wake (held.mhd_loop);
-  ev_io answer;
-  ev_io_init (&answer, on_answer, fd, EV_READ);
-  ev_io_start (held.loop, &answer);
-  ev_run (held.loop, 0);
+  server.resumed = true;
+  MHD_resume_connection (server.connection);
+  mhd_loop_wake (server.mhd_loop);
+  ev_io response;
+  ev_io_init (&response, on_response, fd, EV_READ);
+  ev_io_start (server.loop, &response);
+  ev_run (server.loop, 0);
   char text[256] = {};
   EXPECT_GT (read (fd, text, sizeof text - 1), 0);
   EXPECT_EQ (strncmp (text, "HTTP/1.1 200", 12), 0) << text;
 
-  ev_io_stop (held.loop, &answer);
+  ev_io_stop (server.loop, &response);
   close (fd);
-  mhd_loop_destroy (held.mhd_loop);
+  mhd_loop_destroy (server.mhd_loop);
   MHD_stop_daemon (daemon);
-  ev_loop_destroy (held.loop);
+  ev_loop_destroy (server.loop);
 }
