--- a/node/daemon/backend.c
+++ b/node/daemon/backend.c
@@ -11,7 +11,7 @@
 
 struct backend;
 
-/** A change of a service under way. */
+/** A pending change of a service. */
 struct change
 {
   struct backend *backend;
@@ -21,13 +21,13 @@
   struct change *prev, *next;
 };
 
-/** A question to the hosts of a set. */
-struct ask
+/** A pending query to the hosts of a set. */
+struct query
 {
   struct backend *backend;
   operator_in_force_done *done;
   void *owner;
-  struct ask *prev, *next;
+  struct query *prev, *next;
 };
 
 struct backend
@@ -35,11 +35,11 @@
   struct operator_backend base; /* first */
   struct backend_options options;
   struct change *changes;
-  struct ask *asks;
+  struct query *queries;
 };
 
 static void
-changed (void *owner, const struct operator_result *result)
+on_change_done (void *owner, const struct operator_result *result)
 {
   struct change *change = owner;
   DL_DELETE (change->backend->changes, change);
@@ -71,7 +71,8 @@
   change->done = done;
   change->owner = owner;
   DL_PREPEND (backend->changes, change);
-  change->command = service_command_start (&options, command, changed, change);
+  change->command
+      = service_command_start (&options, command, on_change_done, change);
 }
 
 static void
@@ -102,18 +103,18 @@
 }
 
 static void
-asked (void *owner, const struct control_in_force *result)
+on_query_done (void *owner, const struct control_in_force *result)
 {
-  struct ask *ask = owner;
+  struct query *query = owner;
   const struct operator_in_force report = {
     .in_force = (uint32_t)result->in_force,
     .hosts = (uint32_t)result->queried,
     .not_heard_from = result->unanswered,
     .not_heard_from_count = result->unanswered_count,
   };
-  DL_DELETE (ask->backend->asks, ask);
-  ask->done (ask->owner, &report);
-  free (ask);
+  DL_DELETE (query->backend->queries, query);
+  query->done (query->owner, &report);
+  free (query);
 }
 
 static void
@@ -122,13 +123,13 @@
               uint32_t within_ms, operator_in_force_done *done, void *owner)
 {
   struct backend *backend = (struct backend *)base;
-  struct ask *ask = xcalloc (1, sizeof *ask);
-  ask->backend = backend;
-  ask->done = done;
-  ask->owner = owner;
-  DL_PREPEND (backend->asks, ask);
+  struct query *query = xcalloc (1, sizeof *query);
+  query->backend = backend;
+  query->done = done;
+  query->owner = owner;
+  DL_PREPEND (backend->queries, query);
   control_query_in_force (backend->options.control, command->service, version,
-                          within_ms, asked, ask);
+                          within_ms, on_query_done, query);
 }
 
 static int64_t
@@ -146,7 +147,7 @@
 }
 
 static void
-drop_change (struct backend *backend, struct change *change)
+cancel_change (struct backend *backend, struct change *change)
 {
   DL_DELETE (backend->changes, change);
   service_command_cancel (change->command);
@@ -154,11 +155,11 @@
 }
 
 static void
-drop_ask (struct backend *backend, struct ask *ask)
+cancel_query (struct backend *backend, struct query *query)
 {
-  DL_DELETE (backend->asks, ask);
-  control_cancel_queries (backend->options.control, ask);
-  free (ask);
+  DL_DELETE (backend->queries, query);
+  control_cancel_queries (backend->options.control, query);
+  free (query);
 }
 
 static void
@@ -170,14 +171,14 @@
   DL_FOREACH_SAFE (backend->changes, change, next_change)
   {
     if (change->owner == owner)
-      drop_change (backend, change);
+      cancel_change (backend, change);
   }
-  struct ask *ask;
-  struct ask *next_ask;
-  DL_FOREACH_SAFE (backend->asks, ask, next_ask)
+  struct query *query;
+  struct query *next_query;
+  DL_FOREACH_SAFE (backend->queries, query, next_query)
   {
-    if (ask->owner == owner)
-      drop_ask (backend, ask);
+    if (query->owner == owner)
+      cancel_query (backend, query);
   }
   if (backend->options.ejection != NULL)
     ejection_task_cancel (backend->options.ejection, owner);
@@ -208,8 +209,8 @@
     return;
   struct backend *backend = (struct backend *)base;
   while (backend->changes != NULL)
-    drop_change (backend, backend->changes);
-  while (backend->asks != NULL)
-    drop_ask (backend, backend->asks);
+    cancel_change (backend, backend->changes);
+  while (backend->queries != NULL)
+    cancel_query (backend, backend->queries);
   free (backend);
 }
--- a/node/daemon/host.c
+++ b/node/daemon/host.c
@@ -29,14 +29,15 @@
 {
   HOST_SERVING,
   HOST_LEAVING,
-  HOST_ENDING, /* gave up waiting; last answers are being written */
-  HOST_OVER,
+  HOST_STOPPING, /* no longer waiting for requests in flight; final responses
+                  are being written */
+  HOST_STOPPED,
 };
 
-/* Of the time to leave: for work in flight, and then for the last answers.
-   What is left is for the end of the process, before it is killed. */
-static const double WORK_SHARE = 0.85;
-static const double LAST_ANSWERS_SHARE = 0.1;
+/* Shares of the shutdown time: for requests in flight, and then for the final
+   responses.  The remainder is for the process to exit before it is killed. */
+static const double IN_FLIGHT_TIME_SHARE = 0.85;
+static const double FINAL_RESPONSES_TIME_SHARE = 0.1;
 static const double MS_PER_SECOND = 1000.0;
 
 struct host
@@ -49,31 +50,31 @@
   struct platform *platform;
   struct caller_task *caller;
   struct control_task *control;
-  struct control_ejection transport;
+  struct control_ejection ejection_transport;
   struct ejection_task *ejection;
   struct control_quota quota_transport;
   struct quota_task *quota;
   struct operator_backend *backend;
-  struct operator_task *operator_side;
+  struct operator_task *operator_task;
   struct plain_server *readiness;
   enum host_phase phase;
-  struct ev_timer leave_limit;
+  struct ev_timer leave_timer;
   host_done *done;
   void *done_owner;
 };
 
-/* NULL: the interface is jaystair's own. */
+/* NULL if the interface is jaystair's own. */
 static const struct platform_adapter *
-adapter_of (const struct host *host)
+platform_adapter_of (const struct host *host)
 {
   const char *name = host->settings.interface;
   return name[0] != '\0' ? platform_adapter_find (name) : NULL;
 }
 
 static const struct caller_interface *
-caller_names (const struct host *host)
+caller_interface_of (const struct host *host)
 {
-  const struct platform_adapter *adapter = adapter_of (host);
+  const struct platform_adapter *adapter = platform_adapter_of (host);
   return adapter != NULL ? adapter->callers : &caller_interface_own;
 }
 
@@ -81,11 +82,11 @@
 check_interface (const struct host *host)
 {
   const char *name = host->settings.interface;
-  if (name[0] == '\0' || adapter_of (host) != NULL)
+  if (name[0] == '\0' || platform_adapter_of (host) != NULL)
     return STATUS_OK;
   return status_set (STATUS_INVALID,
-                     "platform.interface: there is none called \"%s\"; leave "
-                     "it out for jaystair's own, or name one of: %s",
+                     "platform.interface: no interface is called \"%s\"; "
+                     "leave it out for jaystair's own, or name one of: %s",
                      name, platform_adapter_names ());
 }
 
@@ -107,7 +108,9 @@
     .addresses = addresses,
     .count = settings->platform_address_count,
     .timeout_ms = settings->times.platform_timeout_ms,
-    .dialect = adapter_of (host) != NULL ? adapter_of (host)->store : NULL,
+    .dialect = platform_adapter_of (host) != NULL
+                   ? platform_adapter_of (host)->store
+                   : NULL,
   };
   host->platform = platform_http_create (&options);
   return host->platform == NULL ? STATUS_INVALID : STATUS_OK;
@@ -122,7 +125,7 @@
     .settings = &host->settings,
     .counters = host->counters,
     .tables = host->tables,
-    .interface = caller_names (host),
+    .interface = caller_interface_of (host),
     .incarnation = incarnation,
   };
   host->caller = caller_task_create (&options);
@@ -145,14 +148,14 @@
 }
 
 static uint32_t
-demand_of (void *owner, const char *service)
+service_demand (void *owner, const char *service)
 {
   const struct host *host = owner;
   return caller_task_demand (host->caller, service);
 }
 
 static struct detection_recorder *
-recorder_of (void *owner, const char *service)
+service_recorder (void *owner, const char *service)
 {
   const struct host *host = owner;
   return caller_task_recorder (host->caller, service);
@@ -161,7 +164,7 @@
 static void
 create_ejection (struct host *host, uint64_t incarnation)
 {
-  control_ejection_init (&host->transport, host->control);
+  control_ejection_init (&host->ejection_transport, host->control);
   const struct ejection_task_options options = {
     .loop = host->loop,
     .bus = host->bus,
@@ -169,14 +172,14 @@
     .platform = host->platform,
     .counters = host->counters,
     .tables = host->tables,
-    .transport = &host->transport.base,
-    .recorder = recorder_of,
-    .demand = demand_of,
+    .transport = &host->ejection_transport.base,
+    .recorder = service_recorder,
+    .demand = service_demand,
     .recorder_owner = host,
     .incarnation = incarnation,
   };
   host->ejection = ejection_task_create (&options);
-  control_ejection_deliver (&host->transport, host->ejection);
+  control_ejection_deliver (&host->ejection_transport, host->ejection);
 }
 
 static void
@@ -222,16 +225,16 @@
     .tables = host->tables,
     .backend = host->backend,
   };
-  return operator_task_create (&options, &host->operator_side);
+  return operator_task_create (&options, &host->operator_task);
 }
 
 static enum MHD_Result
-on_readiness_question (void *owner, struct MHD_Connection *connection,
-                       const char *path, const char *method)
+on_readiness_request (void *owner, struct MHD_Connection *connection,
+                      const char *path, const char *method)
 {
   const struct host *host = owner;
-  const struct caller_interface *names = caller_names (host);
-  if (strcmp (path, names->readiness_path) != 0)
+  const struct caller_interface *interface = caller_interface_of (host);
+  if (strcmp (path, interface->readiness_path) != 0)
     return plain_server_respond (connection, MHD_HTTP_NOT_FOUND, "text/plain",
                                  "ask for readiness here\n");
   const bool is_ready = caller_task_is_ready (host->caller);
@@ -247,7 +250,7 @@
     .loop = host->loop,
     .address = host->settings.readiness_address,
     .what = "readiness",
-    .answer = on_readiness_question,
+    .answer = on_readiness_request,
     .owner = host,
   };
   if (options.address[0] == '\0')
@@ -255,8 +258,8 @@
   return plain_server_create (&options, &host->readiness);
 }
 
-/* Tasks that hear the bus come before the control task, which speaks first:
-   what it posts at its start must find its subscribers. */
+/* Tasks that subscribe to the bus are created before the control task, which
+   posts messages when it starts. */
 static enum status
 create_tasks (struct host *host)
 {
@@ -282,19 +285,19 @@
 enum status
 host_create (const struct host_options *options, struct host **host)
 {
-  struct host *created = xcalloc (1, sizeof *created);
-  created->loop = options->loop;
-  created->settings = *options->settings;
-  created->counters = counters_create ();
-  created->tables = tables_create ();
-  created->bus = bus_create (created->loop);
-  const enum status status = create_tasks (created);
+  struct host *new_host = xcalloc (1, sizeof *new_host);
+  new_host->loop = options->loop;
+  new_host->settings = *options->settings;
+  new_host->counters = counters_create ();
+  new_host->tables = tables_create ();
+  new_host->bus = bus_create (new_host->loop);
+  const enum status status = create_tasks (new_host);
   if (status != STATUS_OK)
     {
-      host_destroy (created);
-      created = NULL;
+      host_destroy (new_host);
+      new_host = NULL;
     }
-  *host = created;
+  *host = new_host;
   return status;
 }
 
@@ -303,10 +306,10 @@
 {
   if (host == NULL)
     return;
-  ev_timer_stop (host->loop, &host->leave_limit);
+  ev_timer_stop (host->loop, &host->leave_timer);
   plain_server_destroy (host->readiness);
-  if (host->operator_side != NULL)
-    operator_task_destroy (host->operator_side);
+  if (host->operator_task != NULL)
+    operator_task_destroy (host->operator_task);
   backend_destroy (host->backend);
   if (host->ejection != NULL)
     ejection_task_destroy (host->ejection);
@@ -325,56 +328,56 @@
 static void
 finish (struct host *host, const char *why)
 {
-  if (host->phase == HOST_OVER)
+  if (host->phase == HOST_STOPPED)
     return;
-  host->phase = HOST_OVER;
-  ev_timer_stop (host->loop, &host->leave_limit);
+  host->phase = HOST_STOPPED;
+  ev_timer_stop (host->loop, &host->leave_timer);
   LOG_INFO ("left", LOG_STR ("why", why),
             LOG_INT ("in_flight", caller_task_in_flight (host->caller)));
   host->done (host->done_owner);
 }
 
 static void
-caller_left (void *owner)
+caller_left_cb (void *owner)
 {
   finish (owner, "nothing in flight");
 }
 
-/* What is still in flight is told so before the end: a caller must not wait
-   for a connection that just breaks.  Those answers get a moment to be
-   written. */
+/* Requests still in flight get a final response before the host stops, since a
+   caller must not wait for a connection that just breaks.  These responses get
+   some time to be written. */
 static void
-end_now (struct host *host, const char *why)
+begin_stopping (struct host *host, const char *why)
 {
-  if (host->phase == HOST_ENDING)
+  if (host->phase == HOST_STOPPING)
     {
       finish (host, why);
       return;
     }
-  host->phase = HOST_ENDING;
-  ev_timer_stop (host->loop, &host->leave_limit);
-  ev_timer_set (&host->leave_limit,
-                host->settings.times.shutdown_ms * LAST_ANSWERS_SHARE
+  host->phase = HOST_STOPPING;
+  ev_timer_stop (host->loop, &host->leave_timer);
+  ev_timer_set (&host->leave_timer,
+                host->settings.times.shutdown_ms * FINAL_RESPONSES_TIME_SHARE
                     / MS_PER_SECOND,
                 0.);
-  ev_timer_start (host->loop, &host->leave_limit);
+  ev_timer_start (host->loop, &host->leave_timer);
   caller_task_answer_all_now (host->caller);
 }
 
 static void
-leave_limit_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
+leave_timer_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
-  end_now (watcher->data, "shutdown_ms are over");
+  begin_stopping (watcher->data, "shutdown_ms have passed");
 }
 
 void
 host_begin_leaving (struct host *host, host_done *done, void *owner)
 {
-  if (host->phase == HOST_OVER)
+  if (host->phase == HOST_STOPPED)
     return;
   if (host->phase != HOST_SERVING)
     {
-      end_now (host, "asked a second time");
+      begin_stopping (host, "second request to leave");
       return;
     }
   host->phase = HOST_LEAVING;
@@ -382,12 +385,12 @@
   host->done_owner = owner;
   const struct bus_message message = { .topic = BUS_SHUTDOWN };
   bus_post (host->bus, &message);
-  const double limit_s
-      = host->settings.times.shutdown_ms * WORK_SHARE / MS_PER_SECOND;
-  ev_timer_init (&host->leave_limit, leave_limit_cb, limit_s, 0);
-  host->leave_limit.data = host;
-  ev_timer_start (host->loop, &host->leave_limit);
-  caller_task_begin_leaving (host->caller, caller_left, host);
+  const double limit_s = host->settings.times.shutdown_ms
+                         * IN_FLIGHT_TIME_SHARE / MS_PER_SECOND;
+  ev_timer_init (&host->leave_timer, leave_timer_cb, limit_s, 0);
+  host->leave_timer.data = host;
+  ev_timer_start (host->loop, &host->leave_timer);
+  caller_task_begin_leaving (host->caller, caller_left_cb, host);
 }
 
 void
--- a/node/daemon/host.h
+++ b/node/daemon/host.h
@@ -1,8 +1,9 @@
 /** @file
- * One host put together: every task of jaystaird on one loop.
+ * One host: all tasks of jaystaird on one event loop.
  *
- * Life: created and serving; leaving (announced, no longer handed out, work
- * in flight finished); over.
+ * A host serves after its creation.  When it leaves it is announced as leaving
+ * and no longer listed to callers, and requests in flight are finished; then
+ * it is stopped.
  */
 #ifndef NODE_DAEMON_HOST_H
 #define NODE_DAEMON_HOST_H
@@ -14,7 +15,7 @@
 
 struct host;
 
-/** What a host is made from; LOOP outlives it, SETTINGS are copied. */
+/** Options of a host; LOOP must outlive it, SETTINGS are copied. */
 struct host_options
 {
   struct ev_loop *loop;
@@ -28,12 +29,13 @@
 
 typedef void host_done (void *owner);
 
-/** Leave gracefully; DONE is called once nothing is in flight, or when the
- * settings' `shutdown_ms` are over.  A second call ends it at once. */
+/** Leave gracefully.  DONE is called once nothing is in flight, or at the
+ * latest when the `shutdown_ms` of the settings have passed.  A second call
+ * stops the host at once. */
 void host_begin_leaving (struct host *host, host_done *done, void *owner);
 
-/** Put the reloadable part of SETTINGS in force (the log) and say in the log
- * what needs a restart. */
+/** Log which of the changed SETTINGS are applied (those of the log) and
+ * whether a restart is needed for the others. */
 void host_reload (struct host *host, const struct host_settings *settings);
 
 #endif
--- a/node/daemon/main.c
+++ b/node/daemon/main.c
@@ -20,7 +20,7 @@
   EXIT_USAGE = 2,
 };
 
-/* How often the settings file is looked at; a look is one system call. */
+/* Interval of checks of the settings file; each is a single system call. */
 static const double SETTINGS_CHECK_SECONDS = 5.0;
 
 /** The command line. */
@@ -33,7 +33,7 @@
   struct arg_end *end;
 };
 
-/** A running program. */
+/** State of the running program. */
 struct program
 {
   struct ev_loop *loop;
@@ -42,7 +42,7 @@
   struct ev_signal on_term;
   struct ev_signal on_int;
   struct ev_signal on_hup;
-  struct ev_stat on_change; /* the settings file changed, signal or not */
+  struct ev_stat settings_stat; /* of the settings file */
 };
 
 static void
@@ -59,18 +59,18 @@
 }
 
 static void
-left (void *owner)
+host_left_cb (void *owner)
 {
   struct program *program = owner;
   ev_break (program->loop, EVBREAK_ALL);
 }
 
 static void
-leave_cb (struct ev_loop *loop, struct ev_signal *watcher, int events)
+terminate_cb (struct ev_loop *loop, struct ev_signal *watcher, int events)
 {
   struct program *program = watcher->data;
   LOG_INFO ("leave", LOG_INT ("signal", watcher->signum));
-  host_begin_leaving (program->host, left, program);
+  host_begin_leaving (program->host, host_left_cb, program);
 }
 
 static void
@@ -80,7 +80,7 @@
   if (host_settings_load (program->settings_path, &settings) != STATUS_OK)
     {
       LOG_ERR ("reload-refused", LOG_STR ("why", status_message ()),
-               LOG_STR ("in-force", "the settings as before"));
+               LOG_STR ("in-force", "the previous settings"));
       return;
     }
   configure_log (&settings);
@@ -88,13 +88,13 @@
 }
 
 static void
-reload_cb (struct ev_loop *loop, struct ev_signal *watcher, int events)
+hangup_cb (struct ev_loop *loop, struct ev_signal *watcher, int events)
 {
   reload (watcher->data);
 }
 
 static void
-changed_cb (struct ev_loop *loop, struct ev_stat *watcher, int events)
+settings_changed_cb (struct ev_loop *loop, struct ev_stat *watcher, int events)
 {
   reload (watcher->data);
 }
@@ -121,12 +121,13 @@
       fprintf (stderr, "jaystaird: %s\n", status_message ());
       return EXIT_FAILURE;
     }
-  watch_signal (&program, &program.on_term, SIGTERM, leave_cb);
-  watch_signal (&program, &program.on_int, SIGINT, leave_cb);
-  watch_signal (&program, &program.on_hup, SIGHUP, reload_cb);
-  ev_stat_init (&program.on_change, changed_cb, path, SETTINGS_CHECK_SECONDS);
-  program.on_change.data = &program;
-  ev_stat_start (program.loop, &program.on_change);
+  watch_signal (&program, &program.on_term, SIGTERM, terminate_cb);
+  watch_signal (&program, &program.on_int, SIGINT, terminate_cb);
+  watch_signal (&program, &program.on_hup, SIGHUP, hangup_cb);
+  ev_stat_init (&program.settings_stat, settings_changed_cb, path,
+                SETTINGS_CHECK_SECONDS);
+  program.settings_stat.data = &program;
+  ev_stat_start (program.loop, &program.settings_stat);
   LOG_INFO ("serving", LOG_STR ("host", settings->name),
             LOG_STR ("dc", settings->dc),
             LOG_STR ("caller", settings->caller_address),
@@ -172,9 +173,10 @@
   return run (path, &settings);
 }
 
-/* Guards against settings that change while the host starts: until it listens
-   to the signal, its default is to end the process.  Shows as a host that is
-   gone after a change of settings.  What is missed is what it reads anyway. */
+/* Until the handler of SIGHUP is installed, the signal's default action would
+   end the process: a host whose settings change during its start would be
+   gone.  Ignoring the signal loses nothing, since the settings are read after
+   that. */
 static void
 ignore_reload_until_ready (void)
 {
