--- a/ctl/tests/program_test.cc
+++ b/ctl/tests/program_test.cc
@@ -158,9 +158,9 @@
   EXPECT_EQ (result.text,
              "drain holds/holds-1: accepted, version 7 -> 8; in force on 2 of "
              "3 hosts, not heard from: h3\n");
-  EXPECT_EQ (fixture.backend.last.version, 7u);
+  EXPECT_EQ (fixture.backend.last_command.version, 7u);
   EXPECT_EQ (run (fixture, "set floor holds 24").code, EXIT_CODE_DONE);
-  EXPECT_EQ (fixture.backend.last.floor_capacity, 24u);
+  EXPECT_EQ (fixture.backend.last_command.floor_capacity, 24u);
   fixture.backend.message = "the service changed meanwhile";
   fixture.backend.changed = "floor_capacity 24 -> 20";
   const struct
--- a/node/operator/counter_rows.c
+++ b/node/operator/counter_rows.c
@@ -6,14 +6,14 @@
 #include "base/counters.h"
 #include "node/json_row.h"
 
-/* LINE is `name{labels} value` or `name value`; it is cut up in place. */
+/* LINE is `name{labels} value` or `name value`; it is split in place. */
 static struct json_object *
-row_of (char *line)
+parse_row (char *line)
 {
-  char *blank = strrchr (line, ' ');
-  if (blank == NULL)
+  char *separator = strrchr (line, ' ');
+  if (separator == NULL)
     return NULL;
-  *blank = '\0';
+  *separator = '\0';
   char *labels = strchr (line, '{');
   if (labels != NULL)
     {
@@ -25,7 +25,7 @@
   struct json_object *row = json_object_new_object ();
   json_row_text (row, "counter", line);
   json_row_text (row, "labels", labels == NULL ? "" : labels);
-  json_row_number (row, "value", strtoll (blank + 1, NULL, 10));
+  json_row_number (row, "value", strtoll (separator + 1, NULL, 10));
   return row;
 }
 
@@ -38,7 +38,7 @@
   for (char *line = strtok_r (text, "\n", &state); line != NULL;
        line = strtok_r (NULL, "\n", &state))
     {
-      struct json_object *row = line[0] == '#' ? NULL : row_of (line);
+      struct json_object *row = line[0] == '#' ? NULL : parse_row (line);
       if (row != NULL)
         json_object_array_add (rows, row);
     }
--- a/node/operator/operator_answer.c
+++ b/node/operator/operator_answer.c
@@ -35,9 +35,9 @@
   return object;
 }
 
-/* Guards against an operator who is told "not accepted", sends the command
-   again and finds it done twice: where the end of the write isn't known for
-   sure, the answer says neither yes nor no. */
+/* An operator who reads "not accepted" sends the command again, and it is done
+   twice if the write had taken effect after all.  Where the outcome of the
+   write isn't known for certain, the response has neither value. */
 static bool
 is_known (enum status status)
 {
--- a/node/operator/operator_answer.h
+++ b/node/operator/operator_answer.h
@@ -1,5 +1,5 @@
 /** @file
- * The JSON answers of the operator side.
+ * The JSON responses of the operator side.
  */
 #ifndef NODE_OPERATOR_OPERATOR_ANSWER_H
 #define NODE_OPERATOR_OPERATOR_ANSWER_H
@@ -11,7 +11,7 @@
 #include "base/status.h"
 #include "node/operator/operator_backend.h"
 
-/** What a read answers beside its rows. */
+/** A response to the read of a table. */
 struct operator_table_answer
 {
   const char *host;
@@ -24,20 +24,20 @@
 struct json_object *
 operator_answer_table (const struct operator_table_answer *answer);
 
-/** A failure: `{"status","message"}`, NAME being the status's. */
+/** A failure: `{"status","message"}`; NAME is the name of the status. */
 struct json_object *operator_answer_failure (const char *name,
                                              const char *message);
 
-/** How COMMAND ended, without the part on where it is in force. */
+/** How COMMAND ended, without the hosts on which it is in force. */
 struct json_object *
 operator_answer_command (const struct operator_command *command,
                          const struct operator_result *result);
 
-/** Add the part on where it is in force. */
+/** Add the hosts on which the command is in force. */
 void operator_answer_add_in_force (struct json_object *answer,
                                    const struct operator_in_force *report);
 
-/** The HTTP status code that goes with STATUS. */
+/** The HTTP status code for STATUS. */
 unsigned int operator_answer_http_code (enum status status);
 
 #endif
--- a/node/operator/operator_auth.c
+++ b/node/operator/operator_auth.c
@@ -15,7 +15,7 @@
 static const char scheme[] = "Bearer ";
 
 static void
-warn_if_others_read (FILE *file, const char *path)
+warn_if_world_readable (FILE *file, const char *path)
 {
   struct stat info;
   if (fstat (fileno (file), &info) == 0 && (info.st_mode & S_IROTH) != 0)
@@ -24,9 +24,9 @@
 }
 
 enum status
-operator_auth_load (struct operator_auth *guard, const char *path)
+operator_auth_load (struct operator_auth *auth, const char *path)
 {
-  memset (guard, 0, sizeof *guard);
+  memset (auth, 0, sizeof *auth);
   if (path[0] == '\0')
     return STATUS_OK;
   FILE *file = fopen (path, "re");
@@ -34,12 +34,12 @@
     return status_errno ("secret_file %s can't be read: create it or leave "
                          "the option out",
                          path);
-  warn_if_others_read (file, path);
-  if (fgets (guard->secret, sizeof guard->secret, file) == NULL)
-    guard->secret[0] = '\0';
+  warn_if_world_readable (file, path);
+  if (fgets (auth->secret, sizeof auth->secret, file) == NULL)
+    auth->secret[0] = '\0';
   fclose (file);
-  guard->secret[strcspn (guard->secret, "\r\n")] = '\0';
-  if (strlen (guard->secret) < OPERATOR_SECRET_MIN_BYTES)
+  auth->secret[strcspn (auth->secret, "\r\n")] = '\0';
+  if (strlen (auth->secret) < OPERATOR_SECRET_MIN_BYTES)
     return status_set (STATUS_INVALID,
                        "secret_file %s: expected a first line of at least %d "
                        "bytes; write one with \"openssl rand -hex 32\"",
@@ -65,27 +65,27 @@
   return false;
 }
 
-/* Guards against a secret found byte by byte: a comparison that ends at the
-   first difference takes the longer the more of a guess is right, which shows
-   in the answer times.  CRYPTO_memcmp() looks at every byte always; only the
-   length can be told from the time. */
+/* A comparison that stops at the first difference takes longer the more of a
+   guess is right, so a secret could be found byte by byte from response times.
+   CRYPTO_memcmp() always compares all bytes; only the length can be learned
+   from the time. */
 static bool
-same_secret (const char *secret, const char *guess)
+is_same_secret (const char *secret, const char *guess)
 {
   const size_t size = strlen (secret);
   return strlen (guess) == size && CRYPTO_memcmp (secret, guess, size) == 0;
 }
 
 enum status
-operator_auth_check (const struct operator_auth *guard,
+operator_auth_check (const struct operator_auth *auth,
                      const char *authorization, const struct sockaddr *peer)
 {
-  if (guard->secret[0] == '\0')
+  if (auth->secret[0] == '\0')
     {
       if (is_loopback (peer))
         return STATUS_OK;
       return status_set (STATUS_REFUSED,
-                         "this host has no secret and takes commands from "
+                         "this host has no secret and accepts commands from "
                          "its own machine only: set secret_file in its "
                          "settings, or run jaystair there");
     }
@@ -94,9 +94,10 @@
                        "commands need the shared secret: give the file that "
                        "holds it with --secret-file");
   if (strncmp (authorization, scheme, sizeof scheme - 1) != 0
-      || !same_secret (guard->secret, authorization + sizeof scheme - 1))
-    return status_set (STATUS_REFUSED,
-                       "the secret isn't this host's: compare --secret-file "
-                       "with secret_file in its settings");
+      || !is_same_secret (auth->secret, authorization + sizeof scheme - 1))
+    return status_set (
+        STATUS_REFUSED,
+        "the secret doesn't match this host's: compare --secret-file "
+        "with secret_file in its settings");
   return STATUS_OK;
 }
--- a/node/operator/operator_backend.h
+++ b/node/operator/operator_backend.h
@@ -1,10 +1,11 @@
 /** @file
- * What an operator's command is carried out by.
+ * The interface through which operators' commands are carried out.
  *
- * The operator task understands commands and answers them; the writes at the
- * platform and the questions to other hosts are behind this table, which the
- * daemon fills with its control, ejection and platform parts and a test with
- * a fake.  Every call ends exactly once, on the loop, unless cancelled.
+ * The operator task parses commands and responds to them.  Writes at the
+ * platform and queries to other hosts are behind this table of functions,
+ * which the daemon implements with its control, ejection and platform modules,
+ * and tests with a fake.  Every call ends exactly once, on the loop, unless
+ * cancelled.
  */
 #ifndef NODE_OPERATOR_OPERATOR_BACKEND_H
 #define NODE_OPERATOR_OPERATOR_BACKEND_H
@@ -19,7 +20,7 @@
 #include "base/status.h"
 #include "wire/service_spec.h"
 
-/** What an operator can tell the fleet to do. */
+/** The commands of operators. */
 enum operator_verb
 {
   OPERATOR_DRAIN,
@@ -33,39 +34,41 @@
   OPERATOR_VERB_COUNT
 };
 
-/** Act on whatever version is found, as the version of a command. */
+/** As the version of a command: act on the current version. */
 #define OPERATOR_ANY_VERSION 0
 
-/** One command, checked. */
+/** A validated command. */
 struct operator_command
 {
   enum operator_verb verb;
   char service[SERVICE_NAME_SIZE];
   char target[SERVICE_NAME_SIZE]; /**< "" where the verb takes none */
-  /** Set for OPERATOR_CLEAR_POISON only. */
+  /** Used with OPERATOR_CLEAR_POISON only. */
   struct fingerprint fingerprint;
   uint32_t floor_capacity; /**< with OPERATOR_SET_FLOOR */
-  uint64_t version;        /**< the one to act on, or any */
+  uint64_t version; /**< the version to act on, or OPERATOR_ANY_VERSION */
 };
 
-/** How a command ended; pointers are good during the callback only.
+/** How a command ended; pointers are valid during the callback only.
  * STATUS_OK: the conditional write took effect.  STATUS_REFUSED: nothing was
- * changed.  STATUS_LOST_ANSWER: not known, even after reading back. */
+ * changed.  STATUS_LOST_ANSWER: the outcome is unknown, even after reading
+ * back. */
 struct operator_result
 {
   enum status status;
-  const char *message;       /**< for people, when the status isn't OK */
-  uint64_t acted_on_version; /**< what the command was weighed against */
-  uint64_t version;          /**< as it stands now; 0 when not known */
+  const char *message;       /**< human-readable, if the status isn't OK */
+  uint64_t acted_on_version; /**< the version that the command was checked
+                                against */
+  uint64_t version;          /**< the current version; 0 if unknown */
   const char *changed;       /**< when refused: what changed; or NULL */
 };
 
-/** Where a version of a service is in force. */
+/** On how many hosts a version of a service is in force. */
 struct operator_in_force
 {
   uint32_t in_force; /**< hosts that have it, this one included */
-  uint32_t hosts;    /**< hosts asked, this one included */
-  const char *const *not_heard_from; /**< names of those that didn't answer */
+  uint32_t hosts;    /**< hosts queried, this one included */
+  const char *const *not_heard_from; /**< hosts without a response */
   size_t not_heard_from_count;
 };
 
@@ -83,30 +86,31 @@
   void (*change_service) (struct operator_backend *backend,
                           const struct operator_command *command,
                           operator_result_done *done, void *owner);
-  /** Eject, reinstate: through the owner of the service's ejections. */
+  /** Eject, reinstate: sent to the owner of the service's ejections. */
   void (*change_ejection) (struct operator_backend *backend,
                            const struct operator_command *command,
                            operator_result_done *done, void *owner);
-  /** Clear the request with the command's fingerprint at all hosts.
+  /** Clear the request with the command's fingerprint on all hosts.
    * @return false if this host has no state for it */
   bool (*clear_poison) (struct operator_backend *backend,
                         const struct operator_command *command);
-  /** Ask the other hosts whether they have what COMMAND wrote as VERSION, or
-   * a later one, for at most WITHIN_MS. */
+  /** Query the other hosts whether VERSION, which COMMAND wrote, or a later
+   * version is in force there; waits for at most WITHIN_MS. */
   void (*query_in_force) (struct operator_backend *backend,
                           const struct operator_command *command,
                           uint64_t version, uint32_t within_ms,
                           operator_in_force_done *done, void *owner);
-  /** How old this host's news from the platform or its relays is. */
+  /** The time since this host's last contact with the platform or its
+   * relays. */
   int64_t (*contact_age_ms) (struct operator_backend *backend);
-  /** The names of hosts believed live and not heard from lately, as a new
-   * JSON array. */
+  /** The names of hosts that are considered live but haven't been heard from
+   * recently, as a new JSON array. */
   struct json_object *(*not_heard_from) (struct operator_backend *backend);
-  /** End every call of OWNER without calling back. */
+  /** Cancel all calls of OWNER without calling back. */
   void (*cancel) (struct operator_backend *backend, void *owner);
 };
 
-/** Embedded first in each implementation. */
+/** The first member of each implementation. */
 struct operator_backend
 {
   const struct operator_backend_ops *ops;
--- a/node/operator/operator_exchange.c
+++ b/node/operator/operator_exchange.c
@@ -12,18 +12,18 @@
 
 enum
 {
-  IN_FORCE_WITHIN_MS = 2000,
+  IN_FORCE_QUERY_TIMEOUT_MS = 2000,
 };
 
 void
 operator_exchange_append_body (struct operator_exchange *exchange,
                                const char *data, size_t size)
 {
-  const size_t room = sizeof exchange->body - exchange->body_size;
-  if (size > room)
+  const size_t free_bytes = sizeof exchange->body - exchange->body_size;
+  if (size > free_bytes)
     {
       exchange->body_too_large = true;
-      size = room;
+      size = free_bytes;
     }
   memcpy (exchange->body + exchange->body_size, data, size);
   exchange->body_size += size;
@@ -47,7 +47,7 @@
 }
 
 static void
-wake (struct operator_exchange *exchange)
+resume (struct operator_exchange *exchange)
 {
   exchange->waiting = false;
   MHD_resume_connection (exchange->connection);
@@ -59,7 +59,7 @@
 {
   struct operator_exchange *exchange = owner;
   operator_answer_add_in_force (exchange->answer, report);
-  wake (exchange);
+  resume (exchange);
 }
 
 static void
@@ -78,12 +78,12 @@
                                 operator_answer_command (command, result));
   if (result->status != STATUS_OK)
     {
-      wake (exchange);
+      resume (exchange);
       return;
     }
-  exchange->backend->ops->query_in_force (exchange->backend, command,
-                                          result->version, IN_FORCE_WITHIN_MS,
-                                          on_in_force, exchange);
+  exchange->backend->ops->query_in_force (
+      exchange->backend, command, result->version, IN_FORCE_QUERY_TIMEOUT_MS,
+      on_in_force, exchange);
 }
 
 void
@@ -131,9 +131,9 @@
   operator_exchange_set_answer (exchange, MHD_HTTP_OK, answer);
 }
 
-/* Guards against telling an operator "not done" of a command that was: the
-   write may have left already, so a host that leaves can only say that it
-   doesn't know, unless the write's own answer was seen. */
+/* The write may have been sent already, so a host that leaves must not report
+   that the command was not done: it reports an unknown outcome, unless the
+   result of the write was received. */
 void
 operator_exchange_abandon (struct operator_exchange *exchange)
 {
@@ -146,7 +146,7 @@
         status_set (STATUS_LOST_ANSWER,
                     "this host is leaving and the command may have taken "
                     "effect: ask another host what is in force"));
-  wake (exchange);
+  resume (exchange);
 }
 
 enum MHD_Result
--- a/node/operator/operator_exchange.h
+++ b/node/operator/operator_exchange.h
@@ -1,5 +1,5 @@
 /** @file
- * One request of an operator and its answer.
+ * One request of an operator and its response.
  */
 #ifndef NODE_OPERATOR_OPERATOR_EXCHANGE_H
 #define NODE_OPERATOR_OPERATOR_EXCHANGE_H
@@ -27,7 +27,7 @@
   size_t body_size;
   bool body_too_large;
   bool waiting;   /**< for the backend */
-  bool suspended; /**< by the handler call under way */
+  bool suspended; /**< by the current call of the handler */
   struct operator_command command;
   struct json_object *answer; /**< NULL until known */
   unsigned int http_code;
@@ -35,33 +35,34 @@
   struct operator_exchange *next;
 };
 
-/** Take in SIZE bytes of the body; what is past the bound is dropped. */
+/** Append SIZE bytes to the body; what exceeds the maximum is dropped. */
 void operator_exchange_append_body (struct operator_exchange *exchange,
                                     const char *data, size_t size);
 
-/** Answer with ANSWER, which is taken over. */
+/** Set the response to ANSWER and take ownership of it. */
 void operator_exchange_set_answer (struct operator_exchange *exchange,
                                    unsigned int http_code,
                                    struct json_object *answer);
 
-/** Answer with a failure and the last status message. */
+/** Set the response to a failure with the last status message. */
 void operator_exchange_fail (struct operator_exchange *exchange,
                              enum status status);
 
-/** Have the backend carry out the exchange's command; the connection sleeps
- * until that has ended. */
+/** Have the backend carry out the exchange's command; the connection is
+ * suspended until that has ended. */
 void operator_exchange_start_command (struct operator_exchange *exchange);
 
-/** Run OPERATOR_CLEAR_POISON and answer synchronously. */
+/** Run OPERATOR_CLEAR_POISON and set the response synchronously. */
 void operator_exchange_clear_poison (struct operator_exchange *exchange);
 
-/** End the wait for the backend, whose answer is no longer of use. */
+/** Stop waiting for the backend and resume the connection.  Without a result
+ * the outcome is reported as unknown. */
 void operator_exchange_abandon (struct operator_exchange *exchange);
 
-/** Queue the answer that is there on the connection. */
+/** Queue the response on the connection. */
 enum MHD_Result operator_exchange_send (struct operator_exchange *exchange);
 
-/** Release all; a call under way is cancelled. */
+/** Free the exchange; a pending call of the backend is cancelled. */
 void operator_exchange_destroy (struct operator_exchange *exchange);
 
 #endif
--- a/node/operator/operator_request.c
+++ b/node/operator/operator_request.c
@@ -92,22 +92,22 @@
 operator_request_parse (const char *text, size_t size,
                         struct operator_command *command)
 {
-  struct json_object *tree = NULL;
+  struct json_object *root = NULL;
   struct options options;
   memset (command, 0, sizeof *command);
-  enum status status = options_parse ("command", text, size, &tree);
+  enum status status = options_parse ("command", text, size, &root);
   if (status != STATUS_OK)
     return status;
-  options_begin (&options, "command", "", tree);
+  options_begin (&options, "command", "", root);
   read_verb (&options, command);
   read_operands (&options, command);
   status = options_end (&options);
-  json_object_put (tree);
+  json_object_put (root);
   return status;
 }
 
 static const char *
-member (struct json_object *row, const char *key)
+text_member (struct json_object *row, const char *key)
 {
   struct json_object *value;
   if (!json_object_object_get_ex (row, key, &value))
@@ -125,8 +125,8 @@
   for (size_t i = 0; i < count; i++)
     {
       struct json_object *row = json_object_array_get_idx (rows, i);
-      const char *service = member (row, "service");
-      if (strcmp (member (row, "target"), command->target) != 0
+      const char *service = text_member (row, "service");
+      if (strcmp (text_member (row, "target"), command->target) != 0
           || strcmp (service, command->service) == 0)
         continue;
       if (command->service[0] != '\0')
--- a/node/operator/operator_task.c
+++ b/node/operator/operator_task.c
@@ -35,7 +35,7 @@
 struct operator_task
 {
   struct operator_task_options options;
-  struct operator_auth guard;
+  struct operator_auth auth;
   struct MHD_Daemon *daemon;
   struct mhd_loop *mhd_loop;
   struct counter_family *requests;
@@ -114,7 +114,7 @@
       exchange->connection, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
   const char *authorization = MHD_lookup_connection_value (
       exchange->connection, MHD_HEADER_KIND, MHD_HTTP_HEADER_AUTHORIZATION);
-  if (operator_auth_check (&task->guard, authorization,
+  if (operator_auth_check (&task->auth, authorization,
                            info == NULL ? NULL : info->client_addr)
       == STATUS_OK)
     return true;
@@ -125,10 +125,10 @@
   return false;
 }
 
-/* Guards against a web page that an operator's browser shows on the same
-   machine: it can send a form to a loopback port, which would pass as a local
-   command where no secret is set.  A browser doesn't send this content type
-   across origins without asking first, and the question is refused here. */
+/* A web page in an operator's browser on the same machine can send a form to a
+   loopback port, which would pass as a local command if no secret is
+   configured.  A browser doesn't send this content type across origins without
+   a preflight request, which is refused here. */
 static bool
 is_json (struct operator_exchange *exchange)
 {
@@ -158,10 +158,10 @@
       || exchange->command.verb == OPERATOR_CLEAR_POISON)
     return status;
   struct json_object *rows = tables_read (task->options.tables, "targets");
-  const enum status found
+  const enum status resolved
       = operator_request_resolve_service (rows, &exchange->command);
   json_object_put (rows);
-  return found;
+  return resolved;
 }
 
 static void
@@ -182,7 +182,7 @@
 refuse_method (struct operator_exchange *exchange, const char *url)
 {
   status_set (STATUS_INVALID,
-              "%.64s doesn't take this method: GET a table, "
+              "%.64s doesn't support this method: GET a table, "
               "POST %s",
               url, command_path);
   operator_exchange_set_answer (
@@ -191,10 +191,11 @@
                                status_message ()));
 }
 
-/* The whole request is there: answer it, or leave that to the backend. */
+/* The request is complete: respond, or start a command whose response follows
+   from the backend. */
 static void
-start (struct operator_task *task, struct operator_exchange *exchange,
-       const char *url, const char *method)
+handle_request (struct operator_task *task, struct operator_exchange *exchange,
+                const char *url, const char *method)
 {
   const bool is_command = strcmp (url, command_path) == 0;
   const char *expected
@@ -208,7 +209,7 @@
   else
     operator_exchange_fail (
         exchange, status_set (STATUS_NOT_FOUND,
-                              "there is no such path: GET %sTABLE or %s, POST "
+                              "no such path: GET %sTABLE or %s, POST "
                               "%s",
                               table_prefix, metrics_path, command_path));
 }
@@ -246,10 +247,10 @@
       && strcmp (method, MHD_HTTP_METHOD_GET) == 0)
     return answer_metrics (task, connection);
   if (exchange->answer == NULL)
-    start (task, exchange, url, method);
+    handle_request (task, exchange, url, method);
   if (exchange->suspended)
     {
-      /* Called again, with the answer there, once the wait is over. */
+      /* Called again once the connection is resumed, with the response set. */
       exchange->suspended = false;
       return MHD_YES;
     }
@@ -277,7 +278,7 @@
   struct sockaddr_storage storage;
   if (mhd_loop_parse_address (address, &storage) == 0)
     return status_set (STATUS_INVALID,
-                       "operator_address \"%s\": expected IP:PORT by number",
+                       "operator_address \"%s\": expected a numeric IP:PORT",
                        address);
   unsigned int flags = MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME;
   if (storage.ss_family == AF_INET6)
@@ -299,7 +300,7 @@
 
 enum status
 operator_task_create (const struct operator_task_options *options,
-                      struct operator_task **created)
+                      struct operator_task **new_task)
 {
   const struct host_settings *settings = options->settings;
   const struct counter_family_options requests
@@ -310,8 +311,7 @@
   struct operator_task *task = xcalloc (1, sizeof *task);
   task->options = *options;
   task->requests = counters_family (options->counters, &requests);
-  enum status status
-      = operator_auth_load (&task->guard, settings->secret_file);
+  enum status status = operator_auth_load (&task->auth, settings->secret_file);
   if (status == STATUS_OK)
     status = listen_on (task, settings->operator_address);
   if (status != STATUS_OK)
@@ -323,7 +323,7 @@
             LOG_INT ("port", mhd_loop_bound_port (task->daemon)));
   tables_register (options->tables, "counters", counter_rows,
                    options->counters);
-  *created = task;
+  *new_task = task;
   return STATUS_OK;
 }
 
--- a/node/operator/service_command.c
+++ b/node/operator/service_command.c
@@ -16,8 +16,8 @@
 
 enum
 {
-  LIMIT_DEFAULT_MS = 20000,
-  BACK_OFF_DEFAULT_MS = 100,
+  DEFAULT_LIMIT_MS = 20000,
+  DEFAULT_BACK_OFF_MS = 100,
   BACK_OFF_MAX_MS = 2000,
   MESSAGE_SIZE = 512,
 };
@@ -40,7 +40,7 @@
 };
 
 static void
-release (struct service_command *sc)
+free_command (struct service_command *sc)
 {
   ev_timer_stop (sc->loop, &sc->timer);
   service_spec_destroy (sc->before);
@@ -60,7 +60,7 @@
             LOG_STR ("why", result->message));
   struct operator_result copy = *result;
   copy.acted_on_version = sc->before == NULL ? 0 : sc->before->version;
-  release (sc);
+  free_command (sc);
   done (owner, &copy);
 }
 
@@ -73,10 +73,10 @@
                const char *format, ...)
 {
   char message[MESSAGE_SIZE];
-  va_list args;
-  va_start (args, format);
-  vsnprintf (message, sizeof message, format, args);
-  va_end (args);
+  va_list arguments;
+  va_start (arguments, format);
+  vsnprintf (message, sizeof message, format, arguments);
+  va_end (arguments);
   const struct operator_result result
       = { .status = status, .message = message };
   finish (sc, &result);
@@ -100,8 +100,8 @@
 }
 
 static enum status
-edit_target (struct service_spec *spec, const struct operator_command *command,
-             bool *changed)
+set_target_state (struct service_spec *spec,
+                  const struct operator_command *command, bool *changed)
 {
   const enum target_state state = command->verb == OPERATOR_DRAIN
                                       ? TARGET_STATE_DRAINED
@@ -110,7 +110,7 @@
   if (target == NULL)
     return status_set (STATUS_NOT_FOUND,
                        "service %s has no target %s; `show targets` lists "
-                       "those it has",
+                       "its targets",
                        spec->name, command->target);
   *changed = target->state != state;
   target->state = state;
@@ -127,7 +127,7 @@
     {
     case OPERATOR_DRAIN:
     case OPERATOR_UNDRAIN:
-      return edit_target (spec, command, changed);
+      return set_target_state (spec, command, changed);
     case OPERATOR_PAUSE_EJECTION:
     case OPERATOR_RESUME_EJECTION:
       *changed = spec->ejection_paused != pause;
@@ -144,7 +144,7 @@
     }
 }
 
-/* Somebody else's write came first: say what it changed. */
+/* Another write took effect first: report what it changed. */
 static void
 finish_conflict (struct service_command *sc,
                  const struct platform_object *object)
@@ -154,15 +154,15 @@
   struct service_spec *now;
   if (service_spec_parse ("service", object->value, object->version, &now)
       != STATUS_OK)
-    snprintf (changed, sizeof changed, "it can't be read: %s",
+    snprintf (changed, sizeof changed, "to an invalid object: %s",
               status_message ());
   else if (service_spec_diff (sc->before, now, changed, sizeof changed) == 0)
     snprintf (changed, sizeof changed, "nothing but its version");
   service_spec_destroy (now);
   snprintf (message, sizeof message,
-            "the service was changed from version %" PRIu64 " to %" PRIu64
-            " meanwhile, nothing of this command was done; look at it and "
-            "decide again",
+            "another write changed the service from version %" PRIu64
+            " to %" PRIu64 "; this command changed nothing: check the service "
+            "and decide again",
             sc->before->version, object->version);
   const struct operator_result result = { .status = STATUS_REFUSED,
                                           .message = message,
@@ -185,15 +185,16 @@
 }
 
 static void
-read_back_later (struct service_command *sc)
+schedule_read_back (struct service_command *sc)
 {
   if (clock_now_ms () + sc->back_off_ms >= sc->deadline_ms)
     {
-      finish_failed (sc, STATUS_LOST_ANSWER,
-                     "the platform's answer was lost and it can't be asked "
-                     "now: the change may be in force or come into force; "
-                     "look at %s before trying again",
-                     sc->command.service);
+      finish_failed (
+          sc, STATUS_LOST_ANSWER,
+          "the platform's answer was lost and the platform can't be "
+          "reached: the change may be in force or still take "
+          "effect; check service %s before trying again",
+          sc->command.service);
       return;
     }
   ev_timer_stop (sc->loop, &sc->timer);
@@ -210,7 +211,7 @@
   snprintf (message, sizeof message,
             "the platform's answer was lost and the service was changed to "
             "version %" PRIu64 " since: this change may have been in force "
-            "before; look at it and decide again",
+            "before; check the service and decide again",
             version);
   const struct operator_result result = { .status = STATUS_LOST_ANSWER,
                                           .message = message,
@@ -218,10 +219,10 @@
   finish (sc, &result);
 }
 
-/* After a lost answer a refusal doesn't say whether the first write is what
-   made the version move, unless the object still carries its id. */
+/* After a lost answer a refusal doesn't tell whether the first write is what
+   changed the version, unless the object still carries its id. */
 static void
-on_repeated (void *owner, const struct platform_reply *reply)
+on_rewritten (void *owner, const struct platform_reply *reply)
 {
   struct service_command *sc = owner;
   const struct platform_object *object
@@ -235,13 +236,13 @@
   else if (refused)
     finish_overwritten (sc, object == NULL ? 0 : object->version);
   else
-    read_back_later (sc);
+    schedule_read_back (sc);
 }
 
-/* The old version still stands, but the lost write may be waiting within a
-   slow platform and take effect after this read.  The same write, with the
-   same id on the same condition, settles it: of the two at most one can take
-   effect, and either means that the command did. */
+/* The version is unchanged, but the lost write may be queued in a slow
+   platform and take effect after this read.  The same write, with the same id
+   and condition, resolves this: at most one of the two can take effect, and
+   either means that the command did. */
 static void
 on_read_back (void *owner, const struct platform_reply *reply)
 {
@@ -251,14 +252,14 @@
   if (reply->status == STATUS_NOT_FOUND)
     finish_overwritten (sc, 0);
   else if (reply->status != STATUS_OK || object == NULL)
-    read_back_later (sc);
+    schedule_read_back (sc);
   else if (is_own_write (sc, object))
     finish_accepted (sc, object->version);
   else if (object->version != sc->before->version)
     finish_overwritten (sc, object->version);
   else
     platform_put (sc->platform, PLATFORM_KIND_SERVICE, sc->command.service,
-                  sc->before->version, sc->value, on_repeated, sc);
+                  sc->before->version, sc->value, on_rewritten, sc);
 }
 
 static void
@@ -283,14 +284,15 @@
   struct service_command *sc = owner;
   const struct platform_object *object
       = reply->count > 0 ? &reply->objects[0] : NULL;
-  const bool moved = object != NULL && object->version != sc->before->version;
+  const bool version_changed
+      = object != NULL && object->version != sc->before->version;
   switch (reply->status)
     {
     case STATUS_OK:
       finish_accepted (sc, object == NULL ? 0 : object->version);
       return;
     case STATUS_REFUSED:
-      if (moved)
+      if (version_changed)
         finish_conflict (sc, object);
       else
         finish_unchanged (sc, reply->status, reply);
@@ -302,12 +304,12 @@
       finish_unchanged (sc, reply->status, reply);
       return;
     default:
-      read_back_later (sc);
+      schedule_read_back (sc);
     }
 }
 
 static void
-write_changed (struct service_command *sc, struct service_spec *after)
+write_service (struct service_command *sc, struct service_spec *after)
 {
   uint64_t random[2];
   rng_secure_bytes (random, sizeof random);
@@ -319,8 +321,9 @@
                 sc->before->version, sc->value, on_written, sc);
 }
 
-/* The command names a version that is no longer the newest.  What the two
-   differ in isn't known here, so say how its object of interest stands. */
+/* The command names an outdated version.  The difference between the two
+   versions isn't known here, so the current state of what the command concerns
+   is reported. */
 static void
 finish_outdated (struct service_command *sc)
 {
@@ -331,7 +334,7 @@
       = service_spec_target (now, sc->command.target);
   snprintf (message, sizeof message,
             "the service is at version %" PRIu64 ", not %" PRIu64
-            "; nothing was changed; look at it and decide again",
+            "; nothing was changed: check the service and decide again",
             now->version, sc->command.version);
   const size_t used = (size_t)snprintf (
       changed, sizeof changed,
@@ -352,7 +355,7 @@
 }
 
 static void
-weigh (struct service_command *sc)
+check_and_write (struct service_command *sc)
 {
   bool changed;
   if (sc->command.version != OPERATOR_ANY_VERSION
@@ -369,7 +372,7 @@
   else if (!changed)
     finish_accepted (sc, sc->before->version);
   else
-    write_changed (sc, after);
+    write_service (sc, after);
   service_spec_destroy (after);
 }
 
@@ -379,8 +382,8 @@
   struct service_command *sc = owner;
   if (reply->status == STATUS_NOT_FOUND)
     finish_failed (sc, STATUS_NOT_FOUND,
-                   "there is no service %s; `show services` lists those "
-                   "there are",
+                   "there is no service %s; `show services` lists the "
+                   "services",
                    sc->command.service);
   else if (reply->status == STATUS_INVALID)
     finish_failed (sc, STATUS_INVALID, "nothing was changed: %s",
@@ -395,7 +398,7 @@
     finish_failed (sc, STATUS_INVALID, "nothing was changed: %s",
                    status_message ());
   else
-    weigh (sc);
+    check_and_write (sc);
 }
 
 struct service_command *
@@ -404,7 +407,7 @@
                        operator_result_done *done, void *owner)
 {
   const uint32_t limit_ms
-      = options->limit_ms > 0 ? options->limit_ms : LIMIT_DEFAULT_MS;
+      = options->limit_ms > 0 ? options->limit_ms : DEFAULT_LIMIT_MS;
   struct service_command *sc = xcalloc (1, sizeof *sc);
   sc->loop = options->loop;
   sc->platform = options->platform;
@@ -413,7 +416,7 @@
   sc->owner = owner;
   sc->deadline_ms = clock_now_ms () + limit_ms;
   sc->back_off_ms
-      = options->back_off_ms > 0 ? options->back_off_ms : BACK_OFF_DEFAULT_MS;
+      = options->back_off_ms > 0 ? options->back_off_ms : DEFAULT_BACK_OFF_MS;
   ev_timer_init (&sc->timer, on_timer, 0., 0.);
   sc->timer.data = sc;
   platform_get (sc->platform, PLATFORM_KIND_SERVICE, sc->command.service,
@@ -425,5 +428,5 @@
 service_command_cancel (struct service_command *sc)
 {
   platform_cancel (sc->platform, sc);
-  release (sc);
+  free_command (sc);
 }
--- a/node/operator/tests/operator_auth_test.cc
+++ b/node/operator/tests/operator_auth_test.cc
@@ -15,7 +15,7 @@
 static std::string
 write_secret (const std::string &text)
 {
-  char path[] = "/tmp/operator-guard-XXXXXX";
+  char path[] = "/tmp/operator-auth-XXXXXX";
   const int fd = mkstemp (path);
   EXPECT_EQ (write (fd, text.data (), text.size ()), (ssize_t)text.size ());
   close (fd);
@@ -32,31 +32,31 @@
 }
 
 static enum status
-check (const struct operator_auth *guard, const char *authorization,
+check (const struct operator_auth *auth, const char *authorization,
        const char *ip)
 {
   const struct sockaddr_in in = peer_at (ip);
-  return operator_auth_check (guard, authorization,
+  return operator_auth_check (auth, authorization,
                               reinterpret_cast<const struct sockaddr *> (&in));
 }
 
-TEST (OperatorGuard, WithoutSecretOnlyThisMachineCommands)
+TEST (OperatorGuard, WithoutSecretOnlyLoopbackIsAuthorized)
 {
-  struct operator_auth guard;
-  ASSERT_EQ (operator_auth_load (&guard, ""), STATUS_OK);
-  EXPECT_EQ (check (&guard, nullptr, "127.0.0.1"), STATUS_OK);
-  EXPECT_EQ (check (&guard, nullptr, "127.8.0.9"), STATUS_OK);
-  EXPECT_EQ (check (&guard, nullptr, "10.0.0.1"), STATUS_REFUSED);
-  EXPECT_EQ (check (&guard, "Bearer ", "10.0.0.1"), STATUS_REFUSED);
-  EXPECT_EQ (operator_auth_check (&guard, nullptr, nullptr), STATUS_REFUSED);
+  struct operator_auth auth;
+  ASSERT_EQ (operator_auth_load (&auth, ""), STATUS_OK);
+  EXPECT_EQ (check (&auth, nullptr, "127.0.0.1"), STATUS_OK);
+  EXPECT_EQ (check (&auth, nullptr, "127.8.0.9"), STATUS_OK);
+  EXPECT_EQ (check (&auth, nullptr, "10.0.0.1"), STATUS_REFUSED);
+  EXPECT_EQ (check (&auth, "Bearer ", "10.0.0.1"), STATUS_REFUSED);
+  EXPECT_EQ (operator_auth_check (&auth, nullptr, nullptr), STATUS_REFUSED);
 }
 
-TEST (OperatorGuard, WithSecretEveryoneNeedsIt)
+TEST (OperatorGuard, SecretIsRequiredOfAll)
 {
   const std::string path = write_secret ("0123456789abcdef\n");
-  struct operator_auth guard;
-  ASSERT_EQ (operator_auth_load (&guard, path.c_str ()), STATUS_OK);
-  EXPECT_EQ (check (&guard, "Bearer 0123456789abcdef", "10.0.0.1"), STATUS_OK);
+  struct operator_auth auth;
+  ASSERT_EQ (operator_auth_load (&auth, path.c_str ()), STATUS_OK);
+  EXPECT_EQ (check (&auth, "Bearer 0123456789abcdef", "10.0.0.1"), STATUS_OK);
   const char *const wrong[] = { nullptr,
                                 "",
                                 "Bearer",
@@ -68,21 +68,21 @@
                                 "bearer 0123456789abcdef",
                                 "0123456789abcdef" };
   for (const char *text : wrong)
-    EXPECT_EQ (check (&guard, text, "127.0.0.1"), STATUS_REFUSED)
+    EXPECT_EQ (check (&auth, text, "127.0.0.1"), STATUS_REFUSED)
         << (text == nullptr ? "(none)" : text);
   unlink (path.c_str ());
 }
 
-TEST (OperatorGuard, RefusesSecretsThatGuardNothing)
+TEST (OperatorGuard, RefusesUnsafeSecrets)
 {
-  struct operator_auth guard;
+  struct operator_auth auth;
   for (const char *text : { "", "\n", "short\n", "\n0123456789abcdef" })
     {
       const std::string path = write_secret (text);
-      EXPECT_EQ (operator_auth_load (&guard, path.c_str ()), STATUS_INVALID);
+      EXPECT_EQ (operator_auth_load (&auth, path.c_str ()), STATUS_INVALID);
       EXPECT_NE (std::string (status_message ()).find ("openssl rand"),
                  std::string::npos);
       unlink (path.c_str ());
     }
-  EXPECT_EQ (operator_auth_load (&guard, "/nowhere/secret"), STATUS_SYSTEM);
+  EXPECT_EQ (operator_auth_load (&auth, "/nowhere/secret"), STATUS_SYSTEM);
 }
--- a/node/operator/tests/operator_fixture.h
+++ b/node/operator/tests/operator_fixture.h
@@ -1,6 +1,6 @@
 /** @file
- * An operator task in its own loop and thread, on a port of its own, over
- * fixed tables and a backend that answers what the test says.
+ * An operator task in its own loop and thread, on a free port, with fixed
+ * tables and a fake backend whose results the test sets.
  */
 #ifndef NODE_OPERATOR_TESTS_OPERATOR_FIXTURE_H
 #define NODE_OPERATOR_TESTS_OPERATOR_FIXTURE_H
@@ -16,7 +16,7 @@
 #include "node/operator/operator_task.h"
 }
 
-/** The result that the next command gets, and what was asked. */
+/** A backend with a fixed result for commands, which records its calls. */
 struct fake_backend
 {
   struct operator_backend backend;
@@ -25,7 +25,7 @@
   std::string changed;
   uint64_t version = 8;
   bool never_answers = false;
-  struct operator_command last = {};
+  struct operator_command last_command = {};
   int service_calls = 0;
   int ejection_calls = 0;
   int cancels = 0;
@@ -38,10 +38,10 @@
 }
 
 inline void
-fake_answer (struct fake_backend *f, const struct operator_command *command,
+fake_result (struct fake_backend *f, const struct operator_command *command,
              operator_result_done *done, void *owner)
 {
-  f->last = *command;
+  f->last_command = *command;
   if (f->never_answers)
     return;
   struct operator_result result = {};
@@ -59,7 +59,7 @@
                      operator_result_done *done, void *owner)
 {
   fake (backend)->service_calls++;
-  fake_answer (fake (backend), command, done, owner);
+  fake_result (fake (backend), command, done, owner);
 }
 
 inline void
@@ -68,7 +68,7 @@
                       operator_result_done *done, void *owner)
 {
   fake (backend)->ejection_calls++;
-  fake_answer (fake (backend), command, done, owner);
+  fake_result (fake (backend), command, done, owner);
 }
 
 inline bool
@@ -83,8 +83,8 @@
                    uint64_t, uint32_t, operator_in_force_done *done,
                    void *owner)
 {
-  const char *const silent[] = { "h3" };
-  struct operator_in_force report = { 2, 3, silent, 1 };
+  const char *const unresponsive[] = { "h3" };
+  struct operator_in_force report = { 2, 3, unresponsive, 1 };
   done (owner, &report);
 }
 
@@ -152,14 +152,14 @@
     finish ();
   }
 
-  /** Tables are added before the first request. */
+  /** Add a table; call it before the first request. */
   void
   add_table (const char *name, const char *rows)
   {
     tables_register (tables, name, fixed_rows, const_cast<char *> (rows));
   }
 
-  /** Stop the task as a host that leaves does. */
+  /** Stop the task as a leaving host does. */
   void
   finish ()
   {
--- a/node/operator/tests/operator_request_test.cc
+++ b/node/operator/tests/operator_request_test.cc
@@ -14,7 +14,7 @@
   return operator_request_parse (text.data (), text.size (), command);
 }
 
-TEST (OperatorRequest, ReadsEachVerb)
+TEST (OperatorRequest, ParsesEachVerb)
 {
   for (int i = 0; i < OPERATOR_VERB_COUNT; i++)
     {
@@ -57,7 +57,7 @@
     EXPECT_EQ (parse (prefix + suffix, &command), STATUS_INVALID) << suffix;
 }
 
-TEST (OperatorRequest, RefusesWhatIsNotWholeWithTheRemedy)
+TEST (OperatorRequest, RefusesInvalidCommandsWithRemedy)
 {
   const char *const bad[] = {
     "",
@@ -82,25 +82,25 @@
     }
 }
 
-TEST (OperatorRequest, GarbageNeverPassesNorCrashes)
+TEST (OperatorRequest, SurvivesGarbage)
 {
   std::mt19937 random (20260101);
-  const std::string whole
+  const std::string valid
       = "{\"command\":\"drain\",\"service\":\"holds\",\"target\":\"h\"}";
   for (int i = 0; i < 3000; i++)
     {
-      std::string text = whole;
+      std::string text = valid;
       for (int change = 0; change < 3; change++)
         text[random () % text.size ()] = static_cast<char> (random ());
       text.resize (random () % (text.size () + 1));
       struct operator_command command;
       const enum status status = parse (text, &command);
-      EXPECT_TRUE (status == STATUS_INVALID || text.size () == whole.size ())
+      EXPECT_TRUE (status == STATUS_INVALID || text.size () == valid.size ())
           << text;
     }
 }
 
-TEST (OperatorRequest, FindsTheServiceByTheTarget)
+TEST (OperatorRequest, ResolvesServiceByTarget)
 {
   struct json_object *rows
       = json_tokener_parse ("[{\"service\":\"a\",\"target\":\"one\"},"
--- a/node/operator/tests/operator_task_test.cc
+++ b/node/operator/tests/operator_task_test.cc
@@ -10,7 +10,7 @@
 
 #include "node/operator/tests/operator_fixture.h"
 
-struct answer
+struct http_response
 {
   long code = 0;
   std::string body;
@@ -23,12 +23,13 @@
   return size * count;
 }
 
-static struct answer
-ask (const OperatorFixture &fixture, const std::string &path,
-     const char *command = nullptr,
-     std::vector<std::string> headers = { "Content-Type: application/json" })
+static struct http_response
+send_request (const OperatorFixture &fixture, const std::string &path,
+              const char *command = nullptr,
+              std::vector<std::string> headers
+              = { "Content-Type: application/json" })
 {
-  struct answer answer;
+  struct http_response response;
   CURL *curl = curl_easy_init ();
   struct curl_slist *list = nullptr;
   for (const std::string &header : headers)
@@ -38,47 +39,48 @@
   curl_easy_setopt (curl, CURLOPT_NOPROXY, "*");
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, list);
   curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, collect);
-  curl_easy_setopt (curl, CURLOPT_WRITEDATA, &answer.body);
+  curl_easy_setopt (curl, CURLOPT_WRITEDATA, &response.body);
   if (command != nullptr)
     curl_easy_setopt (curl, CURLOPT_COPYPOSTFIELDS, command);
   if (curl_easy_perform (curl) == CURLE_OK)
-    curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &answer.code);
+    curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &response.code);
   curl_slist_free_all (list);
   curl_easy_cleanup (curl);
-  return answer;
+  return response;
 }
 
 static const char drain[]
     = "{\"command\":\"drain\",\"service\":\"holds\",\"target\":\"holds-1\"}";
 
-TEST (OperatorTask, ReadsATableWithItsAgeAndWhoWasNotHeardFrom)
+TEST (OperatorTask, ReadsTableWithAgeAndUnresponsiveHosts)
 {
   OperatorFixture fixture;
   fixture.add_table ("targets", "[{\"target\":\"holds-1\"}]");
-  const struct answer answer = ask (fixture, "/v1/targets");
-  EXPECT_EQ (answer.code, 200);
-  EXPECT_EQ (answer.body,
+  const struct http_response response = send_request (fixture, "/v1/targets");
+  EXPECT_EQ (response.code, 200);
+  EXPECT_EQ (response.body,
              "{\"host\":\"h1\",\"table\":\"targets\",\"rows\":[{\"target\":"
              "\"holds-1\"}],\"age_ms\":340,\"not_heard_from\":[\"h3\"]}");
-  const struct answer unknown = ask (fixture, "/v1/dragons");
+  const struct http_response unknown = send_request (fixture, "/v1/dragons");
   EXPECT_EQ (unknown.code, 404);
   EXPECT_NE (unknown.body.find ("targets"), std::string::npos);
-  EXPECT_EQ (ask (fixture, "/elsewhere").code, 404);
-  EXPECT_EQ (ask (fixture, "/v1/targets", "{}").code, 405);
-  EXPECT_EQ (ask (fixture, "/v1/command").code, 405);
+  EXPECT_EQ (send_request (fixture, "/elsewhere").code, 404);
+  EXPECT_EQ (send_request (fixture, "/v1/targets", "{}").code, 405);
+  EXPECT_EQ (send_request (fixture, "/v1/command").code, 405);
 }
 
-TEST (OperatorTask, CountsItsRequestsInTheExposition)
+TEST (OperatorTask, CountsRequestsInExposition)
 {
   OperatorFixture fixture;
   fixture.add_table ("targets", "[]");
-  ask (fixture, "/v1/targets");
-  const struct answer answer = ask (fixture, "/metrics");
-  EXPECT_EQ (answer.code, 200);
-  EXPECT_NE (answer.body.find ("jaystair_operator_requests_total{kind=\"table"
-                               "\",code=\"200\"} 1\n"),
-             std::string::npos);
-  const struct answer table = ask (fixture, "/v1/counters");
+  send_request (fixture, "/v1/targets");
+  const struct http_response response = send_request (fixture, "/metrics");
+  EXPECT_EQ (response.code, 200);
+  EXPECT_NE (
+      response.body.find ("jaystair_operator_requests_total{kind=\"table"
+                          "\",code=\"200\"} 1\n"),
+      std::string::npos);
+  const struct http_response table = send_request (fixture, "/v1/counters");
   EXPECT_NE (table.body.find ("{\"counter\":\"jaystair_operator_requests_total"
                               "\",\"labels\":\"kind=\\\"table\\\",code="
                               "\\\"200\\\"\",\"value\":1}"),
@@ -86,23 +88,24 @@
       << table.body;
 }
 
-TEST (OperatorTask, AcceptedCommandSaysWhereItIsInForce)
+TEST (OperatorTask, AcceptedCommandReportsWhereItIsInForce)
 {
   OperatorFixture fixture;
-  const struct answer answer = ask (fixture, "/v1/command", drain);
-  EXPECT_EQ (answer.code, 200);
-  EXPECT_EQ (answer.body,
+  const struct http_response response
+      = send_request (fixture, "/v1/command", drain);
+  EXPECT_EQ (response.code, 200);
+  EXPECT_EQ (response.body,
              "{\"status\":\"ok\",\"command\":\"drain\",\"service\":\"holds\","
              "\"target\":\"holds-1\",\"accepted\":true,\"acted_on_version\":7,"
              "\"version\":8,\"in_force\":{\"hosts\":3,\"in_force\":2,"
              "\"not_heard_from\":[\"h3\"]}}");
   EXPECT_EQ (fixture.backend.service_calls, 1);
-  ask (fixture, "/v1/command",
-       "{\"command\":\"eject\",\"service\":\"s\",\"target\":\"t\"}");
+  send_request (fixture, "/v1/command",
+                "{\"command\":\"eject\",\"service\":\"s\",\"target\":\"t\"}");
   EXPECT_EQ (fixture.backend.ejection_calls, 1);
 }
 
-TEST (OperatorTask, TellsApartHowACommandFailed)
+TEST (OperatorTask, DistinguishesFailures)
 {
   const struct
   {
@@ -118,32 +121,36 @@
   for (const auto &c : cases)
     {
       fixture.backend.status = c.status;
-      const struct answer answer = ask (fixture, "/v1/command", drain);
-      EXPECT_EQ (answer.code, c.code);
-      EXPECT_NE (answer.body.find (c.part), std::string::npos) << answer.body;
-      EXPECT_EQ (answer.body.find ("in_force"), std::string::npos);
-      EXPECT_NE (answer.body.find ("floor 24 -> 20"), std::string::npos);
+      const struct http_response response
+          = send_request (fixture, "/v1/command", drain);
+      EXPECT_EQ (response.code, c.code);
+      EXPECT_NE (response.body.find (c.part), std::string::npos)
+          << response.body;
+      EXPECT_EQ (response.body.find ("in_force"), std::string::npos);
+      EXPECT_NE (response.body.find ("floor 24 -> 20"), std::string::npos);
     }
 }
 
-/* An operator reads "not accepted", drains again and finds it done twice.
-   The write's answer was lost and the host, not knowing, said "no". */
-TEST (OperatorTask, ALostAnswerIsNeverCalledNotAccepted)
+/* An operator who reads "not accepted" repeats the command, and it is done
+   twice if the write took effect.  After a lost answer the host doesn't know,
+   so it must not report "not accepted". */
+TEST (OperatorTask, LostAnswerIsNotReportedAsNotAccepted)
 {
   OperatorFixture fixture;
   for (const enum status status :
        { STATUS_LOST_ANSWER, STATUS_TIMEOUT, STATUS_SYSTEM })
     {
       fixture.backend.status = status;
-      const struct answer answer = ask (fixture, "/v1/command", drain);
-      EXPECT_EQ (answer.body.find ("accepted"), std::string::npos)
-          << answer.body;
+      const struct http_response response
+          = send_request (fixture, "/v1/command", drain);
+      EXPECT_EQ (response.body.find ("accepted"), std::string::npos)
+          << response.body;
     }
 }
 
-/* An operator on another team's machine drains a target by mistake: the port
-   answered anybody.  With a secret set, a command without it does nothing. */
-TEST (OperatorTask, CommandsNeedTheSecret)
+/* Anybody who can connect to the port could drain a target by mistake.  With a
+   secret configured, a command without it has no effect. */
+TEST (OperatorTask, CommandsRequireSecret)
 {
   char path[] = "/tmp/operator-secret-XXXXXX";
   const int fd = mkstemp (path);
@@ -152,52 +159,59 @@
   {
     OperatorFixture fixture (path);
     ASSERT_EQ (fixture.status, STATUS_OK);
-    const struct answer none = ask (fixture, "/v1/command", drain);
-    EXPECT_EQ (none.code, 401);
-    EXPECT_NE (none.body.find ("--secret-file"), std::string::npos);
+    const struct http_response without_secret
+        = send_request (fixture, "/v1/command", drain);
+    EXPECT_EQ (without_secret.code, 401);
+    EXPECT_NE (without_secret.body.find ("--secret-file"), std::string::npos);
     const std::string type = "Content-Type: application/json";
     const std::string wrong = "Authorization: Bearer 0123456789abcdeg";
-    EXPECT_EQ (ask (fixture, "/v1/command", drain, { type, wrong }).code, 401);
+    EXPECT_EQ (
+        send_request (fixture, "/v1/command", drain, { type, wrong }).code,
+        401);
     EXPECT_EQ (fixture.backend.service_calls, 0);
     const std::string right = "Authorization: Bearer 0123456789abcdef";
-    EXPECT_EQ (ask (fixture, "/v1/command", drain, { type, right }).code, 200);
+    EXPECT_EQ (
+        send_request (fixture, "/v1/command", drain, { type, right }).code,
+        200);
     EXPECT_EQ (fixture.backend.service_calls, 1);
   }
   unlink (path);
 }
 
-/* A page in an operator's browser sends a form to the loopback port of a host
-   without a secret, and a target is drained that nobody meant to. */
-TEST (OperatorTask, AFormFromABrowserIsNoCommand)
+/* A web page in an operator's browser can send a form to the loopback port of
+   a host without a secret.  It must not be taken as a command. */
+TEST (OperatorTask, RefusesBrowserForms)
 {
   OperatorFixture fixture;
-  EXPECT_EQ (ask (fixture, "/v1/command", drain, {}).code, 400);
-  EXPECT_EQ (
-      ask (fixture, "/v1/command", drain, { "Content-Type: text/plain" }).code,
-      400);
+  EXPECT_EQ (send_request (fixture, "/v1/command", drain, {}).code, 400);
+  EXPECT_EQ (send_request (fixture, "/v1/command", drain,
+                           { "Content-Type: text/plain" })
+                 .code,
+             400);
   EXPECT_EQ (fixture.backend.service_calls, 0);
 }
 
-TEST (OperatorTask, RefusesCommandsThatAreNone)
+TEST (OperatorTask, RefusesInvalidCommands)
 {
   OperatorFixture fixture;
   fixture.add_table ("targets", "[{\"service\":\"a\",\"target\":\"t\"}]");
-  EXPECT_EQ (ask (fixture, "/v1/command", "{\"command\":\"reboot\"}").code,
-             400);
-  EXPECT_EQ (ask (fixture, "/v1/command", "").code, 400);
   EXPECT_EQ (
-      ask (fixture, "/v1/command", (drain + std::string (20000, ' ')).c_str ())
-          .code,
+      send_request (fixture, "/v1/command", "{\"command\":\"reboot\"}").code,
       400);
-  EXPECT_EQ (
-      ask (fixture, "/v1/command", "{\"command\":\"drain\",\"target\":\"x\"}")
-          .code,
-      404);
-  EXPECT_EQ (
-      ask (fixture, "/v1/command", "{\"command\":\"drain\",\"target\":\"t\"}")
-          .code,
-      200);
-  EXPECT_STREQ (fixture.backend.last.service, "a");
+  EXPECT_EQ (send_request (fixture, "/v1/command", "").code, 400);
+  EXPECT_EQ (send_request (fixture, "/v1/command",
+                           (drain + std::string (20000, ' ')).c_str ())
+                 .code,
+             400);
+  EXPECT_EQ (send_request (fixture, "/v1/command",
+                           "{\"command\":\"drain\",\"target\":\"x\"}")
+                 .code,
+             404);
+  EXPECT_EQ (send_request (fixture, "/v1/command",
+                           "{\"command\":\"drain\",\"target\":\"t\"}")
+                 .code,
+             200);
+  EXPECT_STREQ (fixture.backend.last_command.service, "a");
 }
 
 static int
@@ -213,7 +227,7 @@
   return fd;
 }
 
-TEST (OperatorTask, GarbageOnThePortHarmsNobodyElse)
+TEST (OperatorTask, GarbageDoesNotAffectOtherRequests)
 {
   OperatorFixture fixture;
   fixture.add_table ("targets", "[]");
@@ -228,13 +242,13 @@
       if (i % 2 == 0)
         shutdown (fd, SHUT_WR);
       close (fd);
-      EXPECT_EQ (ask (fixture, "/v1/targets").code, 200);
+      EXPECT_EQ (send_request (fixture, "/v1/targets").code, 200);
     }
 }
 
-/* An operator's command is under way when its host leaves.  The write may
-   have taken effect, so the answer must not be "no", and must come. */
-TEST (OperatorTask, ALeavingHostSaysThatItDoesNotKnow)
+/* A command is in flight when its host leaves.  The write may have taken
+   effect, so the response must not report a refusal, and there must be one. */
+TEST (OperatorTask, LeavingHostReportsUnknownOutcome)
 {
   OperatorFixture fixture;
   fixture.backend.never_answers = true;
@@ -246,23 +260,23 @@
                               + std::to_string (body.size ()) + "\r\n\r\n"
                               + body;
   send (fd, request.data (), request.size (), MSG_NOSIGNAL);
-  /* The command has arrived once another connection was served after it. */
-  while (ask (fixture, "/metrics").code == 200
+  /* The loop below ends once the command has arrived. */
+  while (send_request (fixture, "/metrics").code == 200
          && fixture.backend.service_calls == 0)
     ;
   fixture.finish ();
   EXPECT_EQ (fixture.backend.cancels, 1);
   char text[4096];
-  std::string answer;
+  std::string response;
   ssize_t size;
   while ((size = recv (fd, text, sizeof text, 0)) > 0)
-    answer.append (text, static_cast<size_t> (size));
+    response.append (text, static_cast<size_t> (size));
   close (fd);
-  EXPECT_NE (answer.find ("504"), std::string::npos) << answer;
-  EXPECT_NE (answer.find ("lost-answer"), std::string::npos) << answer;
+  EXPECT_NE (response.find ("504"), std::string::npos) << response;
+  EXPECT_NE (response.find ("lost-answer"), std::string::npos) << response;
 }
 
-TEST (OperatorTask, SaysWhyItCannotListen)
+TEST (OperatorTask, ReportsUnreadableSecretFile)
 {
   OperatorFixture fixture ("/nowhere/secret");
   EXPECT_EQ (fixture.status, STATUS_SYSTEM);
--- a/node/operator/tests/service_command_test.cc
+++ b/node/operator/tests/service_command_test.cc
@@ -18,29 +18,30 @@
       "{\"name\":\"h1\",\"address\":\"127.0.0.1:1\"},"
       "{\"name\":\"h2\",\"address\":\"127.0.0.1:2\"}]}";
 
-/* What the fake platform does with the next write. */
-enum class Fate
+/* What the fake platform does with a write. */
+enum class WriteFate
 {
   answered,
   lost_after_effect,
   lost_without_effect,
-  lost_then_effect_later, /* waits within the platform until let_go() */
+  lost_then_effect_later, /* queued in the platform; see queued_write */
   unreachable
 };
 
-/* A platform of one object.  Its answers wait until pump(). */
+/* A platform with one object.  Its answers are queued until pump(). */
 struct fake_platform
 {
   struct platform platform;
   uint64_t version = 5;
   std::string value = holds;
   bool exists = true;
-  int failing_reads = 0; /* the next so many */
+  int failing_reads = 0; /* the number of reads that will fail */
   int writes = 0;
-  std::deque<Fate> fates;
+  std::deque<WriteFate> write_fates;
   std::deque<std::function<void ()>> answers;
-  std::function<void ()> waiting_write;
-  std::function<void ()> before_write; /* another operator's chance */
+  std::function<void ()> queued_write;
+  std::function<void ()>
+      on_before_write; /* called before a write is applied */
 
   bool
   apply (uint64_t expected, const std::string &text)
@@ -59,7 +60,7 @@
     const struct platform_object object = { "holds", version, value.c_str () };
     struct platform_reply reply = {};
     reply.status = status;
-    reply.message = "told by the fake";
+    reply.message = "from the fake platform";
     reply.objects = &object;
     reply.count = with_object && exists ? 1 : 0;
     done (owner, &reply);
@@ -96,28 +97,28 @@
 {
   fake_platform *fake = fake_of (platform);
   const std::string text = value;
-  Fate fate = Fate::answered;
-  if (!fake->fates.empty ())
+  WriteFate fate = WriteFate::answered;
+  if (!fake->write_fates.empty ())
     {
-      fate = fake->fates.front ();
-      fake->fates.pop_front ();
+      fate = fake->write_fates.front ();
+      fake->write_fates.pop_front ();
     }
   fake->writes++;
   fake->answers.push_back ([=] {
-    if (fake->before_write)
-      fake->before_write ();
-    fake->before_write = nullptr;
-    if (fate == Fate::lost_then_effect_later)
-      fake->waiting_write = [=] { fake->apply (expected, text); };
+    if (fake->on_before_write)
+      fake->on_before_write ();
+    fake->on_before_write = nullptr;
+    if (fate == WriteFate::lost_then_effect_later)
+      fake->queued_write = [=] { fake->apply (expected, text); };
     const bool effective
-        = (fate == Fate::answered || fate == Fate::lost_after_effect)
+        = (fate == WriteFate::answered || fate == WriteFate::lost_after_effect)
           && fake->apply (expected, text);
-    if (fate == Fate::answered)
+    if (fate == WriteFate::answered)
       fake->answer (done, owner, effective ? STATUS_OK : STATUS_REFUSED, true);
     else
       fake->answer (done, owner,
-                    fate == Fate::unreachable ? STATUS_UNREACHABLE
-                                              : STATUS_LOST_ANSWER,
+                    fate == WriteFate::unreachable ? STATUS_UNREACHABLE
+                                                   : STATUS_LOST_ANSWER,
                     false);
   });
 }
@@ -131,9 +132,9 @@
 const struct platform_ops fake_ops
     = { fake_get, nullptr, fake_put, nullptr, fake_cancel, nullptr };
 
-struct outcome
+struct command_result
 {
-  int ends = 0;
+  int calls = 0;
   enum status status = STATUS_SYSTEM;
   std::string message;
   std::string changed;
@@ -142,10 +143,10 @@
 };
 
 void
-on_end (void *owner, const struct operator_result *result)
+on_done (void *owner, const struct operator_result *result)
 {
-  auto *end = static_cast<outcome *> (owner);
-  end->ends++;
+  auto *end = static_cast<command_result *> (owner);
+  end->calls++;
   end->status = result->status;
   end->message = result->message != nullptr ? result->message : "";
   end->changed = result->changed != nullptr ? result->changed : "";
@@ -158,7 +159,7 @@
 protected:
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
   fake_platform fake;
-  outcome end;
+  command_result result;
 
   void
   SetUp () override
@@ -187,10 +188,10 @@
     options.platform = &fake.platform;
     options.back_off_ms = 1;
     options.limit_ms = limit_ms;
-    return service_command_start (&options, &command, on_end, &end);
+    return service_command_start (&options, &command, on_done, &result);
   }
 
-  /* Let the platform give the next answer that is due. */
+  /* Deliver the next answer of the platform. */
   void
   step ()
   {
@@ -202,15 +203,15 @@
   void
   pump ()
   {
-    EXPECT_EQ (end.ends, 0) << "not from within the start";
-    while (end.ends == 0)
+    EXPECT_EQ (result.calls, 0) << "called from within the start";
+    while (result.calls == 0)
       {
         if (fake.answers.empty ())
           ev_run (loop, EVRUN_ONCE);
         while (!fake.answers.empty ())
           step ();
       }
-    EXPECT_EQ (end.ends, 1);
+    EXPECT_EQ (result.calls, 1);
   }
 
   /* How the fake's service differs from HOLDS. */
@@ -229,7 +230,7 @@
   }
 
   void
-  other_operator_sets_floor_9 ()
+  set_floor_9_as_other_operator ()
   {
     std::string text = fake.value;
     text.replace (text.find ("\"floor_capacity\":"), 18,
@@ -238,7 +239,7 @@
   }
 };
 
-TEST_F (ServiceCommand, EachVerbChangesItsOwn)
+TEST_F (ServiceCommand, AppliesEachVerb)
 {
   const struct
   {
@@ -254,148 +255,150 @@
   };
   for (const auto &verb : verbs)
     {
-      end = outcome ();
+      result = command_result ();
       const uint64_t before = fake.version;
       start (verb.verb, verb.target);
       pump ();
-      EXPECT_EQ (end.status, STATUS_OK) << end.message;
-      EXPECT_EQ (end.acted_on, before);
-      EXPECT_EQ (end.version, before + 1);
+      EXPECT_EQ (result.status, STATUS_OK) << result.message;
+      EXPECT_EQ (result.acted_on, before);
+      EXPECT_EQ (result.version, before + 1);
       EXPECT_EQ (difference (), verb.difference);
     }
 }
 
-TEST_F (ServiceCommand, WhatIsSoAlreadyIsNotWritten)
+TEST_F (ServiceCommand, NoChangeIsNotWritten)
 {
   start (OPERATOR_UNDRAIN, "h1");
   pump ();
-  EXPECT_EQ (end.status, STATUS_OK);
-  EXPECT_EQ (end.version, 5u);
+  EXPECT_EQ (result.status, STATUS_OK);
+  EXPECT_EQ (result.version, 5u);
   EXPECT_EQ (fake.writes, 0);
 }
 
-TEST_F (ServiceCommand, BadCommandsChangeNothing)
+TEST_F (ServiceCommand, InvalidCommandsChangeNothing)
 {
   start (OPERATOR_DRAIN, "h3");
   pump ();
-  EXPECT_EQ (end.status, STATUS_NOT_FOUND);
-  EXPECT_NE (end.message.find ("no target h3"), std::string::npos);
-  end = outcome ();
+  EXPECT_EQ (result.status, STATUS_NOT_FOUND);
+  EXPECT_NE (result.message.find ("no target h3"), std::string::npos);
+  result = command_result ();
   start (OPERATOR_EJECT, "h1");
   pump ();
-  EXPECT_EQ (end.status, STATUS_INVALID);
-  end = outcome ();
+  EXPECT_EQ (result.status, STATUS_INVALID);
+  result = command_result ();
   fake.exists = false;
   start (OPERATOR_DRAIN, "h1");
   pump ();
-  EXPECT_EQ (end.status, STATUS_NOT_FOUND);
+  EXPECT_EQ (result.status, STATUS_NOT_FOUND);
   EXPECT_EQ (fake.writes, 0);
 }
 
-TEST_F (ServiceCommand, AnOldVersionIsRefusedWithHowItStands)
+TEST_F (ServiceCommand, OutdatedVersionIsRefusedWithCurrentState)
 {
   start (OPERATOR_DRAIN, "h1", 4);
   pump ();
-  EXPECT_EQ (end.status, STATUS_REFUSED);
-  EXPECT_EQ (end.version, 5u);
-  EXPECT_EQ (end.changed, "version 5: floor_capacity 4; ejection automatic; "
-                          "target h1 active");
+  EXPECT_EQ (result.status, STATUS_REFUSED);
+  EXPECT_EQ (result.version, 5u);
+  EXPECT_EQ (result.changed,
+             "version 5: floor_capacity 4; ejection automatic; "
+             "target h1 active");
   EXPECT_EQ (fake.writes, 0);
 }
 
-/* Two operators command at the same moment.  Both read version 5; the other's
-   write comes first.  Ours must not undo it, and its operator must be told
-   what happened. */
-TEST_F (ServiceCommand, TheSecondOfTwoIsRefusedWithWhatChanged)
+/* Two operators send commands at the same time.  Both read version 5, and the
+   other one's write takes effect first.  The second write must not undo it,
+   and its operator must be told what changed. */
+TEST_F (ServiceCommand, ConflictIsRefusedWithWhatChanged)
 {
-  fake.before_write = [this] { other_operator_sets_floor_9 (); };
+  fake.on_before_write = [this] { set_floor_9_as_other_operator (); };
   start (OPERATOR_DRAIN, "h1");
   pump ();
-  EXPECT_EQ (end.status, STATUS_REFUSED);
-  EXPECT_EQ (end.changed, "floor_capacity 4 to 9");
-  EXPECT_EQ (end.version, 6u);
+  EXPECT_EQ (result.status, STATUS_REFUSED);
+  EXPECT_EQ (result.changed, "floor_capacity 4 to 9");
+  EXPECT_EQ (result.version, 6u);
   EXPECT_EQ (difference (), "floor_capacity 4 to 9");
 }
 
-TEST_F (ServiceCommand, AnOutageIsRefusedWithTheReason)
+TEST_F (ServiceCommand, OutageIsReportedWithReason)
 {
   fake.failing_reads = 1;
   start (OPERATOR_DRAIN, "h1");
   pump ();
-  EXPECT_EQ (end.status, STATUS_UNREACHABLE);
-  EXPECT_NE (end.message.find ("nothing was changed"), std::string::npos);
-  end = outcome ();
-  fake.fates = { Fate::unreachable };
+  EXPECT_EQ (result.status, STATUS_UNREACHABLE);
+  EXPECT_NE (result.message.find ("nothing was changed"), std::string::npos);
+  result = command_result ();
+  fake.write_fates = { WriteFate::unreachable };
   start (OPERATOR_DRAIN, "h1");
   pump ();
-  EXPECT_EQ (end.status, STATUS_UNREACHABLE);
+  EXPECT_EQ (result.status, STATUS_UNREACHABLE);
   EXPECT_EQ (difference (), "");
 }
 
-/* The write took effect, its answer was lost, and the platform can't be read
-   for a while.  The command must end as accepted, written once. */
-TEST_F (ServiceCommand, ALostAnswerIsReadBack)
+/* The write takes effect, its answer is lost, and the platform can't be read
+   for some time.  The command must end as accepted, written once. */
+TEST_F (ServiceCommand, LostAnswerIsReadBack)
 {
-  fake.fates = { Fate::lost_after_effect };
+  fake.write_fates = { WriteFate::lost_after_effect };
   start (OPERATOR_DRAIN, "h1");
   step ();
   fake.failing_reads = 3;
   pump ();
-  EXPECT_EQ (end.status, STATUS_OK) << end.message;
-  EXPECT_EQ (end.version, 6u);
+  EXPECT_EQ (result.status, STATUS_OK) << result.message;
+  EXPECT_EQ (result.version, 6u);
   EXPECT_EQ (fake.writes, 1);
 }
 
-TEST_F (ServiceCommand, AWriteLostOnItsWayIsWrittenAgain)
+TEST_F (ServiceCommand, LostWriteIsRepeated)
 {
-  fake.fates = { Fate::lost_without_effect };
+  fake.write_fates = { WriteFate::lost_without_effect };
   start (OPERATOR_DRAIN, "h1");
   pump ();
-  EXPECT_EQ (end.status, STATUS_OK) << end.message;
+  EXPECT_EQ (result.status, STATUS_OK) << result.message;
   EXPECT_EQ (difference (), "target h1: state active to drained");
 }
 
-/* A slow platform holds the write back.  The read finds the old version, so
-   the command looks undone; then the write takes effect after all.  Were the
-   operator told "not done" on that read, it would be in force regardless. */
-TEST_F (ServiceCommand, AWriteHeldBackByThePlatformIsAccepted)
+/* A slow platform delays the write.  The read-back finds the old version
+   although the write takes effect later.  If the read decided, the operator
+   would be told "not done" of a change that comes into force. */
+TEST_F (ServiceCommand, DelayedWriteIsAccepted)
 {
-  fake.fates = { Fate::lost_then_effect_later };
+  fake.write_fates = { WriteFate::lost_then_effect_later };
   start (OPERATOR_DRAIN, "h1");
   step ();
   step ();
-  fake.before_write = [this] { fake.waiting_write (); };
+  fake.on_before_write = [this] { fake.queued_write (); };
   pump ();
-  EXPECT_EQ (end.status, STATUS_OK) << end.message;
-  EXPECT_EQ (end.version, 6u);
+  EXPECT_EQ (result.status, STATUS_OK) << result.message;
+  EXPECT_EQ (result.version, 6u);
   EXPECT_EQ (fake.version, 6u) << "took effect once";
 }
 
-/* The answer is lost and another operator writes before the read back.  The
-   service no longer carries our id whether ours took effect or not. */
-TEST_F (ServiceCommand, AnOverwrittenLostAnswerIsUnknown)
+/* The answer is lost and another operator writes before the read-back.  The
+   service no longer carries the write's id, whether or not the write took
+   effect. */
+TEST_F (ServiceCommand, OverwrittenAfterLostAnswerIsUnknown)
 {
-  fake.fates = { Fate::lost_after_effect };
+  fake.write_fates = { WriteFate::lost_after_effect };
   start (OPERATOR_DRAIN, "h1");
   step ();
   step ();
   fake.version++;
   fake.value = holds;
   pump ();
-  EXPECT_EQ (end.status, STATUS_LOST_ANSWER);
-  EXPECT_EQ (end.version, 7u);
+  EXPECT_EQ (result.status, STATUS_LOST_ANSWER);
+  EXPECT_EQ (result.version, 7u);
   EXPECT_EQ (fake.writes, 1);
 }
 
-TEST_F (ServiceCommand, ALostAnswerThatStaysLostIsUnknown)
+TEST_F (ServiceCommand, UnresolvedLostAnswerIsUnknown)
 {
-  fake.fates = { Fate::lost_after_effect };
+  fake.write_fates = { WriteFate::lost_after_effect };
   start (OPERATOR_DRAIN, "h1", OPERATOR_ANY_VERSION, 10);
   step ();
   fake.failing_reads = 1000000;
   pump ();
-  EXPECT_EQ (end.status, STATUS_LOST_ANSWER);
-  EXPECT_NE (end.message.find ("may be in force"), std::string::npos);
+  EXPECT_EQ (result.status, STATUS_LOST_ANSWER);
+  EXPECT_NE (result.message.find ("may be in force"), std::string::npos);
 }
 
 TEST_F (ServiceCommand, CancelDoesNotCallBack)
@@ -403,7 +406,7 @@
   struct service_command *sc = start (OPERATOR_DRAIN, "h1");
   service_command_cancel (sc);
   EXPECT_TRUE (fake.answers.empty ());
-  EXPECT_EQ (end.ends, 0);
+  EXPECT_EQ (result.calls, 0);
 }
 
 } // namespace
