--- a/ctl/addresses.c
+++ b/ctl/addresses.c
@@ -13,8 +13,8 @@
   HTTP_OK = 200,
 };
 
-/** The caller address of the host that answers, in new memory; NULL when its
- * table of hosts doesn't say. */
+/** The caller address of the host that responded, in new memory; NULL if its
+ * table of hosts has none. */
 static char *
 find_caller_address (struct json_object *reply)
 {
@@ -33,8 +33,8 @@
 }
 
 static enum status
-ask (const struct commands *commands, const char *address, const char *service,
-     struct client_reply *reply)
+request_addresses (const struct commands *commands, const char *address,
+                   const char *service, struct client_reply *reply)
 {
   char *escaped = client_escape (commands->client, service);
   char *path
@@ -47,13 +47,13 @@
     return status;
   json_object_put (reply->body);
   return status_set (STATUS_NOT_FOUND,
-                     "the host at %s hands out no addresses for \"%s\": list "
+                     "the host at %s returns no addresses for \"%s\": list "
                      "the services with \"show services\"",
                      address, service);
 }
 
 static void
-print (const struct commands *commands, struct json_object *answer)
+print_addresses (const struct commands *commands, struct json_object *answer)
 {
   if (commands->json)
     {
@@ -79,16 +79,15 @@
   json_object_put (reply.body);
   if (address == NULL)
     return commands_fail (
-        commands,
-        status_set (STATUS_NOT_FOUND,
-                    "the host doesn't say where its callers connect: "
-                    "ask another with --host"));
+        commands, status_set (STATUS_NOT_FOUND,
+                              "the host doesn't report its caller address: "
+                              "ask another with --host"));
   const enum status status
-      = ask (commands, address, statement->service, &reply);
+      = request_addresses (commands, address, statement->service, &reply);
   free (address);
   if (status != STATUS_OK)
     return commands_fail (commands, status);
-  print (commands, reply.body);
+  print_addresses (commands, reply.body);
   json_object_put (reply.body);
   return EXIT_CODE_DONE;
 }
--- a/ctl/addresses.h
+++ b/ctl/addresses.h
@@ -1,5 +1,5 @@
 /** @file
- * `addresses`: what a host answers its callers who ask which addresses to use.
+ * `addresses`: the addresses that a host returns to its callers.
  */
 #ifndef CTL_ADDRESSES_H
 #define CTL_ADDRESSES_H
--- a/ctl/client.c
+++ b/ctl/client.c
@@ -12,8 +12,8 @@
 {
   CONNECT_TIMEOUT_MS = 3000,
   READ_TIMEOUT_MS = 10000,
-  COMMAND_TIMEOUT_MS = 30000, /* over the 22 s a host takes at most */
-  ANSWER_MAX_BYTES = 64 * 1024 * 1024,
+  COMMAND_TIMEOUT_MS = 30000, /* more than the 22 s a host may need */
+  RESPONSE_MAX_BYTES = 64 * 1024 * 1024,
   SECRET_SIZE = 256,
 };
 
@@ -24,7 +24,7 @@
   char *authorization; /**< header line; NULL: none */
 };
 
-/** An answer's body as it comes in. */
+/** The body of a response as it is received. */
 struct body
 {
   char *text;
@@ -61,7 +61,8 @@
 }
 
 enum status
-client_create (const struct client_options *options, struct client **created)
+client_create (const struct client_options *options,
+               struct client **new_client)
 {
   char *authorization = NULL;
   if (options->secret_file != NULL)
@@ -76,7 +77,7 @@
   client->host = xstrdup (options->host);
   curl_global_init (CURL_GLOBAL_DEFAULT);
   client->curl = curl_easy_init ();
-  *created = client;
+  *new_client = client;
   return STATUS_OK;
 }
 
@@ -102,11 +103,11 @@
 }
 
 static size_t
-collect (char *data, size_t size, size_t count, void *owner)
+append_to_body (char *data, size_t size, size_t count, void *owner)
 {
   struct body *body = owner;
   const size_t bytes = size * count;
-  if (bytes > ANSWER_MAX_BYTES - body->size)
+  if (bytes > RESPONSE_MAX_BYTES - body->size)
     return 0;
   body->text = xreallocarray (body->text, body->size + bytes + 1, 1);
   memcpy (body->text + body->size, data, bytes);
@@ -115,10 +116,10 @@
   return bytes;
 }
 
-/* Guards against a command that runs twice or goes astray: libcurl sends a
-   request again by itself when a connection it reuses closes early, so each
-   one gets a fresh connection; a proxy from the environment would see the
-   secret. */
+/* libcurl repeats a request by itself if a connection that it reuses closes
+   early, which would run a command twice, so each request gets a new
+   connection.  A proxy from the environment would see the secret, so none is
+   used. */
 static void
 set_options (CURL *curl, const struct call *call, const char *url,
              struct curl_slist *headers, struct body *body)
@@ -135,7 +136,7 @@
   curl_easy_setopt (
       curl, CURLOPT_TIMEOUT_MS,
       (long)(call->command == NULL ? READ_TIMEOUT_MS : COMMAND_TIMEOUT_MS));
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, collect);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, append_to_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, body);
   if (call->command != NULL)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, call->command);
@@ -156,16 +157,17 @@
 }
 
 static enum status
-explain_failure (CURL *curl, const struct call *call, CURLcode code)
+transfer_failure (CURL *curl, const struct call *call, CURLcode code)
 {
   long sent_bytes = 0;
   curl_easy_getinfo (curl, CURLINFO_REQUEST_SIZE, &sent_bytes);
   if (call->command != NULL && sent_bytes > 0)
-    return status_set (STATUS_LOST_ANSWER,
-                       "%s took the command and no answer came (%s): it may "
-                       "have taken effect; look with \"show\" before sending "
-                       "it again",
-                       call->address, curl_easy_strerror (code));
+    return status_set (
+        STATUS_LOST_ANSWER,
+        "%s received the command and sent no response (%s): it may "
+        "have taken effect; look with \"show\" before sending "
+        "it again",
+        call->address, curl_easy_strerror (code));
   return status_set (STATUS_UNREACHABLE,
                      "%s can't be reached (%s): give a host's operator "
                      "address with --host IP:PORT",
@@ -183,7 +185,7 @@
   reply->body = NULL;
   return status_set (call->command == NULL ? STATUS_UNREACHABLE
                                            : STATUS_LOST_ANSWER,
-                     "%s doesn't answer as a host of jaystair does (HTTP "
+                     "%s doesn't respond as a host of jaystair does (HTTP "
                      "%ld): --host takes the operator address",
                      call->address, reply->http_code);
 }
@@ -201,7 +203,7 @@
   curl_easy_getinfo (client->curl, CURLINFO_RESPONSE_CODE, &reply->http_code);
   const enum status status = code == CURLE_OK
                                  ? parse_body (call, &body, reply)
-                                 : explain_failure (client->curl, call, code);
+                                 : transfer_failure (client->curl, call, code);
   curl_slist_free_all (headers);
   free (url);
   free (body.text);
--- a/ctl/commands.c
+++ b/ctl/commands.c
@@ -50,7 +50,7 @@
   return EXIT_CODE_USAGE;
 }
 
-/* A code that isn't known says nothing of whether the command was done. */
+/* An unknown code doesn't tell whether the command was done. */
 static enum exit_code
 exit_code_of_http (long http_code)
 {
@@ -118,7 +118,7 @@
     print_failure (commands, reply->body);
   else
     status = status_set (STATUS_UNREACHABLE,
-                         "the answer holds no rows: --host takes a host's "
+                         "the response has no rows: --host takes a host's "
                          "operator address");
   json_object_put (reply->body);
   reply->body = NULL;
@@ -129,16 +129,17 @@
 commands_print_source (const struct commands *commands,
                        struct json_object *reply)
 {
-  struct json_object *silent = NULL;
-  json_object_object_get_ex (reply, "not_heard_from", &silent);
-  char *names = table_printer_cell (silent);
-  const bool all_heard = silent == NULL
-                         || !json_object_is_type (silent, json_type_array)
-                         || json_object_array_length (silent) == 0;
+  struct json_object *unresponsive = NULL;
+  json_object_object_get_ex (reply, "not_heard_from", &unresponsive);
+  char *names = table_printer_cell (unresponsive);
+  const bool all_responded
+      = unresponsive == NULL
+        || !json_object_is_type (unresponsive, json_type_array)
+        || json_object_array_length (unresponsive) == 0;
   fprintf (commands->out, "-- host %s, news %.1f s old, not heard from: %s\n",
            json_member_text (reply, "host"),
            (double)json_member_int (reply, "age_ms") / MS_PER_SECOND,
-           all_heard ? "none" : names);
+           all_responded ? "none" : names);
   free (names);
 }
 
@@ -190,10 +191,11 @@
     fprintf (commands->out, "; in force on %" PRId64 " of %" PRId64 " hosts",
              json_member_int (in_force, "in_force"),
              json_member_int (in_force, "hosts"));
-  struct json_object *silent = json_member_array (in_force, "not_heard_from");
-  if (silent != NULL && json_object_array_length (silent) > 0)
+  struct json_object *unresponsive
+      = json_member_array (in_force, "not_heard_from");
+  if (unresponsive != NULL && json_object_array_length (unresponsive) > 0)
     {
-      char *names = table_printer_cell (silent);
+      char *names = table_printer_cell (unresponsive);
       fprintf (commands->out, ", not heard from: %s", names);
       free (names);
     }
--- a/ctl/commands.h
+++ b/ctl/commands.h
@@ -1,5 +1,5 @@
 /** @file
- * Carries out a parsed statement and reports how it ended.
+ * Executes a parsed statement and reports its result.
  */
 #ifndef CTL_COMMANDS_H
 #define CTL_COMMANDS_H
@@ -11,7 +11,7 @@
 #include "ctl/exit_code.h"
 #include "ctl/statement.h"
 
-/** Where and how results are shown. */
+/** Where and how results are printed. */
 struct commands
 {
   struct client *client;
@@ -23,21 +23,22 @@
 enum exit_code commands_run (const struct commands *commands,
                              const struct statement *statement);
 
-/** Say on one line what went wrong, with the last status message.
- * @return the exit code that goes with STATUS. */
+/** Print the last status message as an error on one line.
+ * @return the exit code for STATUS. */
 enum exit_code commands_fail (const struct commands *commands,
                               enum status status);
 
-/** Read TABLE of the host; other than EXIT_CODE_DONE is said already. */
+/** Read TABLE of the host.  If the result isn't EXIT_CODE_DONE, the error is
+ * printed already. */
 enum exit_code commands_read_table (const struct commands *commands,
                                     const char *table,
                                     struct client_reply *reply);
 
-/** Write the line on whose belief REPLY is, and how old. */
+/** Print the line that names the host whose view REPLY is, and its age. */
 void commands_print_source (const struct commands *commands,
                             struct json_object *reply);
 
-/** Write OBJECT as JSON. */
+/** Print OBJECT as JSON. */
 void commands_print_json (const struct commands *commands,
                           struct json_object *object);
 
--- a/ctl/explain_request.c
+++ b/ctl/explain_request.c
@@ -6,28 +6,28 @@
 #include "ctl/log_line.h"
 #include "ctl/request_timeline.h"
 
-/* The host that a log is of, where its lines don't say: the file's name. */
+/* Lines that don't name their host get the name of the log file. */
 static void
-read_as_host (struct request_timeline *story, const char *path, FILE *file)
+read_as_host (struct request_timeline *timeline, const char *path, FILE *file)
 {
-  static const char ending[] = ".log";
+  static const char suffix[] = ".log";
   const char *slash = strrchr (path, '/');
   const char *name = slash == NULL ? path : slash + 1;
   size_t length = strlen (name);
-  if (length >= sizeof ending
-      && strcmp (name + length - (sizeof ending - 1), ending) == 0)
-    length -= sizeof ending - 1;
+  if (length >= sizeof suffix
+      && strcmp (name + length - (sizeof suffix - 1), suffix) == 0)
+    length -= sizeof suffix - 1;
   char host[LOG_LINE_WORD_SIZE];
   snprintf (host, sizeof host, "%.*s", (int)length, name);
-  request_timeline_read (story, host, file);
+  request_timeline_read (timeline, host, file);
 }
 
 static enum status
-read_file (struct request_timeline *story, const char *path)
+read_file (struct request_timeline *timeline, const char *path)
 {
   if (strcmp (path, "-") == 0)
     {
-      request_timeline_read (story, "input", stdin);
+      request_timeline_read (timeline, "input", stdin);
       return STATUS_OK;
     }
   FILE *file = fopen (path, "re");
@@ -36,19 +36,19 @@
                        "%s: %s; name the files that hold the hosts' logs, or "
                        "none to read them from the input",
                        path, strerror (errno));
-  read_as_host (story, path, file);
+  read_as_host (timeline, path, file);
   fclose (file);
   return STATUS_OK;
 }
 
 static enum status
-read_all (struct request_timeline *story, const struct statement *statement)
+read_all (struct request_timeline *timeline, const struct statement *statement)
 {
   if (statement->file_count == 0)
-    return read_file (story, "-");
+    return read_file (timeline, "-");
   for (size_t i = 0; i < statement->file_count; i++)
     {
-      const enum status status = read_file (story, statement->files[i]);
+      const enum status status = read_file (timeline, statement->files[i]);
       if (status != STATUS_OK)
         return status;
     }
@@ -56,16 +56,17 @@
 }
 
 static enum exit_code
-tell (const struct commands *commands, const struct statement *statement,
-      const struct request_timeline *story)
+print_result (const struct commands *commands,
+              const struct statement *statement,
+              const struct request_timeline *timeline)
 {
   if (commands->json)
     {
-      struct json_object *tree = request_timeline_json (story);
-      commands_print_json (commands, tree);
-      json_object_put (tree);
+      struct json_object *json = request_timeline_json (timeline);
+      commands_print_json (commands, json);
+      json_object_put (json);
     }
-  if (!request_timeline_is_found (story))
+  if (!request_timeline_is_found (timeline))
     return commands_fail (
         commands,
         status_set (STATUS_NOT_FOUND,
@@ -73,7 +74,7 @@
                     "logs of all hosts, for the time of the request",
                     statement->request));
   if (!commands->json)
-    request_timeline_print (story, commands->out);
+    request_timeline_print (timeline, commands->out);
   return EXIT_CODE_DONE;
 }
 
@@ -81,13 +82,13 @@
 explain_request_run (const struct commands *commands,
                      const struct statement *statement)
 {
-  struct request_timeline *story
+  struct request_timeline *timeline
       = request_timeline_create (statement->request);
-  const enum status status = read_all (story, statement);
-  request_timeline_finish (story);
-  const enum exit_code code = status == STATUS_OK
-                                  ? tell (commands, statement, story)
-                                  : commands_fail (commands, status);
-  request_timeline_destroy (story);
+  const enum status status = read_all (timeline, statement);
+  request_timeline_finish (timeline);
+  const enum exit_code code
+      = status == STATUS_OK ? print_result (commands, statement, timeline)
+                            : commands_fail (commands, status);
+  request_timeline_destroy (timeline);
   return code;
 }
--- a/ctl/explain_request.h
+++ b/ctl/explain_request.h
@@ -1,5 +1,5 @@
 /** @file
- * `explain request`: one request's story from the logs of hosts.
+ * `explain request`: the timeline of one request, from the logs of hosts.
  */
 #ifndef CTL_EXPLAIN_REQUEST_H
 #define CTL_EXPLAIN_REQUEST_H
--- a/ctl/explain_target.c
+++ b/ctl/explain_target.c
@@ -13,7 +13,7 @@
   DECISIONS_SHOWN = 5,
 };
 
-/** What is known of one target. */
+/** What the host reports on one target. */
 struct findings
 {
   struct json_object *reply; /**< of "targets" */
@@ -23,7 +23,7 @@
 };
 
 static struct filter
-equals (const char *field, const char *value)
+equality_filter (const char *field, const char *value)
 {
   struct filter filter = { .comparison = FILTER_EQUAL };
   snprintf (filter.field, sizeof filter.field, "%s", field);
@@ -31,17 +31,19 @@
   return filter;
 }
 
-/** The rows of REPLY that are on the statement's target. */
+/** The rows of REPLY for the statement's target. */
 static struct json_object *
 rows_on_target (struct json_object *reply, const struct statement *statement)
 {
-  const struct filter filters[] = { equals ("target", statement->target),
-                                    equals ("service", statement->service) };
+  const struct filter filters[]
+      = { equality_filter ("target", statement->target),
+          equality_filter ("service", statement->service) };
   return show_filter_rows (json_member_array (reply, "rows"), filters,
                            statement->service[0] == '\0' ? 1 : 2);
 }
 
-/** Rows on the target in a table that a host may lack. */
+/** The rows for the target in a table that a host may lack; NULL if it
+ * does. */
 static struct json_object *
 read_optional (const struct commands *commands, const char *path,
                const struct statement *statement)
@@ -56,20 +58,21 @@
   return rows;
 }
 
-/** The first MOST of ROWS: decisions come newest first. */
+/** The first MOST of ROWS, the latest ones: decisions are ordered newest
+ * first. */
 static struct json_object *
-first_rows (struct json_object *rows, size_t most)
+first_rows (struct json_object *rows, size_t max)
 {
   struct json_object *first = json_object_new_array ();
   const size_t count = rows == NULL ? 0 : json_object_array_length (rows);
-  for (size_t i = 0; i < count && i < most; i++)
+  for (size_t i = 0; i < count && i < max; i++)
     json_object_array_add (
         first, json_object_get (json_object_array_get_idx (rows, i)));
   return first;
 }
 
 static enum status
-pick_target (struct findings *findings, const struct statement *statement)
+find_target (struct findings *findings, const struct statement *statement)
 {
   struct json_object *rows = rows_on_target (findings->reply, statement);
   const size_t count = json_object_array_length (rows);
@@ -93,7 +96,7 @@
   return status;
 }
 
-/** What an operator, or the fleet alone, would bring the target back by. */
+/** What brings the target back into use, in new memory. */
 static char *
 describe_return (const struct findings *findings)
 {
@@ -105,14 +108,17 @@
   if (strcmp (state, "ejected") == 0
       || (findings->ejections != NULL
           && json_object_array_length (findings->ejections) > 0))
-    return xasprintf ("good answers to its trial requests, or \"jaystair "
-                      "reinstate %s/%s\"",
-                      service, target);
+    return xasprintf (
+        "successful responses to its trial requests, or \"jaystair "
+        "reinstate %s/%s\"",
+        service, target);
   if (strcmp (state, "leaving") == 0)
-    return xstrdup ("the target itself, when it no longer says it is leaving");
+    return xstrdup (
+        "the target itself, when it no longer reports that it is leaving");
   if (json_member_int (findings->target, "suspect") != 0)
-    return xstrdup ("good answers: it still gets a trickle of requests");
-  return xstrdup ("nothing to do: it gets work");
+    return xstrdup (
+        "successful responses to the few requests that it still gets");
+  return xstrdup ("nothing to do: it gets requests");
 }
 
 static void
@@ -166,8 +172,9 @@
 }
 
 static void
-read_rest (const struct commands *commands, const struct statement *statement,
-           struct findings *findings)
+read_related_tables (const struct commands *commands,
+                     const struct statement *statement,
+                     struct findings *findings)
 {
   struct json_object *decisions
       = read_optional (commands, "/v1/decisions", statement);
@@ -185,13 +192,13 @@
   if (code != EXIT_CODE_DONE)
     return code;
   struct findings findings = { .reply = reply.body };
-  const enum status status = pick_target (&findings, statement);
+  const enum status status = find_target (&findings, statement);
   if (status != STATUS_OK)
     {
       code = commands_fail (commands, status);
       goto out;
     }
-  read_rest (commands, statement, &findings);
+  read_related_tables (commands, statement, &findings);
   char *brought_back_by = describe_return (&findings);
   if (commands->json)
     print_findings_json (commands, &findings, brought_back_by);
--- a/ctl/explain_target.h
+++ b/ctl/explain_target.h
@@ -1,5 +1,5 @@
 /** @file
- * `explain target`: all that a host believes of one target.
+ * `explain target`: a host's complete view of one target.
  */
 #ifndef CTL_EXPLAIN_TARGET_H
 #define CTL_EXPLAIN_TARGET_H
--- a/ctl/filter.c
+++ b/ctl/filter.c
@@ -6,7 +6,7 @@
 #include <strings.h>
 
 static struct json_object *
-find (struct json_object *row, const char *field, bool *found)
+find_field (struct json_object *row, const char *field, bool *found)
 {
   json_object_object_foreach (row, key, value)
   {
@@ -42,7 +42,7 @@
 filter_has_field (const struct filter *filter, struct json_object *row)
 {
   bool found;
-  find (row, filter->field, &found);
+  find_field (row, filter->field, &found);
   return found;
 }
 
@@ -50,7 +50,7 @@
 filter_match (const struct filter *filter, struct json_object *row)
 {
   bool found;
-  struct json_object *value = find (row, filter->field, &found);
+  struct json_object *value = find_field (row, filter->field, &found);
   if (!found)
     return filter->comparison == FILTER_NOT_EQUAL;
   const char *text = value == NULL ? "" : json_object_get_string (value);
--- a/ctl/filter.h
+++ b/ctl/filter.h
@@ -1,5 +1,5 @@
 /** @file
- * One condition on the rows of a table: `FIELD OPERATOR VALUE`.
+ * A condition on the rows of a table: `FIELD OPERATOR VALUE`.
  */
 #ifndef CTL_FILTER_H
 #define CTL_FILTER_H
@@ -8,7 +8,7 @@
 
 #include <json-c/json.h>
 
-/** Longest field name or value, with its NUL. */
+/** Maximum size of a field name or value, with its NUL. */
 #define FILTER_TEXT_SIZE 128
 
 enum filter_operator
@@ -27,12 +27,12 @@
   char value[FILTER_TEXT_SIZE];
 };
 
-/** Does ROW meet FILTER?  Letters compare without regard to case; two
- * numbers compare by value, all else as text.  A row without the field meets
- * only FILTER_NOT_EQUAL. */
+/** Whether ROW meets FILTER.  Comparisons ignore case; two numbers compare by
+ * value, everything else as text.  A row without the field meets only
+ * FILTER_NOT_EQUAL. */
 bool filter_match (const struct filter *filter, struct json_object *row);
 
-/** Has ROW the field of FILTER, in whatever case? */
+/** Whether ROW has the field of FILTER, ignoring case. */
 bool filter_has_field (const struct filter *filter, struct json_object *row);
 
 #endif
--- a/ctl/jaystair.bash
+++ b/ctl/jaystair.bash
@@ -1,5 +1,5 @@
-# Completion of jaystair(1) for bash.  Names of targets and services are asked
-# of the host that JAYSTAIR_HOST names, and left out when it doesn't answer.
+# Completion of jaystair(1) for bash.  Names of targets and services are read
+# from the host that JAYSTAIR_HOST names, and omitted if it doesn't respond.
 
 _jaystair_names ()
 {
--- a/ctl/log_line.c
+++ b/ctl/log_line.c
@@ -4,24 +4,25 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The members that every line has; the others are fields. */
-static const char *const head_keys[] = { "time", "level", "module", "event" };
+/* Members that every line has; all others are fields. */
+static const char *const header_keys[]
+    = { "time", "level", "module", "event" };
 
 enum
 {
-  HEAD_KEYS = sizeof head_keys / sizeof head_keys[0],
+  HEADER_KEY_COUNT = sizeof header_keys / sizeof header_keys[0],
 };
 
 /* `2026-12-02T21:41:00.123Z` */
 static bool
 is_time (const char *word, size_t length)
 {
-  static const char shape[] = "dddd-dd-ddTdd:dd:dd";
-  if (length < sizeof shape - 1 || word[length - 1] != 'Z')
+  static const char pattern[] = "dddd-dd-ddTdd:dd:dd";
+  if (length < sizeof pattern - 1 || word[length - 1] != 'Z')
     return false;
-  for (size_t i = 0; shape[i] != '\0'; i++)
-    if (shape[i] == 'd' ? !isdigit ((unsigned char)word[i])
-                        : word[i] != shape[i])
+  for (size_t i = 0; pattern[i] != '\0'; i++)
+    if (pattern[i] == 'd' ? !isdigit ((unsigned char)word[i])
+                          : word[i] != pattern[i])
       return false;
   return true;
 }
@@ -32,7 +33,8 @@
   snprintf (to, size, "%.*s", (int)length, word);
 }
 
-/* Take the next word at *AT; its length, 0 at the end. */
+/* Find the next word from *AT on and advance *AT past it.
+   @return its length, 0 at the end of the line. */
 static size_t
 next_word (const char **at, const char **word)
 {
@@ -113,30 +115,31 @@
 static bool
 read_json (const char *text, const char *brace, struct log_line *line)
 {
-  struct json_object *tree = json_tokener_parse (brace);
-  char *const places[HEAD_KEYS]
+  struct json_object *root = json_tokener_parse (brace);
+  char *const buffers[HEADER_KEY_COUNT]
       = { line->time, line->level, line->module, line->event };
-  const size_t sizes[HEAD_KEYS] = { sizeof line->time, sizeof line->level,
-                                    sizeof line->module, sizeof line->event };
-  for (size_t i = 0; i < HEAD_KEYS; i++)
+  const size_t sizes[HEADER_KEY_COUNT]
+      = { sizeof line->time, sizeof line->level, sizeof line->module,
+          sizeof line->event };
+  for (size_t i = 0; i < HEADER_KEY_COUNT; i++)
     {
       struct json_object *member;
-      if (!json_object_is_type (tree, json_type_object)
-          || !json_object_object_get_ex (tree, head_keys[i], &member))
+      if (!json_object_is_type (root, json_type_object)
+          || !json_object_object_get_ex (root, header_keys[i], &member))
         {
-          json_object_put (tree);
+          json_object_put (root);
           return false;
         }
-      snprintf (places[i], sizes[i], "%s", json_object_get_string (member));
+      snprintf (buffers[i], sizes[i], "%s", json_object_get_string (member));
     }
-  for (size_t i = 0; i < HEAD_KEYS; i++)
-    json_object_object_del (tree, head_keys[i]);
+  for (size_t i = 0; i < HEADER_KEY_COUNT; i++)
+    json_object_object_del (root, header_keys[i]);
   const char *at = text;
   const char *word;
   size_t length;
   while ((length = next_word (&at, &word)) > 0 && word < brace)
     copy_word (line->source, sizeof line->source, word, length);
-  line->fields = tree;
+  line->fields = root;
   return true;
 }
 
--- a/ctl/log_line.h
+++ b/ctl/log_line.h
@@ -1,5 +1,5 @@
 /** @file
- * One line of a host's log, read back (base/log.h writes them).
+ * Parser of the lines of a host's log, which base/log.h writes.
  */
 #ifndef CTL_LOG_LINE_H
 #define CTL_LOG_LINE_H
@@ -22,17 +22,17 @@
   struct json_object *fields; /**< by key */
 };
 
-/** Read TEXT, in either format.  What collects logs may put words before the
- * time; the last of them is taken for the name of the host.
- * @return false, with nothing to release, if it is no line of a log. */
+/** Parse TEXT, in either format.  Log collectors may prepend words to the
+ * time; the last of them is taken as the name of the host.
+ * @return false, with nothing to release, if TEXT isn't a log line. */
 bool log_line_read (const char *text, struct log_line *line);
 
 void log_line_release (struct log_line *line);
 
-/** A field as text, "" if there is none; good until the release. */
+/** A field as text, "" if absent; valid until the line is released. */
 const char *log_line_text (const struct log_line *line, const char *key);
 
-/** A field as a number, 0 if there is none. */
+/** A field as a number, 0 if absent. */
 int64_t log_line_number (const struct log_line *line, const char *key);
 
 #endif
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -1,6 +1,6 @@
 /** @file
- * `jaystair`: asks a host what the fleet believes and tells the fleet what
- * should change.
+ * `jaystair`: queries a host's view of the fleet and sends commands to the
+ * fleet.
  */
 #include <stdbool.h>
 #include <stdio.h>
@@ -21,9 +21,9 @@
 };
 
 static const char default_host[] = "127.0.0.1:8082";
-static const char clear_screen[] = "\033[H\033[2J";
+static const char clear_screen_sequence[] = "\033[H\033[2J";
 
-/** The command line; all but `end` are also in the table, in this order. */
+/** The command line; also the argument table of argtable2, in this order. */
 struct arguments
 {
   struct arg_str *host;
@@ -66,7 +66,7 @@
 }
 
 static const char *
-or_environment (int count, const char *value, const char *variable)
+option_or_environment (int count, const char *value, const char *variable)
 {
   if (count > 0)
     return value;
@@ -74,7 +74,7 @@
   return text == NULL || text[0] == '\0' ? NULL : text;
 }
 
-/** Show again and again, until interrupted or something fails. */
+/** Run the statement repeatedly, until interrupted or an error occurs. */
 static enum exit_code
 watch (const struct commands *commands, const struct statement *statement)
 {
@@ -82,7 +82,7 @@
   for (;;)
     {
       if (isatty (STDOUT_FILENO))
-        fputs (clear_screen, commands->out);
+        fputs (clear_screen_sequence, commands->out);
       const enum exit_code code = commands_run (commands, statement);
       if (code != EXIT_CODE_DONE || fflush (commands->out) != 0)
         return code;
@@ -99,13 +99,13 @@
                                .errors = stderr };
   if (statement->kind == STATEMENT_EXPLAIN_REQUEST)
     return commands_run (&commands, statement);
-  const char *host = or_environment (
+  const char *host = option_or_environment (
       arguments->host->count, arguments->host->sval[0], "JAYSTAIR_HOST");
   const struct client_options options
       = { .host = host == NULL ? default_host : host,
-          .secret_file = or_environment (arguments->secret_file->count,
-                                         arguments->secret_file->filename[0],
-                                         "JAYSTAIR_SECRET_FILE") };
+          .secret_file = option_or_environment (
+              arguments->secret_file->count,
+              arguments->secret_file->filename[0], "JAYSTAIR_SECRET_FILE") };
   const enum status status = client_create (&options, &commands.client);
   if (status != STATUS_OK)
     return commands_fail (&commands, status);
@@ -123,7 +123,7 @@
   return EXIT_CODE_USAGE;
 }
 
-/** Only the first error: the rest often follows from it. */
+/** Print only the first error, since others often follow from it. */
 static enum exit_code
 option_error (struct arg_end *end)
 {
@@ -163,7 +163,7 @@
   if (arguments->watch->count > 0
       && (statement.kind == STATEMENT_COMMAND
           || statement.kind == STATEMENT_EXPLAIN_REQUEST))
-    return usage_error ("--watch repeats questions to hosts, not commands");
+    return usage_error ("--watch repeats reads from hosts, not commands");
   return run_statement (arguments, &statement);
 }
 
--- a/ctl/request_cause.c
+++ b/ctl/request_cause.c
@@ -8,33 +8,34 @@
 
 #include "base/xmalloc.h"
 
-/** What a reason of a refusal, or the end of an attempt, means. */
+/** The meaning of a refusal's reason or of an attempt's end. */
 struct meaning
 {
   const char *name;
   const char *text;
 };
 
-static const struct meaning reasons[] = {
-  { "queue-full", "its service's queue had no room" },
-  { "too-late", "the targets with room could not have served it in time" },
+static const struct meaning refusal_meanings[] = {
+  { "queue-full", "its service's queue was full" },
+  { "too-late",
+    "the targets with free slots could not have served it in time" },
   { "no-free-slot", "no target had a free slot" },
   { "no-target", "its service has no target that takes work" },
   { "retry-budget", "it needed another attempt, and the retries of the last "
                     "seconds were spent" },
   { "attempts", "all attempts that its route allows were used" },
-  { "deadline", "its time was over before an answer came" },
+  { "deadline", "its deadline passed before a response came" },
   { "cut", "its target's connection ended without a whole answer" },
   { "no-settings", "the host had just started and knew no settings" },
   { "no-service", "the host knew no such service" },
   { "unknown-service", "the host knew no such service" },
   { "no-route", "no route of the configuration in force fits it" },
   { "no-host", "it names no host" },
-  { "method", "its method isn't one that is passed on" },
+  { "method", "its method isn't supported" },
   { "bad-request", "it could not be understood" },
   { "body-too-large", "its body is larger than the configuration allows" },
   { "head-too-large", "its head is larger than the configuration allows" },
-  { "no-key", "its route needs a key, and it bore none" },
+  { "no-key", "its route requires a key, and it had none" },
   { "malformed-key", "its key could not be read" },
   { "unknown-key", "its key belongs to no workspace of the configuration in "
                    "force" },
@@ -51,18 +52,18 @@
   { "leaving", "the host was shutting down" },
   { "host-leaves", "the host was shutting down" },
   { "host-stops", "the host was stopping" },
-  { NULL, "the host gave it up" },
+  { NULL, "the host gave up on it" },
 };
 
-static const struct meaning ends[]
+static const struct meaning end_meanings[]
     = { { "answered", "answered" },
         { "failed", "answered with a failure of its own" },
         { "cut", "broke off" },
         { "timed-out", "did not answer in time" },
         { "not-sent", "was not reached, nothing was sent" },
         { "shed", "refused it, unrun" },
-        { "cancelled", "was left, since the caller had gone or the time was "
-                       "over" },
+        { "cancelled", "was abandoned, since the caller had disconnected or "
+                       "the deadline had passed" },
         { NULL, "ended the attempt" } };
 
 static const char *
@@ -86,7 +87,7 @@
 }
 
 static const struct log_line *
-last_of (const struct log_line *own, size_t count, const char *event)
+last_event (const struct log_line *own, size_t count, const char *event)
 {
   for (size_t i = count; i-- > 0;)
     if (is_event (&own[i], event))
@@ -104,10 +105,10 @@
 }
 
 static void
-tell_attempt (FILE *out, const struct log_line *line)
+print_attempt (FILE *out, const struct log_line *line)
 {
   fprintf (out, "target %s %s", log_line_text (line, "target"),
-           meaning_of (ends, log_line_text (line, "end")));
+           meaning_of (end_meanings, log_line_text (line, "end")));
   const int64_t status = log_line_number (line, "status");
   if (status > 0)
     fprintf (out, " (%" PRId64 ")", status);
@@ -119,21 +120,21 @@
 }
 
 static void
-tell_attempts (FILE *out, const struct log_line *own, size_t count)
+print_attempts (FILE *out, const struct log_line *own, size_t count)
 {
-  const char *between = ": ";
+  const char *separator = ": ";
   for (size_t i = 0; i < count; i++)
     if (is_attempt (&own[i]))
       {
-        fputs (between, out);
-        tell_attempt (out, &own[i]);
-        between = "; ";
+        fputs (separator, out);
+        print_attempt (out, &own[i]);
+        separator = "; ";
       }
 }
 
 static void
-tell_refusal (FILE *out, const struct log_line *own, size_t count,
-              const struct log_line *refused)
+print_refusal (FILE *out, const struct log_line *own, size_t count,
+               const struct log_line *refused)
 {
   const char *reason = log_line_text (refused, "reason");
   const bool is_unrun
@@ -141,14 +142,14 @@
   fprintf (out, "host %s answered %" PRId64 " by itself (%s), %s, since %s",
            refused->source, log_line_number (refused, "status"), reason,
            is_unrun ? "and it never ran" : "and it may have run",
-           meaning_of (reasons, reason));
-  tell_attempts (out, own, count);
+           meaning_of (refusal_meanings, reason));
+  print_attempts (out, own, count);
 }
 
-/* The first start of the host of LINE after it, if its log has one. */
+/* The first start of LINE's host after LINE; NULL if its log has none. */
 static const struct log_line *
-restart_after (const struct log_line *line, const struct log_line *context,
-               size_t count)
+find_restart_after (const struct log_line *line,
+                    const struct log_line *context, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     if (is_event (&context[i], "serving")
@@ -158,20 +159,21 @@
   return NULL;
 }
 
-/* A host that is killed or loses power writes no more: its request stands
-   with a decision and no end, and the host's next line is of a new start. */
+/* The log of a host that is killed or loses power end_meanings without a
+   further line: the request has a routing decision but no end, and the host's
+   next line is that of its restart. */
 static void
-tell_no_end (FILE *out, const struct log_line *own, size_t count,
-             const struct log_line *context, size_t context_count)
+print_missing_end (FILE *out, const struct log_line *own, size_t count,
+                   const struct log_line *context, size_t context_count)
 {
-  const struct log_line *route = last_of (own, count, "route");
+  const struct log_line *route = last_event (own, count, "route");
   if (route == NULL)
     {
       fputs ("not in these logs: there is no line on how it ended", out);
       return;
     }
   const struct log_line *restart
-      = restart_after (route, context, context_count);
+      = find_restart_after (route, context, context_count);
   fprintf (out, "host %s sent it to target %s and wrote no end; ",
            route->source, log_line_text (route, "target"));
   if (restart != NULL)
@@ -180,7 +182,7 @@
              "request may have run",
              restart->time);
   else
-    fputs ("it is under way, or the host stopped and has not started since",
+    fputs ("it is in flight, or the host stopped and has not started since",
            out);
 }
 
@@ -192,12 +194,12 @@
   size_t size = 0;
   FILE *out = open_memstream (&text, &size);
   if (out == NULL)
-    return xstrdup ("no memory to tell the cause");
-  const struct log_line *refused = last_of (own, count, "refused");
-  const struct log_line *abandoned = last_of (own, count, "abandoned");
+    return xstrdup ("out of memory");
+  const struct log_line *refused = last_event (own, count, "refused");
+  const struct log_line *abandoned = last_event (own, count, "abandoned");
   const struct log_line *attempt = last_attempt (own, count);
   if (refused != NULL)
-    tell_refusal (out, own, count, refused);
+    print_refusal (out, own, count, refused);
   else if (abandoned != NULL)
     {
       fprintf (out,
@@ -205,21 +207,21 @@
                "%" PRId64 " attempts",
                log_line_text (abandoned, "stage"),
                log_line_number (abandoned, "attempts"));
-      tell_attempts (out, own, count);
+      print_attempts (out, own, count);
     }
   else if (attempt != NULL)
     {
-      tell_attempt (out, attempt);
+      print_attempt (out, attempt);
       fputs ("; the answer was passed on to the caller", out);
     }
   else
-    tell_no_end (out, own, count, context, context_count);
+    print_missing_end (out, own, count, context, context_count);
   fclose (out);
   return text;
 }
 
 static void
-add (struct json_object *missing, char *text)
+add_missing (struct json_object *missing, char *text)
 {
   json_object_array_add (missing, json_object_new_string (text));
   free (text);
@@ -235,57 +237,60 @@
 }
 
 static int64_t
-attempts_told (const struct log_line *own, size_t count)
+count_attempts (const struct log_line *own, size_t count)
 {
-  int64_t most = 0;
+  int64_t max = 0;
   for (size_t i = 0; i < count; i++)
     {
-      const int64_t told = log_line_number (&own[i], "attempts");
+      const int64_t reported = log_line_number (&own[i], "attempts");
       const int64_t number
           = is_attempt (&own[i]) ? log_line_number (&own[i], "attempt") : 0;
-      most = told > most ? told : most;
-      most = number > most ? number : most;
+      max = reported > max ? reported : max;
+      max = number > max ? number : max;
     }
-  return most;
+  return max;
 }
 
 static void
-add_withheld (const struct log_line *context, size_t count,
-              struct json_object *missing)
+add_suppressed_lines (const struct log_line *context, size_t count,
+                      struct json_object *missing)
 {
   for (size_t i = 0; i < count; i++)
     {
       const struct log_line *line = &context[i];
       if (is_event (line, "log-withheld"))
-        add (missing,
-             xasprintf ("host %s left out %" PRId64
-                        " lines of the event %s in the second before "
-                        "%s",
-                        line->source, log_line_number (line, "withheld"),
-                        log_line_text (line, "repeated"), line->time));
+        add_missing (missing,
+                     xasprintf ("host %s left out %" PRId64
+                                " lines of the event %s in the second before "
+                                "%s",
+                                line->source,
+                                log_line_number (line, "withheld"),
+                                log_line_text (line, "repeated"), line->time));
       else if (is_event (line, "log-lost"))
-        add (missing, xasprintf ("host %s lost %" PRId64
-                                 " lines before %s: the reader of its log had "
-                                 "stopped",
-                                 line->source, log_line_number (line, "lines"),
-                                 line->time));
+        add_missing (missing,
+                     xasprintf ("host %s lost %" PRId64
+                                " lines before %s: the reader of its log had "
+                                "stopped",
+                                line->source, log_line_number (line, "lines"),
+                                line->time));
     }
 }
 
-/* Was it refused before anybody asked for a target? */
+/* Whether the request was refused before a target was looked for. */
 static bool
-was_refused_unasked (const struct log_line *own, size_t count)
+was_refused_before_choice (const struct log_line *own, size_t count)
 {
-  static const char *const unasked[]
+  static const char *const reasons_before_choice[]
       = { "no-key",     "malformed-key",   "unknown-key", "config-not-fresh",
           "over-quota", "quota-not-known", "no-settings", "no-route",
           "no-host",    "method",          "bad-request", "head-too-large" };
-  const struct log_line *refused = last_of (own, count, "refused");
+  const struct log_line *refused = last_event (own, count, "refused");
   if (refused == NULL)
     return false;
   const char *reason = log_line_text (refused, "reason");
-  for (size_t i = 0; i < sizeof unasked / sizeof *unasked; i++)
-    if (strcmp (reason, unasked[i]) == 0)
+  for (size_t i = 0;
+       i < sizeof reasons_before_choice / sizeof *reasons_before_choice; i++)
+    if (strcmp (reason, reasons_before_choice[i]) == 0)
       return true;
   return false;
 }
@@ -297,23 +302,26 @@
 {
   if (count == 0)
     {
-      add (missing,
-           xstrdup ("every line on it: look in the logs of all hosts, "
-                    "and whether the caller's connection reached "
-                    "one"));
+      add_missing (missing,
+                   xstrdup ("every line on it: look in the logs of all hosts, "
+                            "and whether the caller's connection reached "
+                            "one"));
       for (size_t i = 0; i < context_count; i++)
-        add (missing, xasprintf ("what host %s had under way before it "
-                                 "started at %s",
-                                 context[i].source, context[i].time));
+        add_missing (missing,
+                     xasprintf ("what host %s had in flight before it "
+                                "started at %s",
+                                context[i].source, context[i].time));
       return;
     }
-  const int64_t attempts = attempts_told (own, count);
+  const int64_t attempts = count_attempts (own, count);
   for (int64_t number = 1; number <= attempts; number++)
     if (!has_attempt (own, count, number))
-      add (missing, xasprintf ("how attempt %" PRId64 " of %" PRId64 " ended",
-                               number, attempts));
-  if (!was_refused_unasked (own, count)
-      && last_of (own, count, "route") == NULL)
-    add (missing, xstrdup ("why its targets were chosen (no route line)"));
-  add_withheld (context, context_count, missing);
+      add_missing (missing,
+                   xasprintf ("how attempt %" PRId64 " of %" PRId64 " ended",
+                              number, attempts));
+  if (!was_refused_before_choice (own, count)
+      && last_event (own, count, "route") == NULL)
+    add_missing (missing,
+                 xstrdup ("why its targets were chosen (no route line)"));
+  add_suppressed_lines (context, context_count, missing);
 }
--- a/ctl/request_timeline.c
+++ b/ctl/request_timeline.c
@@ -18,14 +18,14 @@
 {
   char *id;
   struct line_list own;     /**< of the request */
-  struct line_list context; /**< of targets and hosts, of any request */
-  size_t seen;              /**< lines read */
+  struct line_list context; /**< of targets and hosts, for any request */
+  size_t lines_read;
   char *cause;
   struct json_object *missing;
 };
 
-/* Lines on what hosts believe; what happened to a target or a host shortly
-   before an attempt explains how it ended. */
+/* Events of targets and hosts: one shortly before an attempt explains how the
+   attempt ended. */
 static const char *const context_events[]
     = { "target-gone",     "target-registered", "removal-held",
         "platform-failed", "platform-regained", "config-in-force",
@@ -35,10 +35,10 @@
 struct request_timeline *
 request_timeline_create (const char *id)
 {
-  struct request_timeline *story = xcalloc (1, sizeof *story);
-  story->id = xstrdup (id);
-  story->missing = json_object_new_array ();
-  return story;
+  struct request_timeline *timeline = xcalloc (1, sizeof *timeline);
+  timeline->id = xstrdup (id);
+  timeline->missing = json_object_new_array ();
+  return timeline;
 }
 
 static void
@@ -50,14 +50,14 @@
 }
 
 void
-request_timeline_destroy (struct request_timeline *story)
+request_timeline_destroy (struct request_timeline *timeline)
 {
-  list_release (&story->own);
-  list_release (&story->context);
-  json_object_put (story->missing);
-  free (story->cause);
-  free (story->id);
-  free (story);
+  list_release (&timeline->own);
+  list_release (&timeline->context);
+  json_object_put (timeline->missing);
+  free (timeline->cause);
+  free (timeline->id);
+  free (timeline);
 }
 
 static void
@@ -78,7 +78,7 @@
 }
 
 void
-request_timeline_read (struct request_timeline *story, const char *source,
+request_timeline_read (struct request_timeline *timeline, const char *source,
                        FILE *file)
 {
   char *text = NULL;
@@ -88,13 +88,13 @@
       struct log_line line;
       if (!log_line_read (text, &line))
         continue;
-      story->seen++;
+      timeline->lines_read++;
       if (line.source[0] == '\0')
         snprintf (line.source, sizeof line.source, "%s", source);
-      if (strcmp (log_line_text (&line, "id"), story->id) == 0)
-        list_add (&story->own, &line);
+      if (strcmp (log_line_text (&line, "id"), timeline->id) == 0)
+        list_add (&timeline->own, &line);
       else if (is_context (&line))
-        list_add (&story->context, &line);
+        list_add (&timeline->context, &line);
       else
         log_line_release (&line);
     }
@@ -102,46 +102,50 @@
 }
 
 static int
-by_time (const void *a, const void *b)
+compare_time (const void *a, const void *b)
 {
   const struct log_line *first = a;
   const struct log_line *second = b;
   return strcmp (first->time, second->time);
 }
 
-/* Lines of one millisecond stay as they were written. */
+/* Insertion sort, which is stable: lines of the same millisecond keep the
+   order in which they were written. */
 static void
 list_sort (struct line_list *list)
 {
   for (size_t i = 1; i < list->count; i++)
     {
       const struct log_line line = list->lines[i];
-      size_t at = i;
-      while (at > 0 && by_time (&list->lines[at - 1], &line) > 0)
+      size_t position = i;
+      while (position > 0
+             && compare_time (&list->lines[position - 1], &line) > 0)
         {
-          list->lines[at] = list->lines[at - 1];
-          at--;
+          list->lines[position] = list->lines[position - 1];
+          position--;
         }
-      list->lines[at] = line;
+      list->lines[position] = line;
     }
 }
 
 static bool
-is_about_targets (const struct request_timeline *story,
-                  const struct log_line *line)
+is_about_involved_target (const struct request_timeline *timeline,
+                          const struct log_line *line)
 {
   const char *target = log_line_text (line, "target");
-  for (size_t i = 0; target[0] != '\0' && i < story->own.count; i++)
-    if (strcmp (log_line_text (&story->own.lines[i], "target"), target) == 0)
+  for (size_t i = 0; target[0] != '\0' && i < timeline->own.count; i++)
+    if (strcmp (log_line_text (&timeline->own.lines[i], "target"), target)
+        == 0)
       return true;
   return false;
 }
 
 static bool
-is_of_host (const struct request_timeline *story, const struct log_line *line)
+is_of_involved_host (const struct request_timeline *timeline,
+                     const struct log_line *line)
 {
-  for (size_t i = 0; i < story->own.count; i++)
-    if (strcmp (story->own.lines[i].source, line->source) == 0)
+  for (size_t i = 0; i < timeline->own.count; i++)
+    if (strcmp (timeline->own.lines[i].source, line->source) == 0)
       return true;
   return false;
 }
@@ -153,32 +157,35 @@
 }
 
 static bool
-is_after_end (const struct request_timeline *story,
+is_after_end (const struct request_timeline *timeline,
               const struct log_line *line)
 {
-  return story->own.count > 0
-         && strcmp (line->time, story->own.lines[story->own.count - 1].time)
+  return timeline->own.count > 0
+         && strcmp (line->time,
+                    timeline->own.lines[timeline->own.count - 1].time)
                 > 0;
 }
 
-/* Later than the request's last line only what tells of lines left out, which
-   is written with the next line that may pass, and that a host started anew:
-   what it had under way before has no end in its log. */
+/* After the request's last line only two kinds of lines are relevant: those on
+   suppressed lines, which are written with the next line that passes, and
+   restarts of a host, whose log has no end for requests that were in flight
+   before. */
 static bool
-is_told (const struct request_timeline *story, const struct log_line *line)
+is_relevant (const struct request_timeline *timeline,
+             const struct log_line *line)
 {
-  if (story->own.count == 0)
+  if (timeline->own.count == 0)
     return is_start (line);
-  const bool is_note = strncmp (line->event, "log-", 4) == 0;
-  if (is_after_end (story, line) && !is_note && !is_start (line))
+  const bool is_log_event = strncmp (line->event, "log-", 4) == 0;
+  if (is_after_end (timeline, line) && !is_log_event && !is_start (line))
     return false;
-  return is_of_host (story, line)
+  return is_of_involved_host (timeline, line)
          && (log_line_text (line, "target")[0] == '\0'
-             || is_about_targets (story, line));
+             || is_about_involved_target (timeline, line));
 }
 
 static struct log_line *
-find_like (struct line_list *list, const struct log_line *line)
+find_same_event (struct line_list *list, const struct log_line *line)
 {
   for (size_t i = 0; i < list->count; i++)
     if (strcmp (list->lines[i].event, line->event) == 0
@@ -190,50 +197,50 @@
   return NULL;
 }
 
-/* Of each event of a host and a target the last one before the end: it is
-   what was in force.  Of starts after the end the first. */
+/* For each event, host and target, keeps the last line before the end, which
+   was in force then, and the first start of a host after the end. */
 static void
-keep_latest (struct request_timeline *story)
+select_context (struct request_timeline *timeline)
 {
-  struct line_list kept = { NULL, 0 };
-  for (size_t i = story->context.count; i-- > 0;)
+  struct line_list selected = { NULL, 0 };
+  for (size_t i = timeline->context.count; i-- > 0;)
     {
-      struct log_line *line = &story->context.lines[i];
-      struct log_line *like = find_like (&kept, line);
-      if (!is_told (story, line)
-          || (like != NULL && !is_after_end (story, line)))
+      struct log_line *line = &timeline->context.lines[i];
+      struct log_line *previous = find_same_event (&selected, line);
+      if (!is_relevant (timeline, line)
+          || (previous != NULL && !is_after_end (timeline, line)))
         log_line_release (line);
-      else if (like != NULL)
+      else if (previous != NULL)
         {
-          log_line_release (like);
-          *like = *line;
+          log_line_release (previous);
+          *previous = *line;
         }
       else
-        list_add (&kept, line);
+        list_add (&selected, line);
     }
-  free (story->context.lines);
-  story->context = kept;
-  list_sort (&story->context);
+  free (timeline->context.lines);
+  timeline->context = selected;
+  list_sort (&timeline->context);
 }
 
 void
-request_timeline_finish (struct request_timeline *story)
+request_timeline_finish (struct request_timeline *timeline)
 {
-  list_sort (&story->own);
-  list_sort (&story->context);
-  keep_latest (story);
-  story->cause
-      = request_cause_find (story->own.lines, story->own.count,
-                            story->context.lines, story->context.count);
-  request_cause_missing (story->own.lines, story->own.count,
-                         story->context.lines, story->context.count,
-                         story->missing);
+  list_sort (&timeline->own);
+  list_sort (&timeline->context);
+  select_context (timeline);
+  timeline->cause
+      = request_cause_find (timeline->own.lines, timeline->own.count,
+                            timeline->context.lines, timeline->context.count);
+  request_cause_missing (timeline->own.lines, timeline->own.count,
+                         timeline->context.lines, timeline->context.count,
+                         timeline->missing);
 }
 
 bool
-request_timeline_is_found (const struct request_timeline *story)
+request_timeline_is_found (const struct request_timeline *timeline)
 {
-  return story->own.count > 0;
+  return timeline->own.count > 0;
 }
 
 static struct json_object *
@@ -260,16 +267,17 @@
 }
 
 struct json_object *
-request_timeline_json (const struct request_timeline *story)
+request_timeline_json (const struct request_timeline *timeline)
 {
-  struct json_object *tree = json_object_new_object ();
-  json_object_object_add (tree, "id", json_object_new_string (story->id));
-  json_object_object_add (tree, "lines", list_json (&story->own));
-  json_object_object_add (tree, "context", list_json (&story->context));
-  json_object_object_add (tree, "cause",
-                          json_object_new_string (story->cause));
-  json_object_object_add (tree, "missing", json_object_get (story->missing));
-  return tree;
+  struct json_object *root = json_object_new_object ();
+  json_object_object_add (root, "id", json_object_new_string (timeline->id));
+  json_object_object_add (root, "lines", list_json (&timeline->own));
+  json_object_object_add (root, "context", list_json (&timeline->context));
+  json_object_object_add (root, "cause",
+                          json_object_new_string (timeline->cause));
+  json_object_object_add (root, "missing",
+                          json_object_get (timeline->missing));
+  return root;
 }
 
 static void
@@ -289,18 +297,18 @@
 }
 
 void
-request_timeline_print (const struct request_timeline *story, FILE *out)
+request_timeline_print (const struct request_timeline *timeline, FILE *out)
 {
-  fprintf (out, "request %s\n", story->id);
-  print_list (&story->own, out);
-  if (story->context.count > 0)
+  fprintf (out, "request %s\n", timeline->id);
+  print_list (&timeline->own, out);
+  if (timeline->context.count > 0)
     {
       fputs ("what its hosts had learned of targets and settings\n", out);
-      print_list (&story->context, out);
+      print_list (&timeline->context, out);
     }
-  fprintf (out, "cause: %s\n", story->cause);
-  for (size_t i = 0; i < json_object_array_length (story->missing); i++)
+  fprintf (out, "cause: %s\n", timeline->cause);
+  for (size_t i = 0; i < json_object_array_length (timeline->missing); i++)
     fprintf (out, "missing: %s\n",
              json_object_get_string (
-                 json_object_array_get_idx (story->missing, i)));
+                 json_object_array_get_idx (timeline->missing, i)));
 }
--- a/ctl/show.c
+++ b/ctl/show.c
@@ -29,10 +29,10 @@
   return matching;
 }
 
-/* Guards against a misspelt field: no row would have it, so the answer would
-   be an empty table that reads as "there are none". */
+/* No row has a misspelt field, so without this check the result would be an
+   empty table that reads as "there are none". */
 static enum status
-check_field (struct json_object *rows, const struct filter *filter)
+check_filter (struct json_object *rows, const struct filter *filter)
 {
   const size_t count = json_object_array_length (rows);
   for (size_t i = 0; i < count; i++)
@@ -47,10 +47,10 @@
 }
 
 static enum status
-check_fields (struct json_object *rows, const struct statement *statement)
+check_filters (struct json_object *rows, const struct statement *statement)
 {
   for (size_t i = 0; i < statement->filter_count; i++)
-    if (check_field (rows, &statement->filters[i]) != STATUS_OK)
+    if (check_filter (rows, &statement->filters[i]) != STATUS_OK)
       return STATUS_INVALID;
   return STATUS_OK;
 }
@@ -64,7 +64,7 @@
   if (code != EXIT_CODE_DONE)
     return code;
   struct json_object *rows = json_member_array (reply.body, "rows");
-  if (check_fields (rows, statement) != STATUS_OK)
+  if (check_filters (rows, statement) != STATUS_OK)
     {
       code = commands_fail (commands, STATUS_INVALID);
       goto out;
--- a/ctl/statement.c
+++ b/ctl/statement.c
@@ -6,11 +6,11 @@
 #include <string.h>
 #include <strings.h>
 
-/** The words still to be read. */
+/** The remaining words. */
 struct cursor
 {
   const char *const *words;
-  size_t left;
+  size_t remaining;
 };
 
 static const char *const table_names[]
@@ -20,7 +20,7 @@
 static const char *
 peek (const struct cursor *cursor)
 {
-  return cursor->left == 0 ? NULL : cursor->words[0];
+  return cursor->remaining == 0 ? NULL : cursor->words[0];
 }
 
 static const char *
@@ -30,7 +30,7 @@
   if (word == NULL)
     return NULL;
   cursor->words++;
-  cursor->left--;
+  cursor->remaining--;
   return word;
 }
 
@@ -45,7 +45,7 @@
 }
 
 static enum status
-expected (const char *what, const char *found)
+fail_expected (const char *what, const char *found)
 {
   if (found == NULL)
     return status_set (STATUS_INVALID, "expected %s at the end of the line",
@@ -59,15 +59,15 @@
 {
   if (take_keyword (cursor, keyword))
     return STATUS_OK;
-  return expected (keyword, peek (cursor));
+  return fail_expected (keyword, peek (cursor));
 }
 
 static enum status
-copy (char *buffer, size_t size, const char *text, size_t length,
-      const char *what)
+copy_name (char *buffer, size_t size, const char *text, size_t length,
+           const char *what)
 {
   if (length == 0)
-    return expected (what, "");
+    return fail_expected (what, "");
   if (length >= size)
     return status_set (STATUS_INVALID,
                        "%s \"%.32s...\" is too long: at most %zu bytes", what,
@@ -83,9 +83,9 @@
   static const char what[] = "the name of a service";
   const char *word = take (cursor);
   if (word == NULL)
-    return expected (what, NULL);
-  return copy (statement->service, sizeof statement->service, word,
-               strlen (word), what);
+    return fail_expected (what, NULL);
+  return copy_name (statement->service, sizeof statement->service, word,
+                    strlen (word), what);
 }
 
 static enum status
@@ -94,19 +94,19 @@
   static const char what[] = "the name of a target";
   const char *word = take (cursor);
   if (word == NULL)
-    return expected (what, NULL);
+    return fail_expected (what, NULL);
   const char *slash = strchr (word, '/');
   if (slash != NULL)
     {
-      const enum status status
-          = copy (statement->service, sizeof statement->service, word,
-                  (size_t)(slash - word), "the name of a service before '/'");
+      const enum status status = copy_name (
+          statement->service, sizeof statement->service, word,
+          (size_t)(slash - word), "the name of a service before '/'");
       if (status != STATUS_OK)
         return status;
       word = slash + 1;
     }
-  return copy (statement->target, sizeof statement->target, word,
-               strlen (word), what);
+  return copy_name (statement->target, sizeof statement->target, word,
+                    strlen (word), what);
 }
 
 static enum status
@@ -115,12 +115,12 @@
 {
   const char *word = take (cursor);
   if (word == NULL || word[0] < '0' || word[0] > '9')
-    return expected (what, word);
+    return fail_expected (what, word);
   char *end;
   errno = 0;
   const long long value = strtoll (word, &end, 10);
   if (*end != '\0' || errno != 0 || value > max)
-    return expected (what, word);
+    return fail_expected (what, word);
   *number = value;
   return STATUS_OK;
 }
@@ -139,7 +139,8 @@
   return status;
 }
 
-/** Read the operator that TEXT begins with; its length, or 0. */
+/** Parse the operator at the start of TEXT.
+ * @return its length, 0 if there is none. */
 static size_t
 read_operator (const char *text, enum filter_operator *comparison)
 {
@@ -163,18 +164,19 @@
   return 0;
 }
 
-/* `field=value`, `field= value`, `field =value` and `field = value` are all
-   the same: the rest of a word is used up before the next is taken.  A value
-   is one word's rest, so that what the shell quoted stays whole. */
+/* `field=value`, `field= value`, `field =value` and `field = value` are
+   equivalent: the remainder of a word is used up before the next is taken.  A
+   value extends to the end of its word, so that quoted values with blanks are
+   kept. */
 static enum status
 take_filter (struct cursor *cursor, struct filter *filter)
 {
   const char *rest = take (cursor);
   if (rest == NULL)
-    return expected ("FIELD=VALUE", NULL);
+    return fail_expected ("FIELD=VALUE", NULL);
   const size_t field_length = strcspn (rest, "!=<>~");
-  enum status status = copy (filter->field, sizeof filter->field, rest,
-                             field_length, "the name of a field");
+  enum status status = copy_name (filter->field, sizeof filter->field, rest,
+                                  field_length, "the name of a field");
   if (status != STATUS_OK)
     return status;
   rest += field_length;
@@ -183,14 +185,14 @@
   const size_t operator_length
       = rest == NULL ? 0 : read_operator (rest, &filter->comparison);
   if (operator_length == 0)
-    return expected ("one of = != < > ~", rest);
+    return fail_expected ("one of = != < > ~", rest);
   rest += operator_length;
   if (*rest == '\0')
     rest = take (cursor);
   if (rest == NULL)
-    return expected ("a value", NULL);
-  return copy (filter->value, sizeof filter->value, rest, strlen (rest),
-               "a value");
+    return fail_expected ("a value", NULL);
+  return copy_name (filter->value, sizeof filter->value, rest, strlen (rest),
+                    "a value");
 }
 
 static enum status
@@ -209,7 +211,7 @@
         return status;
       statement->filter_count++;
     }
-  while (take_keyword (cursor, "and") || cursor->left > 0);
+  while (take_keyword (cursor, "and") || cursor->remaining > 0);
   return STATUS_OK;
 }
 
@@ -222,9 +224,10 @@
     if (word != NULL && strcasecmp (word, table_names[i]) == 0)
       statement->table = table_names[i];
   if (statement->table == NULL)
-    return expected ("services, targets, hosts, routes, settings, decisions, "
-                     "counters, ejections or poison",
-                     word);
+    return fail_expected (
+        "services, targets, hosts, routes, settings, decisions, "
+        "counters, ejections or poison",
+        word);
   return take_filters (cursor, statement);
 }
 
@@ -234,10 +237,10 @@
   statement->kind = STATEMENT_EXPLAIN_REQUEST;
   statement->request = take (cursor);
   if (statement->request == NULL || statement->request[0] == '\0')
-    return expected ("the identity of a request", statement->request);
+    return fail_expected ("the identity of a request", statement->request);
   statement->files = cursor->words;
-  statement->file_count = cursor->left;
-  cursor->left = 0;
+  statement->file_count = cursor->remaining;
+  cursor->remaining = 0;
   return STATUS_OK;
 }
 
@@ -248,7 +251,7 @@
     return parse_explain_request (cursor, statement);
   statement->kind = STATEMENT_EXPLAIN_TARGET;
   if (!take_keyword (cursor, "target"))
-    return expected ("target or request", peek (cursor));
+    return fail_expected ("target or request", peek (cursor));
   return take_target (cursor, statement);
 }
 
@@ -296,16 +299,16 @@
     return status;
   const char *word = take (cursor);
   if (word == NULL)
-    return expected (what, NULL);
-  return copy (statement->fingerprint, sizeof statement->fingerprint, word,
-               strlen (word), what);
+    return fail_expected (what, NULL);
+  return copy_name (statement->fingerprint, sizeof statement->fingerprint,
+                    word, strlen (word), what);
 }
 
-/** What the first word of a statement leads to. */
+/** The statements by their first word. */
 struct verb
 {
   const char *word;
-  const char *command; /**< NULL: no command */
+  const char *command; /**< NULL: not a command */
   enum status (*parse) (struct cursor *cursor, struct statement *statement);
 };
 
@@ -326,7 +329,7 @@
 statement_parse (const char *const *words, size_t count,
                  struct statement *statement)
 {
-  struct cursor cursor = { .words = words, .left = count };
+  struct cursor cursor = { .words = words, .remaining = count };
   const struct verb *verb = NULL;
   memset (statement, 0, sizeof *statement);
   statement->floor = -1;
@@ -336,15 +339,16 @@
     if (word != NULL && strcasecmp (word, verbs[i].word) == 0)
       verb = &verbs[i];
   if (verb == NULL)
-    return expected ("show, explain, addresses, drain, undrain, eject, "
-                     "reinstate, pause, resume, set or clear",
-                     word);
+    return fail_expected ("show, explain, addresses, drain, undrain, eject, "
+                          "reinstate, pause, resume, set or clear",
+                          word);
   statement->command = verb->command;
   const enum status status = verb->parse (&cursor, statement);
-  if (status == STATUS_OK && cursor.left > 0)
-    return expected (verb->command == NULL ? "the end of the line"
-                                           : "\"at version N\" or the end of "
-                                             "the line",
-                     peek (&cursor));
+  if (status == STATUS_OK && cursor.remaining > 0)
+    return fail_expected (verb->command == NULL
+                              ? "the end of the line"
+                              : "\"at version N\" or the end of "
+                                "the line",
+                          peek (&cursor));
   return status;
 }
--- a/ctl/statement.h
+++ b/ctl/statement.h
@@ -42,21 +42,21 @@
 {
   enum statement_kind kind;
   const char *table;   /**< show: the table's name in lower case */
-  const char *command; /**< command: its name in the operator's protocol */
+  const char *command; /**< command: its name in the operator protocol */
   struct filter filters[STATEMENT_FILTERS_MAX];
   size_t filter_count;
-  char service[STATEMENT_NAME_SIZE];     /**< "" where the target tells it */
-  char target[STATEMENT_NAME_SIZE];      /**< "" where there is none */
+  char service[STATEMENT_NAME_SIZE];     /**< "" if determined by the target */
+  char target[STATEMENT_NAME_SIZE];      /**< "" if none */
   char fingerprint[STATEMENT_NAME_SIZE]; /**< clear poison; otherwise "" */
   const char *request;                   /**< explain request: its identity */
-  const char *const *files; /**< explain request: logs; none: the input */
+  const char *const *files; /**< explain request: logs; none: stdin */
   size_t file_count;
   int64_t floor;    /**< set floor; -1: none */
-  uint64_t version; /**< 0: whatever is found */
+  uint64_t version; /**< 0: the current version */
 };
 
-/** Parse the COUNT words of a command line.  On failure the message says
- * which word was met and what was expected in its place. */
+/** Parse the COUNT words of a command line.  On failure the message names the
+ * word that was found and what was expected instead. */
 enum status statement_parse (const char *const *words, size_t count,
                              struct statement *statement);
 
--- a/ctl/table_printer.c
+++ b/ctl/table_printer.c
@@ -17,7 +17,7 @@
 {
   const char *key;
   size_t width;
-  bool numeric; /**< all its cells are numbers */
+  bool numeric; /**< all cells are numbers */
 };
 
 struct layout
@@ -27,23 +27,23 @@
 };
 
 static char *
-join (struct json_object *array)
+format_array (struct json_object *array)
 {
   char *text = xstrdup ("");
   const size_t count = json_object_array_length (array);
   for (size_t i = 0; i < count; i++)
     {
       char *item = table_printer_cell (json_object_array_get_idx (array, i));
-      char *longer = xasprintf ("%s%s%s", text, i > 0 ? "," : "", item);
+      char *extended = xasprintf ("%s%s%s", text, i > 0 ? "," : "", item);
       free (item);
       free (text);
-      text = longer;
+      text = extended;
     }
   return text;
 }
 
-/* Guards against a name or reason from the network that carries terminal
-   escapes: shown raw it could rewrite what the operator reads. */
+/* A name or reason from the network may contain terminal escapes, which could
+   change what the operator sees if printed unfiltered. */
 static char *
 printable (const char *text)
 {
@@ -66,7 +66,7 @@
     case json_type_double:
       return xasprintf ("%g", json_object_get_double (value));
     case json_type_array:
-      return join (value);
+      return format_array (value);
     case json_type_int:
     case json_type_string:
     case json_type_object:
@@ -76,7 +76,7 @@
   return text[0] == '\0' ? xstrdup ("-") : printable (text);
 }
 
-/** Characters of UTF-8 TEXT. */
+/** The number of characters in UTF-8 TEXT. */
 static size_t
 text_width (const char *text)
 {
@@ -139,19 +139,19 @@
             bool is_last)
 {
   const size_t width = text_width (text);
-  const size_t blanks = column->width > width ? column->width - width : 0;
+  const size_t padding = column->width > width ? column->width - width : 0;
   if (column->numeric)
-    pad (out, blanks);
+    pad (out, padding);
   fputs (text, out);
   if (is_last)
     return;
   if (!column->numeric)
-    pad (out, blanks);
+    pad (out, padding);
   pad (out, COLUMN_GAP);
 }
 
 static void
-print_head (FILE *out, const struct layout *layout)
+print_header (FILE *out, const struct layout *layout)
 {
   for (size_t i = 0; i < layout->count; i++)
     {
@@ -187,7 +187,7 @@
     layout_add_row (&layout, json_object_array_get_idx (rows, i));
   if (layout.count == 0)
     return;
-  print_head (out, &layout);
+  print_header (out, &layout);
   for (size_t i = 0; i < count; i++)
     print_row (out, &layout, json_object_array_get_idx (rows, i));
 }
--- a/ctl/table_printer.h
+++ b/ctl/table_printer.h
@@ -1,5 +1,5 @@
 /** @file
- * Rows of JSON objects as a table for people.
+ * Prints JSON objects as a human-readable table.
  */
 #ifndef CTL_TABLE_PRINTER_H
 #define CTL_TABLE_PRINTER_H
@@ -8,12 +8,12 @@
 
 #include <json-c/json.h>
 
-/** Write the array ROWS to OUT: one column a member name, in the order first
- * met, numbers to the right.  Control characters, which could drive a
- * terminal, are written as '?'. */
+/** Print the array ROWS to OUT: one column for each member name, in order of
+ * appearance, numbers right-aligned.  Control characters, which a terminal
+ * would interpret, are printed as '?'. */
 void table_printer_print (FILE *out, struct json_object *rows);
 
-/** The text of one VALUE, as in a cell, in new memory. */
+/** The text of VALUE as in a cell, in new memory. */
 char *table_printer_cell (struct json_object *value);
 
 #endif
--- a/ctl/tests/docs_test.cc
+++ b/ctl/tests/docs_test.cc
@@ -24,7 +24,7 @@
   return text.str ();
 }
 
-/** What the one group of the extended regular expression PATTERN finds. */
+/** All matches of the one group of the extended regular expression PATTERN. */
 static std::vector<std::string>
 matches (const std::string &text, const char *pattern)
 {
@@ -40,18 +40,19 @@
 }
 
 static std::string
-without (std::string text, char unwanted)
+remove_char (std::string text, char unwanted)
 {
   text.erase (std::remove (text.begin (), text.end (), unwanted), text.end ());
   return text;
 }
 
-/** Does LINE, what follows `jaystair`, parse once its options are gone? */
+/** Expect that LINE, which follows `jaystair`, parses if its options are
+ * left out. */
 static void
 expect_statement (const std::string &line)
 {
   std::vector<std::string> words;
-  std::istringstream stream (without (line, '\''));
+  std::istringstream stream (remove_char (line, '\''));
   for (std::string word; stream >> word;)
     if (word == "--host" || word == "--secret-file")
       stream >> word;
@@ -66,7 +67,7 @@
       << line << ": " << status_message ();
 }
 
-TEST (Docs, EveryDocumentedStatementIsOne)
+TEST (Docs, DocumentedStatementsParse)
 {
   const std::string guide = read_file (JAYSTAIR_SOURCE "/docs/OPERATORS.md");
   const std::vector<std::string> spans = matches (guide, "`jaystair ([^`]+)`");
@@ -76,13 +77,13 @@
   std::string manual = read_file (JAYSTAIR_SOURCE "/docs/man/jaystair.1");
   manual.erase (0, manual.find (".SH EXAMPLES"));
   const std::vector<std::string> examples
-      = matches (without (manual, '\\'), "\njaystair ([^\n]+)");
+      = matches (remove_char (manual, '\\'), "\njaystair ([^\n]+)");
   EXPECT_GT (examples.size (), 4u);
   for (const std::string &example : examples)
     expect_statement (example);
 }
 
-TEST (Docs, EveryLinkOfTheGuideLeadsSomewhere)
+TEST (Docs, LinksOfGuideExist)
 {
   const std::string guide = read_file (JAYSTAIR_SOURCE "/docs/OPERATORS.md");
   const std::vector<std::string> links = matches (guide, "\\]\\(([^)#]+)\\)");
@@ -95,7 +96,7 @@
     }
 }
 
-/** A command of a page, `$ jaystair ...`, and the lines that follow it. */
+/** A command of a page, `$ jaystair ...`, and the output that follows it. */
 struct example
 {
   std::string command;
@@ -121,9 +122,10 @@
   return found;
 }
 
-/* An engineer follows the page at night.  A command that no longer works, or
-   tells something else than the page, costs the time that it should save. */
-TEST (Docs, ExamplesOfOperationsPrintWhatThePageSays)
+/* Engineers follow the page during incidents.  A command that no longer works,
+   or whose output differs from the page, costs the time that the page should
+   save. */
+TEST (Docs, ExamplesOfOperationsPrintDocumentedOutput)
 {
   const std::string page = read_file (JAYSTAIR_SOURCE "/docs/OPERATIONS.md");
   const std::vector<example> examples = examples_of (page);
--- a/ctl/tests/filter_test.cc
+++ b/ctl/tests/filter_test.cc
@@ -16,7 +16,8 @@
   return text;
 }
 
-/** The plain reading of the manual: whole numbers by value, else as text. */
+/** A naive implementation of the manual: whole numbers by value, everything
+ * else as text. */
 static bool
 naive_match (const struct filter &filter, struct json_object *row)
 {
@@ -63,7 +64,7 @@
   return json_object_new_string (words[random () % 7]);
 }
 
-TEST (Filter, AgreesWithThePlainReading)
+TEST (Filter, AgreesWithNaiveImplementation)
 {
   std::mt19937 random (42);
   const char *const fields[] = { "state", "dc", "slots" };
@@ -92,7 +93,7 @@
   EXPECT_GT (matched, 2000);
 }
 
-TEST (Filter, FieldsInAnyCaseAndNullsAndFractions)
+TEST (Filter, IgnoresCaseAndHandlesNullsAndFractions)
 {
   struct json_object *row = json_tokener_parse (
       "{\"Name\":null,\"load\":0.25,\"odd\":\"nan\",\"up\":true}");
--- a/ctl/tests/log_line_test.cc
+++ b/ctl/tests/log_line_test.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-TEST (LogLine, ReadsTextWithQuotedValues)
+TEST (LogLine, ParsesTextWithQuotedValues)
 {
   log_line line;
   ASSERT_TRUE (log_line_read (
@@ -28,7 +28,7 @@
   log_line_release (&line);
 }
 
-TEST (LogLine, ReadsJson)
+TEST (LogLine, ParsesJson)
 {
   log_line line;
   ASSERT_TRUE (log_line_read (
@@ -42,7 +42,7 @@
   log_line_release (&line);
 }
 
-TEST (LogLine, TheWordBeforeTheTimeIsTheHost)
+TEST (LogLine, TakesHostFromWordBeforeTime)
 {
   log_line line;
   ASSERT_TRUE (log_line_read (
@@ -53,7 +53,7 @@
   log_line_release (&line);
 }
 
-TEST (LogLine, WhatIsNoLineIsLeftOut)
+TEST (LogLine, RefusesOtherLines)
 {
   log_line line;
   for (const char *text :
@@ -62,15 +62,15 @@
     EXPECT_FALSE (log_line_read (text, &line)) << text;
 }
 
-/* Bytes of a line that was cut off must not upset the reading of the rest. */
-TEST (LogLine, CutLinesAreReadAsFarAsTheyGo)
+/* A truncated line must neither crash the parser nor leak memory. */
+TEST (LogLine, ParsesTruncatedLines)
 {
-  const std::string whole
+  const std::string complete
       = "2026-12-02T21:41:00.123Z info caller attempt id=ab why=\"x y\" n=1";
-  for (size_t length = 0; length < whole.size (); length++)
+  for (size_t length = 0; length < complete.size (); length++)
     {
       log_line line;
-      if (log_line_read (whole.substr (0, length).c_str (), &line))
+      if (log_line_read (complete.substr (0, length).c_str (), &line))
         log_line_release (&line);
     }
 }
--- a/ctl/tests/program_test.cc
+++ b/ctl/tests/program_test.cc
@@ -17,7 +17,7 @@
 struct run_result
 {
   int code;
-  std::string text; /**< both outputs */
+  std::string text; /**< standard output and standard error */
 };
 
 static struct run_result
@@ -46,11 +46,11 @@
   return text.find (part) != std::string::npos;
 }
 
-/** Takes one connection, reads a piece and lets PEER deal with it. */
-class OneConnection
+/** Accepts one connection, reads once from it and passes it to PEER. */
+class OneConnectionServer
 {
 public:
-  explicit OneConnection (std::function<void (int)> peer)
+  explicit OneConnectionServer (std::function<void (int)> peer)
   {
     struct sockaddr_in in = {};
     socklen_t size = sizeof in;
@@ -70,7 +70,7 @@
     });
   }
 
-  ~OneConnection ()
+  ~OneConnectionServer ()
   {
     thread.join ();
     close (fd);
@@ -108,7 +108,7 @@
     }
 }
 
-TEST (Program, ShowsTheRowsThatMeetTheConditions)
+TEST (Program, ShowsMatchingRows)
 {
   OperatorFixture fixture;
   fixture.add_table ("targets", targets);
@@ -128,7 +128,7 @@
   EXPECT_EQ (run (fixture, "show routes").code, EXIT_CODE_NOT_FOUND);
 }
 
-TEST (Program, ExplainsATarget)
+TEST (Program, ExplainsTarget)
 {
   OperatorFixture fixture;
   fixture.add_table ("targets", targets);
@@ -141,15 +141,15 @@
   EXPECT_TRUE (contains (result.text, "EPOCH")) << result.text;
   EXPECT_TRUE (contains (run (fixture, "explain target b/both").text,
                          "jaystair undrain b/both"));
-  EXPECT_TRUE (
-      contains (run (fixture, "explain target a/both").text, "trickle"));
+  EXPECT_TRUE (contains (run (fixture, "explain target a/both").text,
+                         "successful responses to the few"));
   EXPECT_EQ (run (fixture, "explain target both").code, EXIT_CODE_USAGE);
   EXPECT_EQ (run (fixture, "explain target x").code, EXIT_CODE_NOT_FOUND);
   EXPECT_TRUE (contains (run (fixture, "--json explain target holds-1").text,
                          "\"brought_back_by\""));
 }
 
-TEST (Program, CommandsAndHowTheyEnd)
+TEST (Program, CommandsAndTheirExitCodes)
 {
   OperatorFixture fixture;
   fixture.add_table ("targets", targets);
@@ -184,7 +184,7 @@
     }
 }
 
-TEST (Program, TheSecretIsReadFromItsFile)
+TEST (Program, ReadsSecretFile)
 {
   char path[] = "/tmp/jaystair-secret-XXXXXX";
   const int fd = mkstemp (path);
@@ -201,41 +201,41 @@
   unlink (path);
 }
 
-/* An operator drains a target; the host takes the command and dies before it
-   answers.  Told "unreachable", the operator would believe nothing happened,
-   though the write may have taken effect. */
-TEST (Program, ACommandWithoutAnswerIsUnknownNotUnreachable)
+/* A host receives a command and dies before it responds.  "Unreachable" would
+   tell the operator that nothing happened, though the write may have taken
+   effect. */
+TEST (Program, CommandWithoutResponseIsUnknown)
 {
   {
-    OneConnection dies ([] (int) {});
-    EXPECT_EQ (run ("--host " + dies.address + " drain t").code,
+    OneConnectionServer dying_host ([] (int) {});
+    EXPECT_EQ (run ("--host " + dying_host.address + " drain t").code,
                EXIT_CODE_UNKNOWN);
   }
   {
-    OneConnection dies ([] (int) {});
-    EXPECT_EQ (run ("--host " + dies.address + " show hosts").code,
+    OneConnectionServer dying_host ([] (int) {});
+    EXPECT_EQ (run ("--host " + dying_host.address + " show hosts").code,
                EXIT_CODE_UNREACHABLE);
   }
   EXPECT_EQ (run ("--host 127.0.0.1:1 drain t").code, EXIT_CODE_UNREACHABLE);
 }
 
-TEST (Program, AnAnswerThatIsNotAHostsIsNoSuccess)
+TEST (Program, RefusesResponsesOfOtherServers)
 {
   const auto page = [] (int fd) {
     const char text[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
     send (fd, text, sizeof text - 1, MSG_NOSIGNAL);
   };
-  OneConnection reads (page);
+  OneConnectionServer reads (page);
   EXPECT_EQ (run ("--host " + reads.address + " show hosts").code,
              EXIT_CODE_UNREACHABLE);
-  OneConnection commands (page);
+  OneConnectionServer commands (page);
   EXPECT_EQ (run ("--host " + commands.address + " drain t").code,
              EXIT_CODE_UNKNOWN);
 }
 
-TEST (Program, AsksTheCallerSideForAddresses)
+TEST (Program, RequestsAddressesFromCallerAddress)
 {
-  OneConnection caller ([] (int fd) {
+  OneConnectionServer caller ([] (int fd) {
     const char text[]
         = "HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n"
           "{\"service\":\"s\",\"addresses\":[{\"address\":\"127.0.0.2:80\","
--- a/ctl/tests/statement_test.cc
+++ b/ctl/tests/statement_test.cc
@@ -29,7 +29,7 @@
   return words;
 }
 
-TEST (Statement, ShowTakesConditionsHoweverTheyAreSpaced)
+TEST (Statement, ShowParsesConditionsWithAnySpacing)
 {
   for (const char *text :
        { "show targets where state=ejected dc!=north-a",
@@ -51,7 +51,7 @@
     }
 }
 
-TEST (Statement, AQuotedValueStaysWhole)
+TEST (Statement, KeepsQuotedValues)
 {
   struct statement statement;
   ASSERT_EQ (parse ({ "show", "decisions", "where", "why~a = b" }, &statement),
@@ -101,7 +101,7 @@
   EXPECT_STREQ (statement.fingerprint, "0f");
 }
 
-TEST (Statement, ErrorsNameTheWordAndWhatWasExpected)
+TEST (Statement, ErrorsNameFoundAndExpectedWords)
 {
   const struct
   {
@@ -144,7 +144,7 @@
     }
 }
 
-TEST (Statement, GarbageNeverCrashesNorOverruns)
+TEST (Statement, SurvivesGarbage)
 {
   std::mt19937 random (99);
   const std::vector<std::string> vocabulary = {
@@ -163,9 +163,9 @@
       accepted += parse (words, &statement) == STATUS_OK;
     }
   EXPECT_GT (accepted, 0);
-  std::vector<std::string> many = split ("show hosts where");
+  std::vector<std::string> too_many = split ("show hosts where");
   for (int i = 0; i <= STATEMENT_FILTERS_MAX; i++)
-    many.push_back ("a=b");
+    too_many.push_back ("a=b");
   struct statement statement;
-  EXPECT_EQ (parse (many, &statement), STATUS_INVALID);
+  EXPECT_EQ (parse (too_many, &statement), STATUS_INVALID);
 }
--- a/ctl/tests/table_printer_test.cc
+++ b/ctl/tests/table_printer_test.cc
@@ -32,7 +32,7 @@
       "holds-10  12000  no\n");
 }
 
-TEST (TablePrinter, RowsMayDifferInTheirMembers)
+TEST (TablePrinter, RowsMayHaveDifferentMembers)
 {
   EXPECT_EQ (
       print ("[{\"a\":1},{\"b\":[\"x\",\"y\"],\"a\":null},{\"b\":\"\"}]"),
@@ -52,9 +52,9 @@
              "hiver  y\n");
 }
 
-/* An operator sees a quiet table while a target's name, set by somebody else,
-   moves the cursor up and paints over the row that says it is ejected. */
-TEST (TablePrinter, TerminalEscapesAreNotPassedOn)
+/* A target's name that contains terminal escapes could move the cursor and
+   overwrite the row that shows it as ejected. */
+TEST (TablePrinter, ReplacesControlCharacters)
 {
   const std::string text
       = print ("[{\"n\\u001b[m\":\"a\\u001b[2Jb\\nc\\u007f\"}]");
