--- a/node/operator/tests/operator_auth_test.cc
+++ b/node/operator/tests/operator_auth_test.cc
@@ -15,7 +15,7 @@
 static std::string
 write_secret (const std::string &text)
 {
-  char path[] = "/tmp/operator-auth-XXXXXX";
+  char path[] = "/tmp/operator-guard-XXXXXX";
   const int fd = mkstemp (path);
   EXPECT_EQ (write (fd, text.data (), text.size ()), (ssize_t)text.size ());
   close (fd);
--- a/policy/detection/explanation.c
+++ b/policy/detection/explanation.c
@@ -64,8 +64,8 @@
       break;
     case DETECTION_ON_TRIAL:
       snprintf (text, size,
-                "gets %u/1000 of an even share; returns after %u more "
-                "successful responses",
+                "gets %u/1000 of an even share; returns after %u more good "
+                "answers",
                 e->share_permille, e->good_needed);
       break;
     case DETECTION_WARMING:
