--- a/tests/harness/caller.cc
+++ b/tests/harness/caller.cc
@@ -5,15 +5,15 @@
 namespace
 {
 
-constexpr int holds_every = 3; /* one request in so many is a POST /holds */
-constexpr long request_limit_ms = 30000;
-constexpr int unserved_shown = 10;
+constexpr int post_interval = 3; /* every third request is a POST /holds */
+constexpr long request_timeout_ms = 30000;
+constexpr int unserved_shown_max = 10;
 
 RequestOutcome
-judge (const HttpResponse &answer, const std::string &id)
+classify (const HttpResponse &response, const std::string &id)
 {
-  const std::string outcome = answer.header ("jaystair-outcome");
-  if (!answer.complete)
+  const std::string outcome = response.header ("jaystair-outcome");
+  if (!response.complete)
     return RequestOutcome::unknown;
   if (outcome == "not-run")
     return RequestOutcome::not_run;
@@ -21,10 +21,10 @@
     return RequestOutcome::unknown;
   if (outcome != "ran")
     return RequestOutcome::wrong;
-  if (answer.status != 200)
+  if (response.status != 200)
     return RequestOutcome::failed;
-  /* The stand-in answers "NAME ID HASH BYTES". */
-  return answer.body.find (" " + id + " ") != std::string::npos
+  /* A stand-in target responds with "NAME ID HASH BYTES". */
+  return response.body.find (" " + id + " ") != std::string::npos
              ? RequestOutcome::ran
              : RequestOutcome::wrong;
 }
@@ -40,13 +40,13 @@
   request.url = base_url + (unrepeatable ? "/holds" : "/calendar");
   request.headers = headers;
   request.headers.push_back ("X-Request-Id: " + id);
-  request.timeout_ms = request_limit_ms;
+  request.timeout_ms = request_timeout_ms;
   if (unrepeatable)
     request.body = "hold for " + id;
-  const HttpResponse answer = http (request);
-  return { unrepeatable, judge (answer, id),
-           std::to_string (answer.status) + " " + answer.error + " "
-               + answer.body.substr (0, 200) };
+  const HttpResponse response = http (request);
+  return { unrepeatable, classify (response, id),
+           std::to_string (response.status) + " " + response.error + " "
+               + response.body.substr (0, 200) };
 }
 
 Load::Load (Fleet &fleet, int threads) : fleet_ (fleet)
@@ -81,12 +81,13 @@
           1 + (thread + i) % hosts,
           "/.well-known/jaystair/addresses?service=holds");
       request.timeout_ms = 2000;
-      const HttpResponse answer = http (request);
-      const size_t count
-          = answer.status == 200 ? json_length (answer.body, "addresses") : 0;
+      const HttpResponse response = http (request);
+      const size_t count = response.status == 200
+                               ? json_length (response.body, "addresses")
+                               : 0;
       for (size_t n = 0; n < count; n++)
-        list.push_back (json_at (answer.body, "addresses." + std::to_string (n)
-                                                  + ".address"));
+        list.push_back (json_at (
+            response.body, "addresses." + std::to_string (n) + ".address"));
     }
   return list;
 }
@@ -98,25 +99,25 @@
     send_one (thread, number);
 }
 
-/* A caller that can't connect tries the next address; once a request may have
-   reached a host it is sent again only if it is repeatable. */
+/* A caller that can't connect tries the next address.  Once a request may have
+   reached a host, it is sent again only if it is repeatable. */
 void
 Load::send_one (int thread, int number)
 {
   const std::string name
       = "r" + std::to_string (thread) + "-" + std::to_string (number);
-  const bool unrepeatable = number % holds_every == 0;
+  const bool unrepeatable = number % post_interval == 0;
   Record record{ unrepeatable, RequestOutcome::not_run, "no host answered" };
   std::string id = name;
-  int sendings = 0;
+  int attempts = 0;
   for (const std::string &address : fetch_addresses (thread))
     {
-      if (sendings > 0)
+      if (attempts > 0)
         {
           add_record (id, record);
-          id = name + "." + std::to_string (sendings);
+          id = name + "." + std::to_string (attempts);
         }
-      sendings++;
+      attempts++;
       record = send_and_classify ("http://" + address, id, unrepeatable);
       const bool no_connection
           = record.detail.find ("connect to server") != std::string::npos;
@@ -146,12 +147,12 @@
 }
 
 size_t
-Load::count_outcome (RequestOutcome told)
+Load::count_outcome (RequestOutcome outcome)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   size_t count = 0;
   for (const auto &entry : records_)
-    count += entry.second.outcome == told;
+    count += entry.second.outcome == outcome;
   return count;
 }
 
@@ -176,25 +177,25 @@
 Load::check ()
 {
   const std::map<std::string, int> runs = fleet_.all_runs ();
-  std::string broken;
+  std::string violations;
   for (const auto &entry : records_)
     {
       const std::string &id = entry.first;
       const Record &record = entry.second;
       const auto found = runs.find (id);
       const int count = found == runs.end () ? 0 : found->second;
-      const std::string about = id + " (" + record.detail + ") ran "
-                                + std::to_string (count) + " times\n";
+      const std::string description = id + " (" + record.detail + ") ran "
+                                      + std::to_string (count) + " times\n";
       if (record.outcome == RequestOutcome::wrong)
-        broken += "not its own whole answer: " + about;
+        violations += "not its own complete response: " + description;
       if (record.unrepeatable && count > 1)
-        broken += "unrepeatable but run twice: " + about;
+        violations += "unrepeatable but run twice: " + description;
       if (record.outcome == RequestOutcome::not_run && count > 0)
-        broken += "told not run: " + about;
+        violations += "reported as not run: " + description;
       if (record.outcome == RequestOutcome::ran && count == 0)
-        broken += "told run: " + about;
+        violations += "reported as run: " + description;
     }
-  return broken;
+  return violations;
 }
 
 std::string
@@ -202,9 +203,9 @@
 {
   return std::to_string (count ())
          + " requests: " + std::to_string (count_outcome (RequestOutcome::ran))
-         + " answered whole, "
+         + " complete responses, "
          + std::to_string (count_outcome (RequestOutcome::failed))
-         + " answered with a failure, "
+         + " error responses, "
          + std::to_string (count_outcome (RequestOutcome::not_run))
          + " not run, "
          + std::to_string (count_outcome (RequestOutcome::unknown))
@@ -218,9 +219,9 @@
 {
   std::lock_guard<std::mutex> lock (mutex_);
   std::string lines;
-  int left = unserved_shown;
+  int remaining = unserved_shown_max;
   for (const auto &[id, record] : records_)
-    if (record.outcome != RequestOutcome::ran && left-- > 0)
+    if (record.outcome != RequestOutcome::ran && remaining-- > 0)
       lines += id + ": " + record.detail + "\n";
   return lines;
 }
--- a/tests/harness/caller.h
+++ b/tests/harness/caller.h
@@ -1,5 +1,5 @@
 /** @file
- * Callers of a fleet, and the account of what each was told.
+ * A request load on a fleet, and the recorded outcome of each request.
  */
 #ifndef TESTS_HARNESS_CALLER_H
 #define TESTS_HARNESS_CALLER_H
@@ -13,14 +13,15 @@
 
 #include "tests/harness/fleet.h"
 
-/** What a caller was told about one request. */
+/** The outcome of one request as its caller observes it. */
 enum class RequestOutcome
 {
-  ran,     /**< the whole right answer */
-  failed,  /**< a whole answer of the target that says failure */
-  not_run, /**< refused: surely not run */
-  unknown, /**< an honest "unknown", or the connection broke */
-  wrong,   /**< an answer that isn't its own, or cut but complete-looking */
+  ran,     /**< the complete, correct response */
+  failed,  /**< a complete error response of the target */
+  not_run, /**< refused: certain not to have run */
+  unknown, /**< reported as "unknown", or the connection broke */
+  wrong,   /**< another request's response, or a truncated one that
+               looks complete */
 };
 
 struct Record
@@ -30,30 +31,30 @@
   std::string detail;
 };
 
-/** Callers that ask for addresses, keep the answer, and send GET /calendar
- * and POST /holds requests until stopped.  Each sending has an id of its
- * own. */
+/** Callers that fetch the host addresses before each request and send GET
+ * /calendar and POST /holds requests until stopped.  Each attempt has an id
+ * of its own. */
 class Load
 {
 public:
   Load (Fleet &fleet, int threads);
   ~Load ();
 
-  /** Wait until COUNT more requests have ended. */
-  bool wait_for_requests (size_t count);
+  /** Wait until MORE further requests have ended; false on a timeout. */
+  bool wait_for_requests (size_t more);
   void stop ();
   size_t count ();
-  size_t count_outcome (RequestOutcome told);
-  /** Every promise the users are given, against the targets' own account;
-   * "" when all are kept, else what broke.  After stop(). */
+  size_t count_outcome (RequestOutcome outcome);
+  /** Check each reported outcome against the runs that the targets recorded.
+   * @return "" or a description of each violation; call after stop() */
   std::string check ();
-  /** How often requests ran beyond the first time: the fleet's own repeats.
-   * After stop(). */
+  /** The number of runs beyond the first of each request: the retries that
+   * the fleet made itself.  Call after stop(). */
   size_t repeated_runs ();
   std::string summary ();
 
 private:
-  /** What the first requests that weren't answered whole were told. */
+  /** The outcomes of the first requests without a complete response. */
   std::string first_unserved ();
   void run (int thread);
   void send_one (int thread, int number);
@@ -67,7 +68,7 @@
   std::vector<std::thread> threads_;
 };
 
-/** Send one request through the host at CALLER_URL and judge the answer. */
+/** Send one request through the host at BASE_URL and classify the response. */
 Record send_and_classify (const std::string &base_url, const std::string &id,
                           bool unrepeatable,
                           const std::vector<std::string> &headers = {});
--- a/tests/harness/fleet.cc
+++ b/tests/harness/fleet.cc
@@ -17,19 +17,19 @@
 constexpr int operator_port = 8082;
 constexpr int platform_port = 9000;
 constexpr int target_port = 9100;
-constexpr int claim_port = 7001;
-/* Last bytes of addresses: hosts from 10 on, targets from 110 on. */
-constexpr int platform_last = 2;
-constexpr int hosts_from = 10;
-constexpr int targets_from = 110;
+constexpr int lock_port = 7001;
+/* Last bytes of addresses: hosts start at 10, targets at 110. */
+constexpr int platform_last_byte = 2;
+constexpr int host_last_byte_base = 10;
+constexpr int target_last_byte_base = 110;
 
 int
-try_claim (const std::string &ip)
+bind_lock_port (const std::string &ip)
 {
   const int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
-  address.sin_port = htons (claim_port);
+  address.sin_port = htons (lock_port);
   inet_pton (AF_INET, ip.c_str (), &address.sin_addr);
   if (bind (fd, reinterpret_cast<sockaddr *> (&address), sizeof address) == 0)
     return fd;
@@ -47,7 +47,7 @@
       const int block = (start + i) % 30000;
       prefix_ = "127." + std::to_string (1 + block / 250) + "."
                 + std::to_string (1 + block % 250) + ".";
-      lock_fd_ = try_claim (prefix_ + "1");
+      lock_fd_ = bind_lock_port (prefix_ + "1");
     }
   if (lock_fd_ < 0)
     abort ();
@@ -99,31 +99,34 @@
 std::string
 Fleet::peer_address (int host) const
 {
-  return addresses.at (hosts_from + host, peer_port);
+  return addresses.at (host_last_byte_base + host, peer_port);
 }
 
 std::string
 Fleet::caller_url (int host, const std::string &path) const
 {
-  return "http://" + addresses.at (hosts_from + host, caller_port) + path;
+  return "http://" + addresses.at (host_last_byte_base + host, caller_port)
+         + path;
 }
 
 std::string
 Fleet::operator_url (int host, const std::string &path) const
 {
-  return "http://" + addresses.at (hosts_from + host, operator_port) + path;
+  return "http://" + addresses.at (host_last_byte_base + host, operator_port)
+         + path;
 }
 
 std::string
 Fleet::target_url (int target, const std::string &path) const
 {
-  return "http://" + addresses.at (targets_from + target, target_port) + path;
+  return "http://" + addresses.at (target_last_byte_base + target, target_port)
+         + path;
 }
 
 std::string
 Fleet::platform_url (const std::string &path) const
 {
-  return "http://" + addresses.at (platform_last, platform_port) + path;
+  return "http://" + addresses.at (platform_last_byte, platform_port) + path;
 }
 
 std::string
@@ -137,7 +140,7 @@
 {
   const std::string name = "host-" + std::to_string (number);
   const std::string path = settings_path (number);
-  const int last = hosts_from + number;
+  const int last = host_last_byte_base + number;
   std::ofstream out (path);
   out << "{ \"name\": \"" << name << "\", \"dc\": \"" << dc_of (number)
       << "\",\n\"addresses\": { \"caller\": \""
@@ -148,12 +151,13 @@
       << address_of (name + ".peer", addresses.at (last, peer_port))
       << "\" },\n"
       << "\"platform\": { \"addresses\": [\""
-      << address_of ("platform", addresses.at (platform_last, platform_port))
+      << address_of ("platform",
+                     addresses.at (platform_last_byte, platform_port))
       << "\"] },\n\"peers\": [";
   for (int other = 1; other <= options_.hosts && other <= 16; other++)
     out << (other > 1 ? "," : "") << "\""
         << address_of ("host-" + std::to_string (other) + ".peer",
-                       addresses.at (hosts_from + other, peer_port))
+                       addresses.at (host_last_byte_base + other, peer_port))
         << "\"";
   out << "],\n\"log\": { \"json\": true, \"repeats_per_second\": 0, "
          "\"warnings_per_second\": 0 },\n";
@@ -181,8 +185,8 @@
       const std::string name = "target-" + std::to_string (number);
       out << (number > 1 ? "," : "") << "{\"name\":\"" << name
           << "\",\"address\":\""
-          << address_of (name,
-                         addresses.at (targets_from + number, target_port))
+          << address_of (name, addresses.at (target_last_byte_base + number,
+                                             target_port))
           << "\",\"dc\":\"" << dc_of (number)
           << "\",\"slots\":" << options_.slots << "}";
     }
@@ -195,9 +199,9 @@
 void
 Fleet::start_platform ()
 {
-  platform = std::make_unique<Process> (
-      std::vector<std::string>{ STANDIN_PLATFORM, "--listen",
-                                addresses.at (platform_last, platform_port) });
+  platform = std::make_unique<Process> (std::vector<std::string>{
+      STANDIN_PLATFORM, "--listen",
+      addresses.at (platform_last_byte, platform_port) });
 }
 
 void
@@ -211,7 +215,7 @@
     }
   target = std::make_unique<Process> (std::vector<std::string>{
       STANDIN_TARGET, "--listen",
-      addresses.at (targets_from + number, target_port), "--name",
+      addresses.at (target_last_byte_base + number, target_port), "--name",
       "target-" + std::to_string (number) });
 }
 
@@ -293,7 +297,7 @@
 Fleet::all_runs ()
 {
   std::map<std::string, int> runs;
-  /* A line that a target wrote may still be on its way to us. */
+  /* A line that a target wrote may not have been read from its pipe yet. */
   for (size_t i = 0; i < targets.size (); i++)
     {
       size_t from = targets[i]->line_count ();
@@ -321,7 +325,7 @@
 {
   std::vector<std::string> all
       = { JAYSTAIR, "--host",
-          addresses.at (hosts_from + host, operator_port) };
+          addresses.at (host_last_byte_base + host, operator_port) };
   if (options_.secret)
     all.insert (all.end (), { "--secret-file", folder_ + "/secret" });
   all.insert (all.end (), args.begin (), args.end ());
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -1,6 +1,6 @@
 /** @file
- * A whole small system as separate processes on loopback addresses of its
- * own: the stand-in platform, stand-in targets, and hosts.
+ * A complete small system as separate processes on loopback addresses of its
+ * own: the stand-in platform, stand-in targets and hosts.
  */
 #ifndef TESTS_HARNESS_FLEET_H
 #define TESTS_HARNESS_FLEET_H
@@ -13,7 +13,8 @@
 #include "tests/harness/http.h"
 #include "tests/harness/process.h"
 
-/** A /24 of loopback addresses that no other test program uses. */
+/** A /24 of loopback addresses that no other test program uses; a bound port
+ * on it serves as the lock. */
 class AddressBlock
 {
 public:
@@ -21,7 +22,7 @@
   ~AddressBlock ();
   AddressBlock (const AddressBlock &) = delete;
   AddressBlock &operator= (const AddressBlock &) = delete;
-  /** The address with the last byte LAST and this port. */
+  /** The address with the last byte LAST, and PORT, as IP:PORT. */
   std::string at (int last, int port) const;
 
 private:
@@ -29,14 +30,14 @@
   std::string prefix_;
 };
 
-/** Times for FleetOptions::times: a dead host, owner or platform is noticed
+/** For FleetOptions::times: a failed host, owner or platform is detected
  * within about a second. */
 inline const char *const short_times
     = "\"heartbeat_ms\":100,\"suspect_after_ms\":400,\"dead_after_ms\":1000,"
       "\"evidence_ms\":100,\"enforce_ms\":600,\"owner_lease_ms\":1200,"
       "\"watch_ms\":500,\"platform_timeout_ms\":300";
 
-/** What differs between fleets of the tests. */
+/** Configuration of a test fleet. */
 struct FleetOptions
 {
   int hosts = 3;
@@ -50,8 +51,8 @@
   std::string times;
   /** Members of each host's "retry", as JSON members. */
   std::string retry;
-  /** Addresses put in place of the real ones ("host-1.peer", "target-2",
-   * "platform"), so that a relay can stand between. */
+  /** Addresses used instead of the real ones of "host-1.peer", "target-2" or
+   * "platform", to insert a relay. */
   std::map<std::string, std::string> address_overrides;
   bool secret = false;
   /** Programs of hosts, by number, in place of this build's jaystaird. */
@@ -68,7 +69,8 @@
 
   /** Start the platform and the targets, declare the service "holds"
    * (GET /calendar repeatable, POST /holds not), start the hosts and wait
-   * until each serves it.  False with the reason on standard error. */
+   * until each serves it.
+   * @return false on failure, with the reason on standard error */
   bool start ();
   /** Run PROGRAM from the host's next start on. */
   void set_program (int number, const std::string &program);
@@ -76,12 +78,12 @@
   void start_platform ();
   void start_target (int number);
   void start_host (int number);
-  /** Wait until the host has the service in force. */
+  /** Wait until the service is in force on the host. */
   bool wait_serving (int number);
 
-  /** Change the declared service by a write at the platform itself. */
+  /** Change the declared service by writing to the platform directly. */
   bool declare (const std::string &service_json);
-  /** Write an object at the platform itself, whatever version it has. */
+  /** Write an object to the platform directly, whatever its version. */
   bool put_object (const std::string &path, const std::string &text);
   /** The service "holds" as first declared. */
   std::string service_json () const;
@@ -97,22 +99,23 @@
 
   /** POST to a control endpoint of a stand-in. */
   bool post_control (const std::string &url);
-  /** How often each request was run, by id, over all targets, by the lines
-   * they wrote: those of a killed target count too. */
+  /** The number of runs of each request, by id, over all targets.  It is
+   * taken from the lines that targets print, so the runs of a killed target
+   * are included. */
   std::map<std::string, int> all_runs ();
   int runs_of (const std::string &id);
-  /** Run the operator program against HOST; its output, and its exit code. */
+  /** Run the operators' program against HOST; the result is its output. */
   std::string jaystair (int host, std::vector<std::string> args,
                         int *exit_code = nullptr);
 
-  /** The last log lines of every process, for a failure's message. */
+  /** The last log lines of every host and target, for a failure's message. */
   std::string logs ();
 
   AddressBlock addresses;
   std::unique_ptr<Process> platform;
   std::vector<std::unique_ptr<Process>> targets; /**< [number - 1] */
   std::vector<std::unique_ptr<Process>> hosts;   /**< [number - 1] */
-  /** Targets that were replaced by a new start; their account still counts. */
+  /** Targets that were restarted; their runs still count. */
   std::vector<std::unique_ptr<Process>> past_targets;
 
 private:
--- a/tests/harness/http.cc
+++ b/tests/harness/http.cc
@@ -11,14 +11,14 @@
 {
 
 size_t
-take_body (char *data, size_t size, size_t count, void *owner)
+append_body (char *data, size_t size, size_t count, void *owner)
 {
   static_cast<std::string *> (owner)->append (data, size * count);
   return size * count;
 }
 
 size_t
-take_header (char *data, size_t size, size_t count, void *owner)
+add_header (char *data, size_t size, size_t count, void *owner)
 {
   auto *headers = static_cast<std::map<std::string, std::string> *> (owner);
   const std::string line (data, size * count);
@@ -36,7 +36,7 @@
 }
 
 json_object *
-walk (json_object *node, const std::string &at)
+find_node (json_object *node, const std::string &at)
 {
   std::stringstream parts (at);
   for (std::string part; node != nullptr && getline (parts, part, '.');)
@@ -61,7 +61,7 @@
 HttpResponse
 http (const HttpRequest &request)
 {
-  HttpResponse answer;
+  HttpResponse response;
   CURL *easy = curl_easy_init ();
   curl_slist *headers = curl_slist_append (nullptr, "Expect:");
   for (const std::string &header : request.headers)
@@ -72,10 +72,10 @@
   curl_easy_setopt (easy, CURLOPT_PROXY, "");
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, request.timeout_ms);
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, headers);
-  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, take_body);
-  curl_easy_setopt (easy, CURLOPT_WRITEDATA, &answer.body);
-  curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, take_header);
-  curl_easy_setopt (easy, CURLOPT_HEADERDATA, &answer.headers);
+  curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, append_body);
+  curl_easy_setopt (easy, CURLOPT_WRITEDATA, &response.body);
+  curl_easy_setopt (easy, CURLOPT_HEADERFUNCTION, add_header);
+  curl_easy_setopt (easy, CURLOPT_HEADERDATA, &response.headers);
   if (!request.body.empty () || request.method == "POST")
     {
       curl_easy_setopt (easy, CURLOPT_POSTFIELDSIZE,
@@ -83,12 +83,12 @@
       curl_easy_setopt (easy, CURLOPT_POSTFIELDS, request.body.data ());
     }
   const CURLcode code = curl_easy_perform (easy);
-  curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &answer.status);
-  answer.complete = code == CURLE_OK;
-  answer.error = curl_easy_strerror (code);
+  curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &response.status);
+  response.complete = code == CURLE_OK;
+  response.error = curl_easy_strerror (code);
   curl_slist_free_all (headers);
   curl_easy_cleanup (easy);
-  return answer;
+  return response;
 }
 
 HttpResponse
@@ -103,7 +103,7 @@
 json_at (const std::string &text, const std::string &at)
 {
   json_object *tree = json_tokener_parse (text.c_str ());
-  json_object *node = walk (tree, at);
+  json_object *node = find_node (tree, at);
   const std::string value
       = node == nullptr ? "" : json_object_get_string (node);
   json_object_put (tree);
@@ -114,7 +114,7 @@
 json_length (const std::string &text, const std::string &at)
 {
   json_object *tree = json_tokener_parse (text.c_str ());
-  json_object *node = walk (tree, at);
+  json_object *node = find_node (tree, at);
   const size_t length = json_object_is_type (node, json_type_array)
                             ? json_object_array_length (node)
                             : 0;
--- a/tests/harness/http.h
+++ b/tests/harness/http.h
@@ -1,5 +1,5 @@
 /** @file
- * HTTP requests of a test, by libcurl.
+ * HTTP requests of tests, sent with libcurl.
  */
 #ifndef TESTS_HARNESS_HTTP_H
 #define TESTS_HARNESS_HTTP_H
@@ -21,7 +21,7 @@
 
 struct HttpResponse
 {
-  bool complete = false; /**< a complete answer came */
+  bool complete = false; /**< the response was received completely */
   long status = 0;
   std::map<std::string, std::string> headers; /**< names in lower case */
   std::string body;
@@ -33,11 +33,12 @@
 HttpResponse http (const HttpRequest &request);
 HttpResponse http_get (const std::string &url);
 
-/** The member AT of a JSON text, dotted ("rows.0.name"), as text; "" when
- * there is none. */
+/** The value at the dotted path AT of a JSON text ("rows.0.name"), as text; ""
+ * if there is none. */
 std::string json_at (const std::string &text, const std::string &at);
 
-/** The number of elements of the array AT. */
+/** The number of elements of the array at the dotted path AT; 0 if there is
+ * none. */
 size_t json_length (const std::string &text, const std::string &at);
 
 #endif
--- a/tests/harness/process.cc
+++ b/tests/harness/process.cc
@@ -12,16 +12,15 @@
 namespace
 {
 
-constexpr std::chrono::seconds line_limit{ 60 };
-/* Conditions that no line announces (a counter at a stand-in) are looked at
-   this often. */
-constexpr std::chrono::milliseconds look_again{ 50 };
+constexpr std::chrono::seconds line_timeout{ 60 };
+/* For conditions that no line announces, such as a counter of a stand-in. */
+constexpr std::chrono::milliseconds poll_interval{ 50 };
 
-std::mutex growth_mutex;
-std::condition_variable growth;
+std::mutex any_output_mutex;
+std::condition_variable any_output_cond;
 
 bool
-holds_all (const std::string &line, const std::vector<std::string> &parts)
+contains_all (const std::string &line, const std::vector<std::string> &parts)
 {
   for (const std::string &part : parts)
     if (line.find (part) == std::string::npos)
@@ -32,7 +31,7 @@
 [[noreturn]] void
 run_child (const std::vector<std::string> &args, int out)
 {
-  /* A test program that is killed must not leave its children behind. */
+  /* A killed test program must not leave its children running. */
   prctl (PR_SET_PDEATHSIG, SIGKILL);
   dup2 (out, STDOUT_FILENO);
   dup2 (out, STDERR_FILENO);
@@ -50,7 +49,7 @@
 void
 notify_output ()
 {
-  growth.notify_all ();
+  any_output_cond.notify_all ();
 }
 
 bool
@@ -62,8 +61,8 @@
     {
       if (std::chrono::steady_clock::now () > end)
         return false;
-      std::unique_lock<std::mutex> lock (growth_mutex);
-      growth.wait_for (lock, look_again);
+      std::unique_lock<std::mutex> lock (any_output_mutex);
+      any_output_cond.wait_for (lock, poll_interval);
     }
   return true;
 }
@@ -110,11 +109,11 @@
 {
   std::unique_lock<std::mutex> lock (mutex_);
   size_t at = from != nullptr ? *from : 0;
-  const auto end = std::chrono::steady_clock::now () + line_limit;
+  const auto end = std::chrono::steady_clock::now () + line_timeout;
   for (;;)
     {
       for (; at < lines_.size (); at++)
-        if (holds_all (lines_[at], parts))
+        if (contains_all (lines_[at], parts))
           {
             if (from != nullptr)
               *from = at + 1;
@@ -132,7 +131,7 @@
   std::lock_guard<std::mutex> lock (mutex_);
   size_t count = 0;
   for (const std::string &line : lines_)
-    count += holds_all (line, parts);
+    count += contains_all (line, parts);
   return count;
 }
 
@@ -154,8 +153,8 @@
   return lines_.size ();
 }
 
-/* The lines of single requests would push all others out of a failure's
-   message. */
+/* Skips the lines of single requests, which would displace all others in a
+   failure's message. */
 std::string
 Process::tail (size_t lines)
 {
--- a/tests/harness/process.h
+++ b/tests/harness/process.h
@@ -13,7 +13,7 @@
 #include <thread>
 #include <vector>
 
-/** Starts at construction; killed at destruction if it still runs. */
+/** Started by the constructor, killed by the destructor if it still runs. */
 class Process
 {
 public:
@@ -22,24 +22,26 @@
   Process (const Process &) = delete;
   Process &operator= (const Process &) = delete;
 
-  /** Wait until a line holds all PARTS, from the line numbered *FROM on;
-   * *FROM then numbers the line behind it.  False after a generous limit or
-   * when the output ends. */
+  /** Wait for a line that contains all PARTS, starting at line number *FROM;
+   * *FROM is then set to the line after it.
+   * @return false after a minute, or when the output ends */
   bool wait_line (const std::vector<std::string> &parts,
                   size_t *from = nullptr);
-  /** How many lines so far hold all PARTS. */
+  /** The number of lines so far that contain all PARTS. */
   size_t count_lines (const std::vector<std::string> &parts);
-  /** The lines so far that begin with PREFIX. */
+  /** The lines so far that start with PREFIX. */
   std::vector<std::string> lines_with (const std::string &prefix);
-  /** The number of lines so far: where to wait from for what comes next. */
+  /** The number of lines so far; as *FROM of wait_line() it selects the lines
+   * to come. */
   size_t line_count ();
   /** The last LINES lines, for a failure's message. */
   std::string tail (size_t lines = 40);
 
   void signal (int number);
-  /** Wait for the end; the exit code, or minus the signal's number. */
+  /** Wait until it exits.
+   * @return the exit code, or the negated number of the signal */
   int wait ();
-  /** SIGKILL and wait. */
+  /** Send SIGKILL and wait. */
   void kill ();
   bool
   running () const
@@ -64,11 +66,12 @@
   bool ended_ = false;
 };
 
-/** Called whenever any process wrote a line; lets wait_until() look again. */
+/** Make wait_until() evaluate its condition again; called for each line that
+ * any process prints. */
 void notify_output ();
 
-/** Look at CONDITION whenever some process writes a line (and now and then
- * besides) until it holds; false after a generous limit. */
+/** Evaluate CONDITION whenever a process prints a line, and periodically,
+ * until it holds; false after LIMIT_S seconds. */
 bool wait_until (const std::function<bool ()> &condition, int limit_s = 60);
 
 #endif
--- a/tests/harness/relay.cc
+++ b/tests/harness/relay.cc
@@ -10,7 +10,7 @@
 {
 
 sockaddr_in
-parse (const std::string &address)
+parse_address (const std::string &address)
 {
   const size_t colon = address.rfind (':');
   sockaddr_in parsed{};
@@ -32,7 +32,7 @@
 Relay::Relay (const std::string &listen, const std::string &forward)
     : forward_ (forward), listener_ (new_socket ())
 {
-  const sockaddr_in address = parse (listen);
+  const sockaddr_in address = parse_address (listen);
   const int on = 1;
   setsockopt (listener_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (bind (listener_, reinterpret_cast<const sockaddr *> (&address),
@@ -57,7 +57,7 @@
   close (listener_);
 }
 
-/* Dissolving the association of a connected socket sends a reset. */
+/* connect() with AF_UNSPEC disconnects a socket and sends a reset. */
 void
 Relay::reset ()
 {
@@ -74,36 +74,37 @@
 void
 Relay::accept_loop ()
 {
-  const sockaddr_in address = parse (forward_);
+  const sockaddr_in address = parse_address (forward_);
   for (;;)
     {
-      const int near = accept4 (listener_, nullptr, nullptr, SOCK_CLOEXEC);
-      if (near < 0)
+      const int client_fd
+          = accept4 (listener_, nullptr, nullptr, SOCK_CLOEXEC);
+      if (client_fd < 0)
         return;
-      const int far = new_socket ();
-      if (connect (far, reinterpret_cast<const sockaddr *> (&address),
+      const int server_fd = new_socket ();
+      if (connect (server_fd, reinterpret_cast<const sockaddr *> (&address),
                    sizeof address)
           != 0)
         {
-          close (far);
-          close (near);
+          close (server_fd);
+          close (client_fd);
           continue;
         }
       std::lock_guard<std::mutex> lock (mutex_);
-      links_.push_back (std::make_unique<Link> (Link{ near, far }));
+      links_.push_back (std::make_unique<Link> (Link{ client_fd, server_fd }));
       Link *link = links_.back ().get ();
       std::thread ([=] {
-        pump (near, far, drop_forward);
+        pump (client_fd, server_fd, drop_forward);
         release (link);
       }).detach ();
       std::thread ([=] {
-        pump (far, near, drop_backward);
+        pump (server_fd, client_fd, drop_backward);
         release (link);
       }).detach ();
     }
 }
 
-/* The second of a connection's two pumps closes it. */
+/* The second of a connection's two pump threads closes it. */
 void
 Relay::release (Link *link)
 {
@@ -117,20 +118,20 @@
 }
 
 void
-Relay::pump (int from, int to, const std::atomic<bool> &cut)
+Relay::pump (int from, int to, const std::atomic<bool> &drop)
 {
   char block[16384];
   for (ssize_t n; (n = recv (from, block, sizeof block, 0)) > 0;)
     {
-      /* The delay is the fault itself: the network holds the block up. */
+      /* Simulates the delay of a slow network. */
       if (delay_ms > 0)
         std::this_thread::sleep_for (std::chrono::milliseconds (delay_ms));
-      if (cut)
+      if (drop)
         continue;
       if (send (to, block, static_cast<size_t> (n), MSG_NOSIGNAL) != n)
         break;
     }
-  /* A cut network hides the end of a connection as well. */
-  if (!cut)
+  /* A one-way link failure hides the end of a connection as well. */
+  if (!drop)
     shutdown (to, SHUT_WR);
 }
--- a/tests/harness/relay.h
+++ b/tests/harness/relay.h
@@ -1,5 +1,5 @@
 /** @file
- * A TCP relay inside the test that can drop what flows one way.
+ * A TCP relay in the test process that can drop the data of one direction.
  */
 #ifndef TESTS_HARNESS_RELAY_H
 #define TESTS_HARNESS_RELAY_H
@@ -12,10 +12,10 @@
 #include <string>
 #include <thread>
 
-/** Forwards connections to an address.  A cut direction swallows bytes and
- * keeps the connection open, as a network that loses packets one way does
- * (short of the sender's own retransmission running out); each block that is
- * forwarded may be held up, and all connections may be reset at once. */
+/** Forwards connections to an address.  A direction that is dropped loses its
+ * bytes while the connection stays open, as with a network that loses packets
+ * one way (short of the sender's retransmission timeout).  Each forwarded
+ * block can be delayed, and all connections can be reset at once. */
 class Relay
 {
 public:
@@ -24,28 +24,28 @@
   Relay (const Relay &) = delete;
   Relay &operator= (const Relay &) = delete;
 
-  /** Drop what the connecting side sends. */
+  /** Drop what the client sends. */
   std::atomic<bool> drop_forward{ false };
-  /** Drop what the forwarded-to side sends back. */
+  /** Drop what the server sends. */
   std::atomic<bool> drop_backward{ false };
-  /** Hold up each block for so long. */
+  /** Delay of each block. */
   std::atomic<int> delay_ms{ 0 };
 
-  /** Reset all connections, both ways. */
+  /** Reset all connections, on both sides. */
   void reset ();
 
 private:
-  /** One connection, with the sockets on both sides of the relay. */
+  /** One connection through the relay. */
   struct Link
   {
     int client_fd;
     int server_fd;
-    int pumps = 2; /**< that still run */
+    int pumps = 2; /**< threads still running */
   };
 
   void accept_loop ();
   void release (Link *link);
-  void pump (int from, int to, const std::atomic<bool> &cut);
+  void pump (int from, int to, const std::atomic<bool> &drop);
 
   std::string forward_;
   int listener_ = -1;
