--- a/tests/fleet/command_test.cc
+++ b/tests/fleet/command_test.cc
@@ -1,4 +1,4 @@
-/** Every command of the operators' program against a real fleet. */
+/** Commands of the operators' program against a real fleet. */
 #include <gtest/gtest.h>
 
 #include "tests/harness/fleet.h"
@@ -26,18 +26,19 @@
   }
 
   void
-  expect_done (std::vector<std::string> args)
+  expect_accepted (std::vector<std::string> args)
   {
     int code = -1;
-    const std::string answer = fleet.jaystair (1, args, &code);
-    EXPECT_EQ (code, 0) << answer;
-    EXPECT_NE (answer.find ("accepted"), std::string::npos) << answer;
+    const std::string output = fleet.jaystair (1, args, &code);
+    EXPECT_EQ (code, 0) << output;
+    EXPECT_NE (output.find ("accepted"), std::string::npos) << output;
   }
 
-  /* Until both hosts show PART in the row of TABLE that meets CONDITION. */
+  /* Waits until both hosts show PART in the row of TABLE that matches
+     CONDITION. */
   void
-  expect_seen (const std::string &table, const std::string &condition,
-               const std::string &part)
+  expect_shown (const std::string &table, const std::string &condition,
+                const std::string &part)
   {
     for (int host = 1; host <= 2; host++)
       EXPECT_TRUE (wait_until ([&] {
@@ -53,51 +54,52 @@
 
 TEST_F (Command, DrainAndUndrain)
 {
-  expect_done ({ "drain", "target-1" });
-  expect_seen ("targets", "target=target-1", "\"drained\"");
-  expect_done ({ "undrain", "holds/target-1" });
-  expect_seen ("targets", "target=target-1", "\"active\"");
+  expect_accepted ({ "drain", "target-1" });
+  expect_shown ("targets", "target=target-1", "\"drained\"");
+  expect_accepted ({ "undrain", "holds/target-1" });
+  expect_shown ("targets", "target=target-1", "\"active\"");
 }
 
 TEST_F (Command, FloorAndPause)
 {
-  expect_done ({ "set", "floor", "holds", "8" });
-  expect_seen ("services", "floor_capacity=8", "holds");
-  expect_done ({ "pause", "ejection", "holds" });
-  expect_seen ("services", "service=holds", "paused");
-  expect_done ({ "resume", "ejection", "holds" });
-  expect_seen ("services", "service=holds", "automatic");
+  expect_accepted ({ "set", "floor", "holds", "8" });
+  expect_shown ("services", "floor_capacity=8", "holds");
+  expect_accepted ({ "pause", "ejection", "holds" });
+  expect_shown ("services", "service=holds", "paused");
+  expect_accepted ({ "resume", "ejection", "holds" });
+  expect_shown ("services", "service=holds", "automatic");
 }
 
-/* Three targets of four slots, a floor of four: two may be taken out by hand,
-   the third is refused and stays, and what was taken out comes back. */
-TEST_F (Command, EjectionByHandKeepsTheFloor)
+/* With three targets of four slots and a floor of four, an operator can eject
+   two targets; the third ejection is refused, and an ejected target can be
+   reinstated. */
+TEST_F (Command, ManualEjectionKeepsFloor)
 {
   ASSERT_TRUE (wait_until ([&] {
     int code = -1;
     fleet.jaystair (1, { "eject", "target-1" }, &code);
     return code == 0;
   })) << fleet.logs ();
-  expect_done ({ "eject", "target-2" });
-  expect_seen ("targets", "target=target-2", "\"ejected\"");
+  expect_accepted ({ "eject", "target-2" });
+  expect_shown ("targets", "target=target-2", "\"ejected\"");
   int code = -1;
-  const std::string answer
+  const std::string output
       = fleet.jaystair (1, { "eject", "target-3" }, &code);
-  EXPECT_EQ (code, 1) << answer;
-  EXPECT_NE (answer.find ("floor"), std::string::npos) << answer;
-  expect_done ({ "reinstate", "target-2" });
-  expect_seen ("targets", "target=target-2", "\"active\"");
+  EXPECT_EQ (code, 1) << output;
+  EXPECT_NE (output.find ("floor"), std::string::npos) << output;
+  expect_accepted ({ "reinstate", "target-2" });
+  expect_shown ("targets", "target=target-2", "\"active\"");
 }
 
-TEST_F (Command, QuestionsAreAnswered)
+TEST_F (Command, ShowExplainAndAddresses)
 {
   for (const char *table :
        { "services", "targets", "hosts", "routes", "settings", "decisions",
          "counters", "ejections" })
     {
       int code = -1;
-      const std::string answer = fleet.jaystair (1, { "show", table }, &code);
-      EXPECT_EQ (code, 0) << answer;
+      const std::string output = fleet.jaystair (1, { "show", table }, &code);
+      EXPECT_EQ (code, 0) << output;
     }
   int code = -1;
   EXPECT_NE (fleet.jaystair (1, { "explain", "target", "target-1" }, &code)
@@ -114,25 +116,25 @@
   EXPECT_EQ (code, 2);
 }
 
-TEST_F (Command, WatchRepeatsAndShowsWhatChanged)
+TEST_F (Command, WatchShowsChanges)
 {
   Process watch ({ JAYSTAIR, "--host", fleet.addresses.at (11, 8082),
                    "--watch", "show", "targets" });
   size_t from = 0;
   EXPECT_TRUE (watch.wait_line ({ "target-1", "active" }, &from));
   EXPECT_TRUE (watch.wait_line ({ "target-1", "active" }, &from));
-  expect_done ({ "drain", "target-1" });
+  expect_accepted ({ "drain", "target-1" });
   EXPECT_TRUE (watch.wait_line ({ "target-1", "drained" }, &from))
       << watch.tail ();
 }
 
-/* Somebody without the secret gives a command.  Nothing may change. */
+/* A command without the secret must change nothing. */
 TEST_F (Command, WithoutTheSecretNothingChanges)
 {
-  Process stranger ({ JAYSTAIR, "--host", fleet.addresses.at (11, 8082),
-                      "drain", "target-1" });
-  EXPECT_EQ (stranger.wait (), 6) << stranger.tail ();
-  expect_seen ("targets", "target=target-1", "\"active\"");
+  Process without_secret ({ JAYSTAIR, "--host", fleet.addresses.at (11, 8082),
+                            "drain", "target-1" });
+  EXPECT_EQ (without_secret.wait (), 6) << without_secret.tail ();
+  expect_shown ("targets", "target=target-1", "\"active\"");
 }
 
 } // namespace
--- a/tests/fleet/cut_test.cc
+++ b/tests/fleet/cut_test.cc
@@ -1,4 +1,4 @@
-/** Connections that carry one way only. */
+/** One-way link failures: the data of one direction is lost. */
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -13,66 +13,66 @@
 {
 
 constexpr int callers = 4;
-constexpr size_t some = 150;
-constexpr int pages = 60;
-constexpr int readers_at_once = 12;
+constexpr size_t batch_requests = 150;
+constexpr int reads = 60;
+constexpr int concurrent_readers = 12;
 
 /** A fleet with a relay between its hosts and target-1. */
-struct CutTarget
+struct RelayedTarget
 {
-  CutTarget ()
+  RelayedTarget ()
   {
     FleetOptions options;
-    options.address_overrides["target-1"] = between.at (5, 9100);
+    options.address_overrides["target-1"] = relay_addresses.at (5, 9100);
     fleet = std::make_unique<Fleet> (options);
     relay = std::make_unique<Relay> (
-        between.at (5, 9100),
+        relay_addresses.at (5, 9100),
         fleet->target_url (1, "").substr (strlen ("http://")));
   }
 
-  AddressBlock between;
+  AddressBlock relay_addresses;
   std::unique_ptr<Fleet> fleet;
   std::unique_ptr<Relay> relay;
 };
 
-/* Answers of one target no longer reach the hosts, though requests reach it.
-   Callers of holds there are told "unknown", never "not run", and the target
-   is avoided for the rest. */
-TEST (Cut, TargetHeardOneWayOnly)
+/* The responses of one target no longer reach the hosts, though requests reach
+   it.  Unrepeatable requests there must be reported as "unknown", never as
+   "not run", and the target must be avoided from then on. */
+TEST (OneWayLink, TargetResponsesAreLost)
 {
-  CutTarget cut;
-  Fleet &fleet = *cut.fleet;
-  Relay &relay = *cut.relay;
+  RelayedTarget relayed;
+  Fleet &fleet = *relayed.fleet;
+  Relay &relay = *relayed.relay;
   ASSERT_TRUE (fleet.start ());
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   const size_t runs = fleet.targets[0]->lines_with ("run ").size ();
   relay.drop_backward = true;
   EXPECT_TRUE (wait_until ([&] {
     return fleet.targets[0]->lines_with ("run ").size () > runs;
   })) << load.summary ();
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet.logs ();
 }
 
 /* Data centre a still reaches host-2 in data centre b, but nothing comes back
-   from there.  Hosts keep serving, nobody is told what isn't so, a change of
-   settings made meanwhile is in force on every host after the cut, and all
-   hosts are believed live again. */
-TEST (Cut, DataCentresHearEachOtherOneWayOnly)
+   from it.  Hosts must keep serving and report correct outcomes; a settings
+   change made meanwhile must be in force on every host after the failure, and
+   every host must show all hosts as live again. */
+TEST (OneWayLink, PeerResponsesAreLost)
 {
-  AddressBlock between;
+  AddressBlock relay_addresses;
   FleetOptions options;
   options.dcs = 3;
-  options.address_overrides["host-2.peer"] = between.at (5, 8081);
+  options.address_overrides["host-2.peer"] = relay_addresses.at (5, 8081);
   options.times = "\"heartbeat_ms\":100,\"suspect_after_ms\":400,"
                   "\"dead_after_ms\":1000";
   Fleet fleet (options);
-  Relay relay (between.at (5, 8081), fleet.peer_address (2));
+  Relay relay (relay_addresses.at (5, 8081), fleet.peer_address (2));
   ASSERT_TRUE (fleet.start ());
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   size_t from = fleet.hosts[0]->line_count ();
   relay.drop_backward = true;
   EXPECT_TRUE (
@@ -82,7 +82,7 @@
   changed.replace (changed.find ("\"floor_capacity\":4"), 18,
                    "\"floor_capacity\":5");
   ASSERT_TRUE (fleet.declare (changed));
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   relay.drop_backward = false;
   for (int number = 1; number <= 3; number++)
     EXPECT_TRUE (wait_until ([&] {
@@ -100,27 +100,27 @@
       << load.summary ();
 }
 
-/* A couple looks at the calendar while one target is heard one way only.  Each
-   page that the target takes and whose answer is lost must come from another
-   target, not end "unknown" when its ten seconds are over. */
-TEST (Cut, PagesComeFromTargetsThatAreHeard)
+/* The responses of one target are lost.  A repeatable request that it receives
+   must be served by another target, not end as "unknown" at its deadline of
+   ten seconds. */
+TEST (OneWayLink, LostResponsesAreRetriedElsewhere)
 {
-  CutTarget cut;
-  Fleet &fleet = *cut.fleet;
-  Relay &relay = *cut.relay;
+  RelayedTarget relayed;
+  Fleet &fleet = *relayed.fleet;
+  Relay &relay = *relayed.relay;
   ASSERT_TRUE (fleet.start ());
   const size_t runs = fleet.targets[0]->lines_with ("run ").size ();
   relay.drop_backward = true;
-  /* Several at a time: one after the other may all go to the target that
-     answered first, and then nobody meets the cut. */
+  /* Concurrent requests: sequential ones may all go to the target that
+     responded first, so that none reaches the relayed target. */
   std::vector<std::thread> readers;
-  for (int first = 1; first <= readers_at_once; first++)
+  for (int first = 1; first <= concurrent_readers; first++)
     readers.emplace_back ([&fleet, first] {
-      for (int number = first; number <= pages; number += readers_at_once)
+      for (int number = first; number <= reads; number += concurrent_readers)
         {
           const Record record
               = send_and_classify (fleet.caller_url (1 + number % 3, ""),
-                                   "page-" + std::to_string (number), false);
+                                   "read-" + std::to_string (number), false);
           EXPECT_EQ (record.outcome, RequestOutcome::ran)
               << number << ": " << record.detail;
         }
@@ -131,17 +131,17 @@
       << fleet.logs ();
 }
 
-/* The platform hears the hosts but they don't hear it, while an operator
-   changes the floor by another way.  After the cut the new settings are in
-   force on all hosts and stay so. */
-TEST (Cut, SettingsChangedDuringACutNeverRevert)
+/* Hosts reach the platform but don't receive its responses, while an operator
+   changes the floor at the platform directly.  After the failure the new
+   settings must be in force on all hosts and must not be reverted. */
+TEST (OneWayLink, SettingsChangedMeanwhileAreNotReverted)
 {
-  AddressBlock between;
+  AddressBlock relay_addresses;
   FleetOptions options;
-  options.address_overrides["platform"] = between.at (5, 9000);
+  options.address_overrides["platform"] = relay_addresses.at (5, 9000);
   options.times = "\"platform_timeout_ms\":300,\"watch_ms\":500";
   Fleet fleet (options);
-  Relay relay (between.at (5, 9000),
+  Relay relay (relay_addresses.at (5, 9000),
                fleet.platform_url ("").substr (strlen ("http://")));
   ASSERT_TRUE (fleet.start ());
   relay.drop_backward = true;
--- a/tests/fleet/daemon_test.cc
+++ b/tests/fleet/daemon_test.cc
@@ -1,4 +1,4 @@
-/** jaystaird as a program: its command line, signals and ports. */
+/** jaystaird as a program: command line, signals and ports. */
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -40,15 +40,16 @@
   return code;
 }
 
-/* An operator's editor saved half of the settings.  Wherever the text ends,
-   the check must refuse it and say where; a host must not start on it. */
-TEST (Daemon, SettingsCutInHalfAreRefused)
+/* A truncated settings file, as an interrupted save leaves it, must be
+   rejected by --check with the position of the error, wherever it ends; a host
+   must not start with it. */
+TEST (Daemon, TruncatedSettingsAreRejected)
 {
-  const std::string whole = read_file (SOURCE_DIR "/examples/host.json");
+  const std::string complete = read_file (SOURCE_DIR "/examples/host.json");
   std::string output;
-  for (size_t size = whole.rfind ('}') - 7; size > 8; size /= 2)
+  for (size_t size = complete.rfind ('}') - 7; size > 8; size /= 2)
     {
-      const std::string path = write_file (whole.substr (0, size));
+      const std::string path = write_file (complete.substr (0, size));
       EXPECT_EQ (run ({ "--check", "--settings", path }, &output), 2);
       EXPECT_NE (output.find (path + ":"), std::string::npos) << output;
       EXPECT_EQ (run ({ "--settings", path }, &output), 2);
@@ -56,7 +57,7 @@
     }
 }
 
-TEST (Daemon, CommandLineSaysWhatIsWrong)
+TEST (Daemon, CommandLineErrorsAreReported)
 {
   std::string output;
   EXPECT_EQ (
@@ -105,7 +106,7 @@
   }
 };
 
-TEST_F (RunningHost, ReloadKeepsWhatNeedsARestart)
+TEST_F (RunningHost, ReloadKeepsSettingsThatNeedRestart)
 {
   const std::string path = fleet.settings_path (1);
   std::string text = read_file (path);
@@ -121,9 +122,9 @@
   expect_serving ("after-reload");
 }
 
-/* Somebody sends garbage to the peer and operator ports.  The host refuses
-   it, callers don't notice, and the host still leaves in good order. */
-TEST_F (RunningHost, GarbageOnItsPortsHarmsNobody)
+/* Random bytes sent to the peer and operator ports must not affect requests of
+   callers or the host's orderly exit. */
+TEST_F (RunningHost, RandomBytesOnPortsAreHarmless)
 {
   std::mt19937 random (7);
   for (int round = 0; round < 20; round++)
@@ -149,9 +150,9 @@
   EXPECT_EQ (host ().wait (), 0) << host ().tail ();
 }
 
-/* A host is told twice to leave while a hold hangs in its target.  It must
-   end soon, and the couple must be told the truth: nobody knows. */
-TEST_F (RunningHost, SecondSignalEndsAndAnswersWhatHangs)
+/* A host receives a second SIGTERM while an unrepeatable request hangs at its
+   target.  It must exit soon, and the request must be reported as unknown. */
+TEST_F (RunningHost, SecondSignalEndsHangingRequests)
 {
   ASSERT_TRUE (
       fleet.post_control (fleet.target_url (1, "/control/set?hang=100")));
--- a/tests/fleet/ejection_test.cc
+++ b/tests/fleet/ejection_test.cc
@@ -1,4 +1,4 @@
-/** Gray targets: ejected under the floor, by one owner at a time. */
+/** Ejection of gray targets within the floor, by one owner at a time. */
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -9,7 +9,8 @@
 {
 
 constexpr int callers = 6;
-constexpr size_t some = 200;
+constexpr size_t batch_requests = 200;
+
 class Ejection : public testing::Test
 {
 protected:
@@ -27,13 +28,13 @@
   }
 
   bool
-  turn_gray (int target, const std::string &how = "fail=100")
+  set_faults (int target, const std::string &query = "fail=100")
   {
     return fleet->post_control (
-        fleet->target_url (target, "/control/set?" + how));
+        fleet->target_url (target, "/control/set?" + query));
   }
 
-  /* The host's view: is the target out of work by ejection? */
+  /* Does HOST show the target as ejected? */
   bool
   is_ejected (int host, int target)
   {
@@ -44,8 +45,8 @@
            || rows.find ("\"ejected\":true") != std::string::npos;
   }
 
-  /* What a host may use of the targets' slots, in thousandths; 0: nothing is
-     granted. */
+  /* The share of the targets' slots that a host may use, in thousandths; 0 if
+     none is granted, -1 if it isn't shown. */
   int
   slot_share (int host)
   {
@@ -66,14 +67,14 @@
   }
 };
 
-/* A target answers every request with a failure while its health endpoint
-   says that all is well.  It is ejected on every host; the floor allows it. */
-TEST_F (Ejection, FailingTargetIsEjectedEverywhere)
+/* A target that fails every request while its health endpoint reports it
+   healthy must be ejected on every host, as the floor allows it. */
+TEST_F (Ejection, FailingTargetIsEjectedOnAllHosts)
 {
   start (5, 12);
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
-  ASSERT_TRUE (turn_gray (2));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
+  ASSERT_TRUE (set_faults (2));
   for (int host = 1; host <= 3; host++)
     EXPECT_TRUE (wait_until ([&] { return is_ejected (host, 2); }))
         << fleet->logs ();
@@ -81,18 +82,18 @@
   EXPECT_EQ (load.check (), "") << fleet->logs ();
 }
 
-/* Two of five targets fail, but the floor needs four.  Only one may go; the
-   other stays eligible and is merely avoided. */
-TEST_F (Ejection, FloorKeepsTheSecondTarget)
+/* Two of five targets fail, but the floor needs four.  Only one may be
+   ejected; the other stays eligible and is only avoided. */
+TEST_F (Ejection, FloorPreventsSecondEjection)
 {
   start (5, 16);
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
-  ASSERT_TRUE (turn_gray (2));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
+  ASSERT_TRUE (set_faults (2));
   ASSERT_TRUE (wait_until ([&] { return is_ejected (1, 2); }))
       << fleet->logs ();
-  ASSERT_TRUE (turn_gray (3));
-  ASSERT_TRUE (load.wait_for_requests (5 * some));
+  ASSERT_TRUE (set_faults (3));
+  ASSERT_TRUE (load.wait_for_requests (5 * batch_requests));
   for (int host = 1; host <= 3; host++)
     EXPECT_FALSE (is_ejected (host, 2) && is_ejected (host, 3))
         << fleet->logs ();
@@ -100,15 +101,15 @@
 }
 
 /* The platform is down for many lease times when a target turns gray.  The
-   owner spends its reserve alone and ejects it all the same. */
-TEST_F (Ejection, WorksThroughAPlatformOutage)
+   owner must still eject it, within the reserve that it may use alone. */
+TEST_F (Ejection, WorksDuringPlatformOutage)
 {
   start (5, 12);
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   ASSERT_TRUE (wait_until ([&] { return owner () != 0; })) << fleet->logs ();
   ASSERT_TRUE (fleet->post_control (fleet->platform_url ("/control?down=1")));
-  ASSERT_TRUE (turn_gray (4));
+  ASSERT_TRUE (set_faults (4));
   for (int host = 1; host <= 3; host++)
     EXPECT_TRUE (wait_until ([&] { return is_ejected (host, 4); }))
         << fleet->logs ();
@@ -116,18 +117,18 @@
   EXPECT_EQ (load.check (), "") << fleet->logs ();
 }
 
-/* The owner is frozen past its lease and doesn't know it.  Another host takes
-   over with the next epoch; when the first thaws, nobody obeys it any more and
-   the floor still holds on every host. */
-TEST_F (Ejection, FrozenOwnerIsReplacedAndNotObeyed)
+/* The owner is suspended past its lease and doesn't know it.  Another host
+   must take over with the next epoch; after the first resumes, no host may
+   follow its decisions, and the floor must hold on every host. */
+TEST_F (Ejection, SuspendedOwnerIsReplaced)
 {
   start (5, 16);
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   ASSERT_TRUE (wait_until ([&] { return owner () != 0; })) << fleet->logs ();
   const int first = owner ();
-  Process &frozen = *fleet->hosts[static_cast<size_t> (first - 1)];
-  frozen.signal (SIGSTOP);
+  Process &suspended = *fleet->hosts[static_cast<size_t> (first - 1)];
+  suspended.signal (SIGSTOP);
   EXPECT_TRUE (wait_until ([&] {
     for (int host = 1; host <= 3; host++)
       if (host != first
@@ -137,40 +138,40 @@
         return true;
     return false;
   })) << fleet->logs ();
-  ASSERT_TRUE (turn_gray (2));
-  ASSERT_TRUE (turn_gray (3));
-  frozen.signal (SIGCONT);
-  ASSERT_TRUE (load.wait_for_requests (5 * some));
+  ASSERT_TRUE (set_faults (2));
+  ASSERT_TRUE (set_faults (3));
+  suspended.signal (SIGCONT);
+  ASSERT_TRUE (load.wait_for_requests (5 * batch_requests));
   for (int host = 1; host <= 3; host++)
     EXPECT_FALSE (is_ejected (host, 2) && is_ejected (host, 3))
         << fleet->logs ();
   load.stop ();
 }
 
-/* Three hosts that each send as much as the targets can do would bury them.
-   The owner divides the slots among those that are there; when it is killed,
-   its successor divides them anew among the two that are left. */
-TEST_F (Ejection, SlotsAreDividedAmongTheHosts)
+/* Three hosts that each send as much as the targets can serve would overload
+   them.  The owner must divide the slots among the live hosts; when it is
+   killed, its successor must divide them among the remaining two. */
+TEST_F (Ejection, SlotsAreDividedAmongHosts)
 {
-  constexpr int given = 1250;
+  constexpr int granted_permille = 1250;
   start (3, 0);
   EXPECT_TRUE (wait_until ([&] {
     int sum = 0;
     for (int host = 1; host <= 3; host++)
       {
         const int share = slot_share (host);
-        if (share <= 0 || share > given / 2)
+        if (share <= 0 || share > granted_permille / 2)
           return false;
         sum += share;
       }
-    return sum > given / 2 && sum <= given;
+    return sum > granted_permille / 2 && sum <= granted_permille;
   })) << fleet->logs ();
   const int first = owner ();
   ASSERT_NE (first, 0);
   fleet->hosts[static_cast<size_t> (first - 1)]->kill ();
   for (int host = 1; host <= 3; host++)
     EXPECT_TRUE (host == first || wait_until ([&] {
-                   return slot_share (host) == given / 2;
+                   return slot_share (host) == granted_permille / 2;
                  }))
         << slot_share (host) << fleet->logs ();
 }
--- a/tests/fleet/kill_test.cc
+++ b/tests/fleet/kill_test.cc
@@ -1,4 +1,4 @@
-/** Hosts and targets that are killed or frozen under load. */
+/** Hosts and targets that are killed or suspended under load. */
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -9,7 +9,7 @@
 {
 
 constexpr int callers = 6;
-constexpr size_t some = 200;
+constexpr size_t batch_requests = 200;
 
 class Kill : public testing::Test
 {
@@ -23,73 +23,74 @@
   }
 
   void
-  expect_promises_kept (Load &load)
+  expect_no_violations (Load &load)
   {
     load.stop ();
     EXPECT_EQ (load.check (), "") << fleet.logs ();
-    EXPECT_GT (load.count_outcome (RequestOutcome::ran), some)
+    EXPECT_GT (load.count_outcome (RequestOutcome::ran), batch_requests)
         << load.summary ();
   }
 };
 
-/* A couple waits for a page while the host that carries it is killed.  They
-   see the connection break, ask another host, and get their page; a hold
-   that was on its way is never placed twice. */
+/* A host is killed while requests are in flight.  Callers see the connection
+   break and use another host; an unrepeatable request in flight must never run
+   twice. */
 TEST_F (Kill, HostKilledUnderLoad)
 {
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   fleet.hosts[0]->kill ();
-  ASSERT_TRUE (load.wait_for_requests (some));
-  expect_promises_kept (load);
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
+  expect_no_violations (load);
 }
 
-/* A target dies between request and answer.  Pages are fetched from another
-   target; a hold that was perhaps placed is reported as unknown, at once. */
+/* A target is killed between request and response.  Repeatable requests must
+   be retried at another target; an unrepeatable one that may have run must be
+   reported as unknown at once. */
 TEST_F (Kill, TargetKilledUnderLoad)
 {
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   fleet.targets[0]->kill ();
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   fleet.start_target (1);
   ASSERT_TRUE (fleet.targets[0]->wait_line ({ "listening" }));
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   load.stop ();
   EXPECT_EQ (load.count_outcome (RequestOutcome::wrong), 0u) << load.check ();
 }
 
-/* A host and a target go at the same moment. */
+/* A host and a target are killed at the same time. */
 TEST_F (Kill, HostAndTargetTogether)
 {
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   fleet.hosts[1]->kill ();
   fleet.targets[2]->kill ();
-  ASSERT_TRUE (load.wait_for_requests (some));
-  expect_promises_kept (load);
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
+  expect_no_violations (load);
 }
 
-/* A host is paused in the middle of its work and thawed later.  Callers that
-   waited on it were told nothing; what it still does after the thaw must not
-   run a hold twice. */
-TEST_F (Kill, HostFrozenAndThawedUnderLoad)
+/* A host is suspended under load and resumed later.  Its callers got no
+   response meanwhile; what it does after resuming must not run an unrepeatable
+   request twice. */
+TEST_F (Kill, HostSuspendedAndResumedUnderLoad)
 {
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   size_t from = fleet.hosts[1]->line_count ();
   fleet.hosts[0]->signal (SIGSTOP);
   EXPECT_TRUE (fleet.hosts[1]->wait_line ({ "\"host-1\"", "dead" }, &from))
       << fleet.hosts[1]->tail ();
   fleet.hosts[0]->signal (SIGCONT);
-  ASSERT_TRUE (load.wait_for_requests (some));
-  expect_promises_kept (load);
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
+  expect_no_violations (load);
 }
 
-/* A host is replaced under a new name and never comes back.  The platform
-   would list it for ever; another host removes its record, and that of no
-   live one. */
-TEST (KilledForGood, ItsRecordIsRemoved)
+/* A host that is replaced under a new name never comes back, and the platform
+   would list it forever.  Another host must remove its record, and that of no
+   live host. */
+TEST (PermanentLoss, RecordIsRemoved)
 {
   FleetOptions options;
   options.times = "\"suspect_after_ms\": 1000, \"dead_after_ms\": 1500, "
--- a/tests/fleet/leave_test.cc
+++ b/tests/fleet/leave_test.cc
@@ -1,4 +1,4 @@
-/** Hosts and targets that leave in good order. */
+/** Orderly exit of hosts and draining of targets. */
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -9,16 +9,16 @@
 {
 
 constexpr int callers = 6;
-constexpr size_t some = 150;
+constexpr size_t batch_requests = 150;
 
-/* The operators replace every host in turn while couples place holds.
-   Nobody may notice: no request is lost, none runs twice. */
+/* Every host is restarted in turn under load.  No request may be lost, and no
+   unrepeatable one may run twice. */
 TEST (Leave, RollingReplacementLosesNothing)
 {
   Fleet fleet;
   ASSERT_TRUE (fleet.start ());
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   for (int number = 1; number <= 3; number++)
     {
       Process &host = *fleet.hosts[static_cast<size_t> (number - 1)];
@@ -26,7 +26,7 @@
       EXPECT_EQ (host.wait (), 0) << host.tail ();
       fleet.start_host (number);
       ASSERT_TRUE (fleet.wait_serving (number)) << fleet.logs ();
-      ASSERT_TRUE (load.wait_for_requests (some));
+      ASSERT_TRUE (load.wait_for_requests (batch_requests));
     }
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet.logs ();
@@ -34,18 +34,18 @@
       << load.summary () << fleet.logs ();
 }
 
-/* A target is drained by an operator.  Within seconds it gets no new work
-   from any host, and what it was working on is finished. */
-TEST (Leave, DrainedTargetGetsNoNewWork)
+/* A target that an operator drains must get no new requests from any host
+   within seconds, and its requests in flight must complete. */
+TEST (Leave, DrainedTargetGetsNoNewRequests)
 {
   Fleet fleet;
   ASSERT_TRUE (fleet.start ());
   Load load (fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   int code = -1;
-  const std::string answer
+  const std::string output
       = fleet.jaystair (1, { "drain", "target-2" }, &code);
-  EXPECT_EQ (code, 0) << answer;
+  EXPECT_EQ (code, 0) << output;
   for (int number = 1; number <= 3; number++)
     ASSERT_TRUE (wait_until ([&] {
       const std::string rows = fleet.jaystair (
@@ -53,19 +53,19 @@
       return rows.find ("drained") != std::string::npos;
     })) << fleet.logs ();
   const size_t runs = fleet.targets[1]->lines_with ("run ").size ();
-  ASSERT_TRUE (load.wait_for_requests (some));
-  /* Whatever was sent before the last host heard of it has ended by now. */
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
+  /* Requests sent before the last host received the change have ended. */
   EXPECT_LE (fleet.targets[1]->lines_with ("run ").size (), runs + callers)
-      << answer;
+      << output;
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet.logs ();
   EXPECT_EQ (load.count_outcome (RequestOutcome::ran), load.count ())
       << load.summary ();
 }
 
-/* Two operators act at one moment on what they both saw.  One command takes
-   effect; the other is refused and told what changed. */
-TEST (Leave, OfTwoOperatorsOneIsRefused)
+/* Two operators send commands at the same time, based on the same version. One
+   must take effect; the other must be refused and report what changed. */
+TEST (Leave, ConcurrentCommandIsRefused)
 {
   Fleet fleet;
   ASSERT_TRUE (fleet.start ());
@@ -78,10 +78,10 @@
     fleet.jaystair (1, { "drain", "target-1", "at", "version", version },
                     &first);
   });
-  const std::string answer = fleet.jaystair (
+  const std::string output = fleet.jaystair (
       2, { "drain", "target-2", "at", "version", version }, &second);
   other.join ();
-  EXPECT_EQ (first + second, 1) << first << " " << second << " " << answer;
+  EXPECT_EQ (first + second, 1) << first << " " << second << " " << output;
   EXPECT_TRUE (first == 0 || second == 0);
 }
 
--- a/tests/fleet/limit_fleet_test.cc
+++ b/tests/fleet/limit_fleet_test.cc
@@ -11,9 +11,9 @@
 constexpr int hosts = 6;
 constexpr double window_s = 4;
 
-/* Guards against a limit that each host enforces alone, so that together they
-   exceed it several times. */
-TEST (LimitFleet, AllHostsTogetherKeepTheLimit)
+/* If each host enforced the limit alone, the hosts together would exceed it
+   several times. */
+TEST (LimitFleet, HostsTogetherKeepLimit)
 {
   FleetOptions options;
   options.hosts = hosts;
@@ -36,7 +36,7 @@
   const auto runs
       = [&] { return fleet.targets[0]->lines_with ("run limit-"); };
   int number = 0;
-  /* Lets all hosts learn the limit, from answers or from other hosts. */
+  /* Lets all hosts learn the limit, from responses or from other hosts. */
   for (; number < 100 * hosts; number++)
     send (1 + number % hosts, number);
   const auto start = std::chrono::steady_clock::now ();
--- a/tests/fleet/platform_outage_test.cc
+++ b/tests/fleet/platform_outage_test.cc
@@ -1,4 +1,4 @@
-/** The platform down, slow, or losing answers. */
+/** The platform is down, slow or loses its responses. */
 #include <gtest/gtest.h>
 
 #include "tests/harness/caller.h"
@@ -7,8 +7,9 @@
 {
 
 constexpr int callers = 4;
-constexpr size_t some = 150;
-/* Short times, so that an outage lasts many leases within a test. */
+constexpr size_t batch_requests = 150;
+
+/* With short times an outage lasts many leases within a test. */
 class Outage : public testing::Test
 {
 protected:
@@ -24,27 +25,26 @@
   }
 
   bool
-  platform_control (const std::string &what)
+  platform_control (const std::string &query)
   {
-    return fleet->post_control (fleet->platform_url ("/control?" + what));
+    return fleet->post_control (fleet->platform_url ("/control?" + query));
   }
 };
 
-/* The platform is down while couples browse and place holds.  They must not
-   notice, and a change of settings is refused with the reason rather than
-   half accepted. */
-TEST_F (Outage, ServesOnAndRefusesChanges)
+/* While the platform is down, requests must not be affected, and a settings
+   change must be refused with the reason instead of being applied in part. */
+TEST_F (Outage, ServesAndRefusesChanges)
 {
   start ();
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   ASSERT_TRUE (platform_control ("down=1"));
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   int code = -1;
-  const std::string answer
+  const std::string output
       = fleet->jaystair (1, { "drain", "target-1" }, &code);
-  EXPECT_NE (code, 0) << answer;
-  EXPECT_NE (answer.find ("platform"), std::string::npos) << answer;
+  EXPECT_NE (code, 0) << output;
+  EXPECT_NE (output.find ("platform"), std::string::npos) << output;
   ASSERT_TRUE (platform_control ("down=0"));
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet->logs ();
@@ -52,19 +52,19 @@
       << load.summary ();
 }
 
-/* The platform answers, but takes longer than a call may take, and then loses
-   answers as well.  Hosts must take that for an outage of their news, not of
-   their work. */
-TEST_F (Outage, SlowAndForgetfulPlatformHoldsUpNoWork)
+/* The platform responds only after the timeout of its calls, and then loses
+   responses as well.  That may delay settings changes on the hosts, but must
+   not affect requests. */
+TEST_F (Outage, SlowPlatformDelaysNoRequests)
 {
   start ();
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   ASSERT_TRUE (platform_control ("slow_ms=1000"));
   ASSERT_TRUE (platform_control ("lose_answers=5"));
   size_t from = 0;
   EXPECT_TRUE (fleet->hosts[0]->wait_line ({ "platform-failed" }, &from));
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   ASSERT_TRUE (platform_control ("slow_ms=0"));
   ASSERT_TRUE (platform_control ("lose_answers=0"));
   ASSERT_TRUE (fleet->declare (fleet->service_json ()));
@@ -77,9 +77,9 @@
       << load.summary ();
 }
 
-/* A host is restarted while the platform is down.  It must come back with
-   the settings in force, from its peers. */
-TEST_F (Outage, HostRestartedInAnOutageLoadsFromPeers)
+/* A host that is restarted while the platform is down must load the settings
+   in force from its peers. */
+TEST_F (Outage, HostRestartedDuringOutageLoadsFromPeers)
 {
   start ();
   ASSERT_TRUE (platform_control ("down=1"));
@@ -87,22 +87,22 @@
   fleet->start_host (1);
   EXPECT_TRUE (fleet->wait_serving (1)) << fleet->logs ();
   Load load (*fleet, callers);
-  ASSERT_TRUE (load.wait_for_requests (some));
+  ASSERT_TRUE (load.wait_for_requests (batch_requests));
   load.stop ();
   EXPECT_EQ (load.check (), "") << fleet->logs ();
 }
 
-/* The answer to an operator's write is lost after it took effect.  Repeating
-   it could undo what another operator did since; it is read back instead, and
-   the operator is told that it was accepted. */
-TEST_F (Outage, LostAnswerIsReadBack)
+/* The response to an operator's write is lost after it took effect.  Repeating
+   the write could undo a later change of another operator, so the host must
+   read the object back and report the command as accepted. */
+TEST_F (Outage, LostResponseIsReadBack)
 {
   start ();
   ASSERT_TRUE (platform_control ("lose_answers=1"));
   int code = -1;
-  const std::string answer
+  const std::string output
       = fleet->jaystair (1, { "drain", "target-1" }, &code);
-  EXPECT_EQ (code, 0) << answer;
+  EXPECT_EQ (code, 0) << output;
   const std::string object
       = http_get (fleet->platform_url ("/objects/service/holds")).body;
   EXPECT_EQ (json_at (object, "value.targets.0.state"), "drained") << object;
--- a/tests/fleet/poison_fleet_test.cc
+++ b/tests/fleet/poison_fleet_test.cc
@@ -85,7 +85,7 @@
     return logged ("\"poison-blocked\"", 1, hosts);
   }
 
-  /* Causes three consecutive crashes, each through another host. */
+  /* Causes three consecutive crashes, each through a different host. */
   void
   crash_three ()
   {
@@ -102,8 +102,8 @@
   int sent = 0;
 };
 
-/* Guards against a request that crashes one target after another through
-   different hosts. */
+/* A request that crashes targets and is repeated through different hosts must
+   not crash one target after another. */
 TEST_F (PoisonFleet, RepeatedRequestCrashesFewTargets)
 {
   for (int i = 0; i < targets - 2; i++)
@@ -111,7 +111,8 @@
   EXPECT_LE (runs (), 6);
 }
 
-/* Guards against counting crashes per host instead of fleet-wide. */
+/* Crashes must be counted fleet-wide: counted per host, the request would
+   crash several targets through each host. */
 TEST_F (PoisonFleet, CrashesAtSeveralHostsBlockRequestFleetWide)
 {
   crash_three ();
@@ -121,7 +122,7 @@
   EXPECT_EQ (http_get (fleet.caller_url (1, "/calendar/june")).status, 200);
 }
 
-/* Guards against losing a block when all hosts are restarted. */
+/* A block must not be lost when all hosts are restarted. */
 TEST_F (PoisonFleet, BlockSurvivesRestartOfAllHosts)
 {
   crash_three ();
@@ -142,7 +143,7 @@
   EXPECT_EQ (runs (), 3) << fleet.logs ();
 }
 
-/* Guards against a block that an operator cannot clear before it expires. */
+/* An operator must be able to clear a block before it expires. */
 TEST_F (PoisonFleet, OperatorClearsRequestAtAllHosts)
 {
   crash_three ();
@@ -166,7 +167,7 @@
   EXPECT_EQ (runs (), 5);
 }
 
-/* Guards against blocks that depend on the platform being available. */
+/* Blocking must not depend on the platform being available. */
 TEST_F (PoisonFleet, BlocksDuringPlatformOutage)
 {
   fleet.platform->kill ();
