--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -1,5 +1,5 @@
-/* The stand-in platform: docs/PLATFORM-API.md says what it answers and how it
-   is told to fail. */
+/* The stand-in platform.  docs/PLATFORM-API.md describes its API and the
+   control endpoint that makes it fail. */
 #include <inttypes.h>
 #include <pthread.h>
 #include <signal.h>
@@ -24,25 +24,25 @@
   NAME_TEXT_SIZE = 1024,
 };
 
-/* A write that reads of hosts may not see yet. */
-struct late_write
+/* A write that reads of the host records don't return before the lag. */
+struct delayed_write
 {
   char *kind;
   char *name;
   char *value;
-  int64_t at_ms;
-  struct late_write *prev;
-  struct late_write *next;
+  int64_t written_ms;
+  struct delayed_write *prev;
+  struct delayed_write *next;
 };
 
-/* Guarded by `lock`; `changed` is signalled at every write and control. */
+/* Guarded by `lock`; `changed` is signalled by writes and control requests. */
 static struct
 {
   pthread_mutex_t lock;
   pthread_cond_t changed;
   struct platform_memory *memory;
-  struct platform_memory *lagging; /* gets the same writes later */
-  struct late_write *late;
+  struct platform_memory *lagging; /* applies the same writes after the lag */
+  struct delayed_write *delayed;
   bool down;
   int64_t slow_ms;
   int64_t lag_ms;
@@ -52,7 +52,7 @@
   uint64_t watches;
 } state = { .lock = PTHREAD_MUTEX_INITIALIZER };
 
-/* Only control changes these, and only one control runs at a time. */
+/* Changed by control requests only, which this lock serializes. */
 static pthread_mutex_t control_lock = PTHREAD_MUTEX_INITIALIZER;
 static struct MHD_Daemon *api;
 static char api_address[ADDRESS_SIZE];
@@ -64,9 +64,9 @@
   size_t body_bytes;
 };
 
-/* Wait until a change, an outage or UNTIL_MS. */
+/* Waits for a change, an outage or UNTIL_MS. */
 static void
-wait_until (int64_t until_ms)
+wait_for_change (int64_t until_ms)
 {
   const int64_t now_ms = clock_now_ms ();
   int64_t wait_ms = until_ms > now_ms ? until_ms - now_ms : 0;
@@ -81,7 +81,7 @@
 }
 
 static enum MHD_Result
-answer (struct MHD_Connection *connection, unsigned code, char *text)
+respond (struct MHD_Connection *connection, unsigned code, char *text)
 {
   struct MHD_Response *response = MHD_create_response_from_buffer (
       strlen (text), text, MHD_RESPMEM_MUST_FREE);
@@ -93,34 +93,34 @@
 }
 
 static enum MHD_Result
-answer_error (struct MHD_Connection *connection, unsigned code,
-              const char *why)
+respond_error (struct MHD_Connection *connection, unsigned code,
+               const char *why)
 {
-  return answer (connection, code, xasprintf ("{\"error\":\"%s\"}", why));
+  return respond (connection, code, xasprintf ("{\"error\":\"%s\"}", why));
 }
 
 static int64_t
 argument (struct MHD_Connection *connection, const char *name,
-          int64_t otherwise)
+          int64_t default_value)
 {
   const char *text
       = MHD_lookup_connection_value (connection, MHD_GET_ARGUMENT_KIND, name);
-  return text == NULL ? otherwise : strtoll (text, NULL, 10);
+  return text == NULL ? default_value : strtoll (text, NULL, 10);
 }
 
-/* What reads of KIND see. */
+/* The store that reads of KIND use. */
 static struct platform_memory *
-seen (const char *kind)
+visible_store (const char *kind)
 {
-  struct late_write *write;
-  struct late_write *next;
-  DL_FOREACH_SAFE (state.late, write, next)
+  struct delayed_write *write;
+  struct delayed_write *next;
+  DL_FOREACH_SAFE (state.delayed, write, next)
   {
-    if (write->at_ms + state.lag_ms > clock_now_ms ())
+    if (write->written_ms + state.lag_ms > clock_now_ms ())
       break;
     platform_memory_put (state.lagging, write->kind, write->name,
                          write->value);
-    DL_DELETE (state.late, write);
+    DL_DELETE (state.delayed, write);
     free (write->kind);
     free (write->name);
     free (write->value);
@@ -132,12 +132,12 @@
 static uint64_t
 write_object (const char *kind, const char *name, const char *value)
 {
-  struct late_write *write = xcalloc (1, sizeof *write);
+  struct delayed_write *write = xcalloc (1, sizeof *write);
   write->kind = xstrdup (kind);
   write->name = xstrdup (name);
   write->value = xstrdup (value);
-  write->at_ms = clock_now_ms ();
-  DL_APPEND (state.late, write);
+  write->written_ms = clock_now_ms ();
+  DL_APPEND (state.delayed, write);
   pthread_cond_broadcast (&state.changed);
   return platform_memory_put (state.memory, kind, name, value);
 }
@@ -157,7 +157,7 @@
   char *text;
   size_t size;
   struct platform_object *objects;
-  struct platform_memory *memory = seen (kind);
+  struct platform_memory *memory = visible_store (kind);
   FILE *out = open_memstream (&text, &size);
   *count = platform_memory_list (memory, kind, since, &objects);
   fprintf (out, "{\"revision\":%" PRIu64 ",\"objects\":[",
@@ -176,13 +176,13 @@
 }
 
 static enum MHD_Result
-answer_object (struct MHD_Connection *connection, unsigned otherwise,
-               const char *name, const struct platform_object *object)
+respond_object (struct MHD_Connection *connection, unsigned default_value,
+                const char *name, const struct platform_object *object)
 {
-  return answer (connection, otherwise,
-                 object == NULL
-                     ? object_text (name, PLATFORM_VERSION_NONE, NULL)
-                     : object_text (name, object->version, object->value));
+  return respond (connection, default_value,
+                  object == NULL
+                      ? object_text (name, PLATFORM_VERSION_NONE, NULL)
+                      : object_text (name, object->version, object->value));
 }
 
 static enum MHD_Result
@@ -192,12 +192,12 @@
   size_t count;
   state.reads++;
   if (name == NULL)
-    return answer (connection, MHD_HTTP_OK, list_text (kind, 0, &count));
+    return respond (connection, MHD_HTTP_OK, list_text (kind, 0, &count));
   const struct platform_object *object
-      = platform_memory_find (seen (kind), kind, name);
-  return answer_object (connection,
-                        object == NULL ? MHD_HTTP_NOT_FOUND : MHD_HTTP_OK,
-                        name, object);
+      = platform_memory_find (visible_store (kind), kind, name);
+  return respond_object (connection,
+                         object == NULL ? MHD_HTTP_NOT_FOUND : MHD_HTTP_OK,
+                         name, object);
 }
 
 static enum MHD_Result
@@ -213,16 +213,16 @@
       if (state.down)
         return MHD_NO;
       if (since > platform_memory_revision (state.memory, kind))
-        return answer_error (connection, MHD_HTTP_GONE, "unknown revision");
+        return respond_error (connection, MHD_HTTP_GONE, "unknown revision");
       char *text = list_text (kind, since, &count);
       if (count > 0 || clock_now_ms () >= until_ms)
-        return answer (connection, MHD_HTTP_OK, text);
+        return respond (connection, MHD_HTTP_OK, text);
       free (text);
-      wait_until (until_ms);
+      wait_for_change (until_ms);
     }
 }
 
-/* The version that a write expects; false when it names no condition. */
+/* Reads the version that a write expects; false if it has no condition. */
 static bool
 read_condition (struct MHD_Connection *connection, uint64_t *expected)
 {
@@ -242,8 +242,8 @@
 {
   uint64_t expected;
   if (!read_condition (connection, &expected))
-    return answer_error (connection, MHD_HTTP_PRECONDITION_REQUIRED,
-                         "send If-Match or If-None-Match: *");
+    return respond_error (connection, MHD_HTTP_PRECONDITION_REQUIRED,
+                          "send If-Match or If-None-Match: *");
   const struct platform_object *old
       = platform_memory_find (state.memory, kind, name);
   const bool matches = expected == (old == NULL ? 0 : old->version)
@@ -256,9 +256,9 @@
       state.lose_answers--;
       return MHD_NO;
     }
-  return matches ? answer_object (connection, MHD_HTTP_OK, name, &written)
-                 : answer_object (connection, MHD_HTTP_PRECONDITION_FAILED,
-                                  name, old);
+  return matches ? respond_object (connection, MHD_HTTP_OK, name, &written)
+                 : respond_object (connection, MHD_HTTP_PRECONDITION_FAILED,
+                                   name, old);
 }
 
 static enum MHD_Result
@@ -268,14 +268,14 @@
   struct json_object *tree;
   state.writes++;
   if (request->body_bytes > PLATFORM_VALUE_MAX_BYTES)
-    return answer_error (connection, MHD_HTTP_CONTENT_TOO_LARGE,
-                         "the value is too large");
+    return respond_error (connection, MHD_HTTP_CONTENT_TOO_LARGE,
+                          "the value is too large");
   if (options_parse ("body", request->body == NULL ? "" : request->body,
                      request->body_bytes, &tree)
           != STATUS_OK
       || tree == NULL)
-    return answer_error (connection, MHD_HTTP_BAD_REQUEST,
-                         "the value isn't JSON");
+    return respond_error (connection, MHD_HTTP_BAD_REQUEST,
+                          "the value isn't JSON");
   const enum MHD_Result result = serve_write (
       connection, kind, name,
       json_object_to_json_string_ext (
@@ -291,36 +291,36 @@
   char kind[PLATFORM_NAME_SIZE];
   const int64_t until_ms = clock_now_ms () + state.slow_ms;
   while (!state.down && clock_now_ms () < until_ms)
-    wait_until (until_ms);
+    wait_for_change (until_ms);
   if (state.down)
     return MHD_NO;
-  const bool watch = strncmp (url, "/watch/", strlen ("/watch/")) == 0;
-  if (!watch && strncmp (url, "/objects/", strlen ("/objects/")) != 0)
-    return answer_error (connection, MHD_HTTP_NOT_FOUND, "no such path");
-  url += watch ? strlen ("/watch/") : strlen ("/objects/");
+  const bool is_watch = strncmp (url, "/watch/", strlen ("/watch/")) == 0;
+  if (!is_watch && strncmp (url, "/objects/", strlen ("/objects/")) != 0)
+    return respond_error (connection, MHD_HTTP_NOT_FOUND, "no such path");
+  url += is_watch ? strlen ("/watch/") : strlen ("/objects/");
   const size_t length = strcspn (url, "/");
   if (length == 0 || length >= sizeof kind)
-    return answer_error (connection, MHD_HTTP_BAD_REQUEST, "no kind");
+    return respond_error (connection, MHD_HTTP_BAD_REQUEST, "no kind");
   snprintf (kind, sizeof kind, "%.*s", (int)length, url);
   const char *name = url[length] == '/' ? url + length + 1 : NULL;
   if (strcmp (method, MHD_HTTP_METHOD_GET) == 0)
-    return watch ? serve_watch (connection, kind)
-                 : serve_read (connection, kind, name);
-  if (name == NULL || watch)
-    return answer_error (connection, MHD_HTTP_BAD_REQUEST, "no name");
+    return is_watch ? serve_watch (connection, kind)
+                    : serve_read (connection, kind, name);
+  if (name == NULL || is_watch)
+    return respond_error (connection, MHD_HTTP_BAD_REQUEST, "no name");
   if (strcmp (method, MHD_HTTP_METHOD_PUT) == 0)
     return serve_put (connection, kind, name, request);
   if (strcmp (method, MHD_HTTP_METHOD_DELETE) != 0)
-    return answer_error (connection, MHD_HTTP_METHOD_NOT_ALLOWED, "method");
+    return respond_error (connection, MHD_HTTP_METHOD_NOT_ALLOWED, "method");
   state.writes++;
   return serve_write (connection, kind, name, NULL);
 }
 
 static struct MHD_Daemon *start_daemon (const char *address);
 
-/* With a control address of its own an outage closes the other one. */
+/* With a separate control address, an outage closes the API's listener. */
 static void
-close_or_open (bool down)
+update_api_listener (bool down)
 {
   if (!has_control)
     return;
@@ -350,13 +350,13 @@
                           state.reads, state.writes, state.watches);
   pthread_cond_broadcast (&state.changed);
   pthread_mutex_unlock (&state.lock);
-  close_or_open (down);
+  update_api_listener (down);
   pthread_mutex_unlock (&control_lock);
-  return answer (connection, MHD_HTTP_OK, text);
+  return respond (connection, MHD_HTTP_OK, text);
 }
 
 static void
-take_body (struct request *request, const char *data, size_t size)
+append_body (struct request *request, const char *data, size_t size)
 {
   if (request->body_bytes > PLATFORM_VALUE_MAX_BYTES)
     return;
@@ -378,7 +378,7 @@
     }
   if (*upload_bytes > 0)
     {
-      take_body (*request, upload, *upload_bytes);
+      append_body (*request, upload, *upload_bytes);
       *upload_bytes = 0;
       return MHD_YES;
     }
@@ -392,7 +392,7 @@
 
 static void
 on_completed (void *owner, struct MHD_Connection *connection, void **request,
-              enum MHD_RequestTerminationCode how)
+              enum MHD_RequestTerminationCode code)
 {
   struct request *ended = *request;
   if (ended == NULL)
@@ -416,7 +416,7 @@
       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
 }
 
-/* Start at ADDRESS and print the address as it is, under LABEL. */
+/* Listens at ADDRESS and prints the bound address after LABEL. */
 static struct MHD_Daemon *
 listen_at (const char *label, const char *address, char actual[ADDRESS_SIZE])
 {
@@ -450,12 +450,12 @@
              stderr);
       return EXIT_FAILURE;
     }
-  sigset_t ends;
+  sigset_t end_signals;
   int signal_number;
-  sigemptyset (&ends);
-  sigaddset (&ends, SIGTERM);
-  sigaddset (&ends, SIGINT);
-  pthread_sigmask (SIG_BLOCK, &ends, NULL);
+  sigemptyset (&end_signals);
+  sigaddset (&end_signals, SIGTERM);
+  sigaddset (&end_signals, SIGINT);
+  pthread_sigmask (SIG_BLOCK, &end_signals, NULL);
   signal (SIGPIPE, SIG_IGN);
   pthread_cond_init (&state.changed, NULL);
   state.memory = platform_memory_create ();
@@ -467,7 +467,7 @@
             ? listen_at ("control", control_address, actual)
             : NULL;
   fflush (stdout);
-  sigwait (&ends, &signal_number);
+  sigwait (&end_signals, &signal_number);
   pthread_mutex_lock (&state.lock);
   state.down = true;
   pthread_cond_broadcast (&state.changed);
@@ -477,7 +477,7 @@
   if (api != NULL)
     MHD_stop_daemon (api);
   state.lag_ms = 0;
-  seen (PLATFORM_KIND_HOST);
+  visible_store (PLATFORM_KIND_HOST);
   platform_memory_destroy (state.memory);
   platform_memory_destroy (state.lagging);
   return EXIT_SUCCESS;
--- a/tests/standins/platform_process.h
+++ b/tests/standins/platform_process.h
@@ -1,5 +1,5 @@
 /** @file
- * The stand-in platform as a child of a test.
+ * The stand-in platform as a child process of a test.
  */
 #ifndef STANDINS_PLATFORM_PROCESS_H
 #define STANDINS_PLATFORM_PROCESS_H
@@ -15,12 +15,13 @@
 
 #include <curl/curl.h>
 
-/** Runs from construction to destruction. */
+/** Started by the constructor, stopped by the destructor. */
 class PlatformProcess
 {
 public:
   std::string address; /**< IP:PORT of the API */
-  std::string control; /**< IP:PORT that stays through an outage */
+  std::string
+      control; /**< IP:PORT of the control endpoint, open in an outage */
 
   PlatformProcess ()
   {
@@ -53,7 +54,8 @@
   PlatformProcess (const PlatformProcess &) = delete;
   PlatformProcess &operator= (const PlatformProcess &) = delete;
 
-  /** Tell it to fail: "down=1"; its answer holds the calls so far. */
+  /** Send a control request, such as "down=1".
+   * @return the response: the numbers of calls so far, as JSON */
   std::string
   tell (const std::string &query) const
   {
@@ -70,7 +72,8 @@
     return body;
   }
 
-  /** The number under KEY: "reads", "writes" or "watches". */
+  /** The number of calls of one kind: "reads", "writes" or "watches"; -1 on
+   * failure. */
   long
   calls (const std::string &key) const
   {
--- a/tests/standins/run_counts.c
+++ b/tests/standins/run_counts.c
@@ -26,10 +26,10 @@
 }
 
 void
-run_counts_destroy (struct run_counts *book)
+run_counts_destroy (struct run_counts *counts)
 {
-  struct run *run = book->runs;
-  HASH_CLEAR (hh, book->runs);
+  struct run *run = counts->runs;
+  HASH_CLEAR (hh, counts->runs);
   while (run != NULL)
     {
       struct run *next = run->hh.next;
@@ -37,45 +37,45 @@
       free (run);
       run = next;
     }
-  free (book);
+  free (counts);
 }
 
 void
-run_counts_add (struct run_counts *book, const char *id)
+run_counts_add (struct run_counts *counts, const char *id)
 {
   struct run *run;
-  HASH_FIND_STR (book->runs, id, run);
+  HASH_FIND_STR (counts->runs, id, run);
   if (run == NULL)
     {
       run = xcalloc (1, sizeof *run);
       run->id = xstrdup (id);
-      HASH_ADD_KEYPTR (hh, book->runs, run->id, strlen (run->id), run);
+      HASH_ADD_KEYPTR (hh, counts->runs, run->id, strlen (run->id), run);
     }
   run->times++;
 }
 
 uint32_t
-run_counts_get (const struct run_counts *book, const char *id)
+run_counts_get (const struct run_counts *counts, const char *id)
 {
   const struct run *run;
-  HASH_FIND_STR (book->runs, id, run);
+  HASH_FIND_STR (counts->runs, id, run);
   return run != NULL ? run->times : 0;
 }
 
 uint32_t
-run_counts_max (const struct run_counts *book)
+run_counts_max (const struct run_counts *counts)
 {
-  uint32_t most = 0;
-  for (const struct run *run = book->runs; run != NULL; run = run->hh.next)
-    most = run->times > most ? run->times : most;
-  return most;
+  uint32_t max = 0;
+  for (const struct run *run = counts->runs; run != NULL; run = run->hh.next)
+    max = run->times > max ? run->times : max;
+  return max;
 }
 
 struct json_object *
-run_counts_json (const struct run_counts *book)
+run_counts_json (const struct run_counts *counts)
 {
   struct json_object *body = json_object_new_object ();
-  for (const struct run *run = book->runs; run != NULL; run = run->hh.next)
+  for (const struct run *run = counts->runs; run != NULL; run = run->hh.next)
     json_object_object_add (body, run->id, json_object_new_int64 (run->times));
   return body;
 }
--- a/tests/standins/run_counts.h
+++ b/tests/standins/run_counts.h
@@ -1,8 +1,8 @@
 /** @file
- * A stand-in target's account of which request ran how often.
+ * Counts of the runs of each request, in a stand-in target.
  */
-#ifndef STANDINS_RUN_BOOK_H
-#define STANDINS_RUN_BOOK_H
+#ifndef STANDINS_RUN_COUNTS_H
+#define STANDINS_RUN_COUNTS_H
 
 #include <stdint.h>
 
@@ -11,14 +11,14 @@
 struct run_counts;
 
 struct run_counts *run_counts_create (void);
-void run_counts_destroy (struct run_counts *book);
+void run_counts_destroy (struct run_counts *counts);
 
-/** The request with ID ran once more. */
-void run_counts_add (struct run_counts *book, const char *id);
-uint32_t run_counts_get (const struct run_counts *book, const char *id);
-/** The most any one request ran. */
-uint32_t run_counts_max (const struct run_counts *book);
-/** {"ID": times} as a new object. */
-struct json_object *run_counts_json (const struct run_counts *book);
+/** Count a run of the request with ID. */
+void run_counts_add (struct run_counts *counts, const char *id);
+uint32_t run_counts_get (const struct run_counts *counts, const char *id);
+/** The largest number of runs of one request. */
+uint32_t run_counts_max (const struct run_counts *counts);
+/** Return a new object {"ID": RUNS, ...}. */
+struct json_object *run_counts_json (const struct run_counts *counts);
 
 #endif
--- a/tests/standins/target.c
+++ b/tests/standins/target.c
@@ -1,5 +1,5 @@
-/* A stand-in target as a program:
-   standin_target --listen IP:PORT --name NAME */
+/* Program of a stand-in target.
+   usage: standin_target --listen IP:PORT --name NAME */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
--- a/tests/standins/target_body.h
+++ b/tests/standins/target_body.h
@@ -1,5 +1,5 @@
 /** @file
- * Bodies of a stand-in target's answers.
+ * Response bodies of stand-in targets.
  */
 #ifndef STANDINS_TARGET_BODY_H
 #define STANDINS_TARGET_BODY_H
@@ -8,10 +8,10 @@
 
 #include <microhttpd.h>
 
-/** The alphabet over and over, SIZE bytes long. */
+/** A body of SIZE bytes that repeats the alphabet. */
 struct MHD_Response *target_body_pattern (uint64_t size);
 
-/** The header fields of CONNECTION's request, one a line. */
+/** A body with the header fields of CONNECTION's request, one per line. */
 struct MHD_Response *target_body_fields (struct MHD_Connection *connection);
 
 #endif
--- a/tests/standins/target_faults.h
+++ b/tests/standins/target_faults.h
@@ -1,5 +1,5 @@
 /** @file
- * What a stand-in target does wrong, and what it counts.
+ * Faults that a stand-in target injects, and its counters.
  */
 #ifndef STANDINS_TARGET_FAULTS_H
 #define STANDINS_TARGET_FAULTS_H
@@ -13,43 +13,42 @@
   TARGET_LIMIT_SIZE = 32,
 };
 
-/** What goes wrong; shares are in percent of requests. */
+/** Injected faults.  Those without another unit are in percent of requests. */
 struct target_faults
 {
-  uint32_t fail;     /**< answered with 500 */
-  uint32_t hang;     /**< never answered */
-  uint32_t cut;      /**< the answer ends in its middle */
-  uint32_t close;    /**< closed without an answer, after the request ran */
-  uint32_t early;    /**< shed at the head, without reading the body */
+  uint32_t fail;     /**< status 500 */
+  uint32_t hang;     /**< no response at all */
+  uint32_t cut;      /**< the response is truncated in the middle */
+  uint32_t close;    /**< closed without a response, after the request ran */
+  uint32_t early;    /**< shed after the head, without reading the body */
   uint32_t shed;     /**< refused with 503 and `Jaystair-Outcome: not-run` */
-  uint32_t delay_ms; /**< before each answer */
-  uint32_t jitter;   /**< 1: the delay is any from 0 to delay_ms */
-  /** 1: a request on a connection that carried one before runs and is then
-   * closed without an answer. */
+  uint32_t delay_ms; /**< delay before each response */
+  uint32_t jitter;   /**< 1: the delay is random, between 0 and delay_ms */
+  /** 1: a request on a reused connection runs, and the connection is then
+   * closed without a response. */
   uint32_t close_reused;
-  /** 1: a request whose path contains "/crash" crashes the target after its
-   * run was recorded. */
+  /** 1: a request whose path contains "/crash" crashes the target after the
+   * run is recorded. */
   uint32_t crash;
-  /** Value of Jaystair-Limit in each answer; "": the field is absent. */
+  /** Value of Jaystair-Limit in each response; "": the field is absent. */
   char limit[TARGET_LIMIT_SIZE];
-  uint32_t leave; /**< 1: says so in each answer, and sheds */
+  uint32_t leave; /**< 1: sheds, with Jaystair-Leaving in each response */
 };
 
-/** Totals. */
+/** Counters since the start. */
 struct target_counts
 {
   uint64_t runs;
-  uint64_t cancelled; /**< the other side closed before the answer */
-  uint64_t truncated_uploads;
+  uint64_t cancelled;         /**< the client closed before the response */
+  uint64_t truncated_uploads; /**< bodies that ended early */
   uint64_t connections;
 };
 
-/** Set the member called NAME to the number in VALUE; other names are
- * ignored. */
+/** Set the fault NAME to VALUE; unknown names are ignored. */
 void target_faults_set (struct target_faults *faults, const char *name,
                         const char *value);
 
-/** The members of COUNTS as a new object. */
+/** Return a new object with the members of COUNTS. */
 struct json_object *target_counts_json (const struct target_counts *counts);
 
 #endif
--- a/tests/standins/target_server.c
+++ b/tests/standins/target_server.c
@@ -21,7 +21,7 @@
   ADDRESS_SIZE = 64,
   NAME_SIZE = 64,
   SEED = 7,
-  CUT_ANNOUNCED_BYTES = 4096,
+  TRUNCATED_CONTENT_BYTES = 4096,
   BLOCK_BYTES = 4096
 };
 
@@ -35,13 +35,13 @@
   size_t body_bytes;
   bool started;
   bool complete;
-  bool answered;
+  bool responded;
   bool suspended;
   bool watched;
-  bool gone;
-  bool due; /* the delay is over */
+  bool disconnected;
+  bool delay_elapsed;
   int fd;
-  uint64_t left; /* of a cut answer */
+  uint64_t remaining_bytes; /* of a truncated or chunked response */
   ev_timer delay;
   struct request *prev;
   struct request *next;
@@ -65,7 +65,7 @@
 };
 
 static bool
-strikes (struct target_server *server, uint32_t percent)
+fault_applies (struct target_server *server, uint32_t percent)
 {
   return percent > 0 && rng_below (&server->rng, 100) < percent;
 }
@@ -79,7 +79,7 @@
 }
 
 static void
-note_run (struct request *request)
+record_run (struct request *request)
 {
   struct target_server *server = request->server;
   const char *id = field (request, "X-Request-Id");
@@ -87,7 +87,7 @@
   server->counts.runs++;
   if (server->run_log == NULL)
     return;
-  /* Out before the answer, so that the account outlives a killed target. */
+  /* Written before the response, so that runs of a killed target are known. */
   fprintf (server->run_log, "run %s\n", id);
   fflush (server->run_log);
 }
@@ -99,8 +99,8 @@
 }
 
 static enum MHD_Result
-queue (struct request *request, unsigned int status,
-       struct MHD_Response *response)
+queue_response (struct request *request, unsigned int status,
+                struct MHD_Response *response)
 {
   const struct target_server *server = request->server;
   MHD_add_response_header (response, "X-Target", server->name);
@@ -112,7 +112,7 @@
     MHD_add_response_header (response, "Jaystair-Limit", server->faults.limit);
   if (server->faults.leave != 0)
     MHD_add_response_header (response, "Jaystair-Leaving", "1");
-  request->answered = true;
+  request->responded = true;
   const enum MHD_Result result
       = MHD_queue_response (request->connection, status, response);
   MHD_destroy_response (response);
@@ -123,36 +123,37 @@
 queue_text (struct request *request, unsigned int status, const char *text,
             size_t size)
 {
-  return queue (request, status,
-                MHD_create_response_from_buffer (size, (void *)(uintptr_t)text,
-                                                 MHD_RESPMEM_MUST_COPY));
+  return queue_response (
+      request, status,
+      MHD_create_response_from_buffer (size, (void *)(uintptr_t)text,
+                                       MHD_RESPMEM_MUST_COPY));
 }
 
 static ssize_t
-read_half (void *owner, uint64_t position, char *data, size_t size)
+read_remaining (void *owner, uint64_t position, char *data, size_t size)
 {
   struct request *request = owner;
-  if (request->left == 0)
+  if (request->remaining_bytes == 0)
     return MHD_CONTENT_READER_END_WITH_ERROR;
-  if (size > request->left)
-    size = request->left;
+  if (size > request->remaining_bytes)
+    size = request->remaining_bytes;
   memset (data, 'h', size);
-  request->left -= size;
+  request->remaining_bytes -= size;
   return (ssize_t)size;
 }
 
 static enum MHD_Result
-queue_half (struct request *request)
+queue_truncated (struct request *request)
 {
-  request->left = CUT_ANNOUNCED_BYTES / 2;
-  return queue (request, MHD_HTTP_OK,
-                MHD_create_response_from_callback (CUT_ANNOUNCED_BYTES,
-                                                   BLOCK_BYTES, read_half,
-                                                   request, NULL));
+  request->remaining_bytes = TRUNCATED_CONTENT_BYTES / 2;
+  return queue_response (
+      request, MHD_HTTP_OK,
+      MHD_create_response_from_callback (TRUNCATED_CONTENT_BYTES, BLOCK_BYTES,
+                                         read_remaining, request, NULL));
 }
 
 static enum MHD_Result
-queue_usual (struct request *request)
+queue_default (struct request *request)
 {
   char text[256];
   const uint64_t hash = hash_bytes (request->body, request->body_bytes);
@@ -171,25 +172,25 @@
     return queue_text (request, MHD_HTTP_OK, request->body,
                        request->body_bytes);
   if (strcmp (url, "/headers") == 0)
-    return queue (request, MHD_HTTP_OK,
-                  target_body_fields (request->connection));
+    return queue_response (request, MHD_HTTP_OK,
+                           target_body_fields (request->connection));
   if (strcmp (url, "/no-content") == 0)
     return queue_text (request, MHD_HTTP_NO_CONTENT, "", 0);
   if (strcmp (url, "/not-modified") == 0)
     return queue_text (request, MHD_HTTP_NOT_MODIFIED, "", 0);
   const bool chunked = strncmp (url, "/chunked/", 9) == 0;
   if (!chunked && strncmp (url, "/bytes/", 7) != 0)
-    return queue_usual (request);
+    return queue_default (request);
   const uint64_t size = strtoull (strrchr (url, '/') + 1, NULL, 10);
   if (chunked)
     {
-      request->left = size;
-      return queue (request, MHD_HTTP_OK,
-                    MHD_create_response_from_callback (MHD_SIZE_UNKNOWN,
-                                                       BLOCK_BYTES, read_half,
-                                                       request, NULL));
+      request->remaining_bytes = size;
+      return queue_response (
+          request, MHD_HTTP_OK,
+          MHD_create_response_from_callback (MHD_SIZE_UNKNOWN, BLOCK_BYTES,
+                                             read_remaining, request, NULL));
     }
-  return queue (request, MHD_HTTP_OK, target_body_pattern (size));
+  return queue_response (request, MHD_HTTP_OK, target_body_pattern (size));
 }
 
 static void
@@ -203,7 +204,7 @@
 }
 
 static void
-wake (struct request *request)
+resume (struct request *request)
 {
   if (!request->suspended)
     return;
@@ -216,16 +217,16 @@
 on_delay (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct request *request = timer->data;
-  request->due = true;
-  wake (request);
+  request->delay_elapsed = true;
+  resume (request);
 }
 
 static void
-on_gone (void *watched)
+on_hangup (void *watched)
 {
   struct request *request = watched;
-  request->gone = true;
-  wake (request);
+  request->disconnected = true;
+  resume (request);
 }
 
 static bool
@@ -233,18 +234,18 @@
 {
   const union MHD_ConnectionInfo *info = MHD_get_connection_info (
       request->connection, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
-  uint64_t *carried = info->socket_context;
-  return (*carried)++ > 0;
+  uint64_t *request_count = info->socket_context;
+  return (*request_count)++ > 0;
 }
 
 static enum MHD_Result
-answer (struct request *request)
+respond (struct request *request)
 {
   struct target_server *server = request->server;
-  if (strikes (server, server->faults.fail))
+  if (fault_applies (server, server->faults.fail))
     return queue_text (request, MHD_HTTP_INTERNAL_SERVER_ERROR, "failed\n", 7);
-  if (strikes (server, server->faults.cut))
-    return queue_half (request);
+  if (fault_applies (server, server->faults.cut))
+    return queue_truncated (request);
   return queue_by_path (request);
 }
 
@@ -255,7 +256,7 @@
       = MHD_create_response_from_buffer (5, "shed\n", MHD_RESPMEM_PERSISTENT);
   MHD_add_response_header (response, "Jaystair-Outcome", "not-run");
   MHD_add_response_header (response, "Retry-After", "2");
-  return queue (request, MHD_HTTP_SERVICE_UNAVAILABLE, response);
+  return queue_response (request, MHD_HTTP_SERVICE_UNAVAILABLE, response);
 }
 
 static bool
@@ -265,7 +266,7 @@
          && strstr (request->url, "/crash") != NULL;
 }
 
-/* All of the request was read: run it, or shed it. */
+/* Called when the request is complete: runs or sheds it. */
 static enum MHD_Result
 run (struct request *request)
 {
@@ -274,24 +275,25 @@
   const bool reused = is_reused (request);
   if (strcmp (request->method, "OPTIONS") == 0)
     return queue_text (request, MHD_HTTP_OK, "", 0);
-  if (faults->leave != 0 || strikes (server, faults->shed))
+  if (faults->leave != 0 || fault_applies (server, faults->shed))
     return queue_shed (request);
-  note_run (request);
+  record_run (request);
   if (is_crash_request (request))
     {
       ev_timer_start (server->loop, &server->crash_timer);
       suspend (request);
       return MHD_YES;
     }
-  if (strikes (server, faults->close) || (reused && faults->close_reused != 0))
+  if (fault_applies (server, faults->close)
+      || (reused && faults->close_reused != 0))
     return MHD_NO;
-  if (strikes (server, faults->hang))
+  if (fault_applies (server, faults->hang))
     {
       suspend (request);
       return MHD_YES;
     }
   if (faults->delay_ms == 0)
-    return answer (request);
+    return respond (request);
   const double share = faults->jitter != 0 ? rng_unit (&server->rng) : 1.0;
   ev_now_update (server->loop);
   ev_timer_set (&request->delay, share * faults->delay_ms / 1000.0, 0.);
@@ -319,7 +321,7 @@
   if (strcmp (request->url, "/control/runs") == 0)
     {
       body = run_counts_json (server->runs);
-      /* Behind this line no run that came before is still to be read. */
+      /* Marks the end of the lines of all runs so far. */
       if (server->run_log != NULL)
         {
           fputs ("counted\n", server->run_log);
@@ -365,8 +367,9 @@
     {
       request = request_create (server, connection, url, method);
       *state = request;
-      return strikes (server, server->faults.early) ? queue_shed (request)
-                                                    : MHD_YES;
+      return fault_applies (server, server->faults.early)
+                 ? queue_shed (request)
+                 : MHD_YES;
     }
   if (*upload_data_size > 0)
     {
@@ -378,7 +381,7 @@
       *upload_data_size = 0;
       return MHD_YES;
     }
-  if (request->gone)
+  if (request->disconnected)
     return MHD_NO;
   const bool first = !request->complete;
   request->complete = true;
@@ -386,8 +389,8 @@
     return control (request);
   if (first)
     return run (request);
-  if (request->due)
-    return answer (request);
+  if (request->delay_elapsed)
+    return respond (request);
   return MHD_YES;
 }
 
@@ -403,9 +406,9 @@
   if (request->watched)
     hangup_watch_remove (server->hangup, request->fd);
   ev_timer_stop (server->loop, &request->delay);
-  if (request->gone)
+  if (request->disconnected)
     server->counts.cancelled++;
-  if (!request->complete && !request->answered)
+  if (!request->complete && !request->responded)
     server->counts.truncated_uploads++;
   DL_DELETE (server->requests, request);
   free (request->body);
@@ -428,7 +431,7 @@
   *socket_context = NULL;
 }
 
-/* Closes the listener and all connections, as when the process exits. */
+/* Closes the listener and all connections, as an exit of the process does. */
 static void
 stop (struct target_server *server)
 {
@@ -438,8 +441,8 @@
   struct request *request;
   DL_FOREACH (server->requests, request)
   {
-    request->gone = true;
-    wake (request);
+    request->disconnected = true;
+    resume (request);
   }
   mhd_loop_destroy (server->mhd_loop);
   MHD_stop_daemon (server->daemon);
@@ -475,7 +478,7 @@
     }
   server->runs = run_counts_create ();
   server->mhd_loop = mhd_loop_create (loop, server->daemon);
-  server->hangup = hangup_watch_create (loop, on_gone);
+  server->hangup = hangup_watch_create (loop, on_hangup);
   ev_timer_init (&server->crash_timer, on_crash, 0., 0.);
   server->crash_timer.data = server;
   snprintf (server->address, sizeof server->address, "%.*s:%u",
