--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -1,6 +1,6 @@
 /** @file
- * The fleet of a soak, with a relay before each target, each host's peer
- * address and the platform, and what each event does to it.
+ * The fleet of a soak run, with a relay in front of each target, each host's
+ * peer address and the platform, and the execution of events.
  */
 #ifndef TESTS_SOAK_SOAK_FLEET_H
 #define TESTS_SOAK_SOAK_FLEET_H
@@ -22,7 +22,7 @@
   bool start ();
   void begin (const SoakEvent &event);
   void end (const SoakEvent &event);
-  /** Wait until every host serves again; false after a generous limit. */
+  /** Wait until every host serves again; false on a timeout. */
   bool wait_recovered ();
 
   Fleet &
@@ -35,11 +35,11 @@
   {
     return static_cast<int> (fleet_->hosts.size ());
   }
-  /** How often host NUMBER has been started: its lifetime. */
+  /** The number of starts of host NUMBER. */
   int start_count (int number);
 
 private:
-  void stop_host (int number, int signal);
+  void signal_host (int number, int signal);
   void reload_host (int number);
   void restart_host (int number);
   void set_faults (int target, const std::string &query);
@@ -47,7 +47,7 @@
   void change_settings ();
 
   AddressBlock relay_addresses_;
-  std::vector<std::unique_ptr<Relay>> target_relays_; /**< to targets */
+  std::vector<std::unique_ptr<Relay>> target_relays_;
   std::vector<std::unique_ptr<Relay>> peer_relays_;
   std::unique_ptr<Relay> platform_relay_;
   std::unique_ptr<Fleet> fleet_;
--- a/tests/soak/soak_plan.cc
+++ b/tests/soak/soak_plan.cc
@@ -6,37 +6,38 @@
 namespace
 {
 
-constexpr int most_at_a_step = 2;
-constexpr int longest_steps = 8;
+constexpr int events_per_step_max = 2;
+constexpr int event_steps_max = 8;
 
 bool
-is_of_host (SoakKind kind)
+affects_host (SoakKind kind)
 {
   return kind <= SoakKind::host_hup;
 }
 
 bool
-is_of_target (SoakKind kind)
+affects_target (SoakKind kind)
 {
   return kind >= SoakKind::target_kill && kind <= SoakKind::target_fault;
 }
 
 bool
-is_of_peer (SoakKind kind)
+affects_peer_address (SoakKind kind)
 {
   return kind >= SoakKind::peer_cut && kind <= SoakKind::peer_reset;
 }
 
-/* Does OTHER still hold the process, or the one platform, that EVENT needs? */
+/* Does OTHER, an earlier event, last into EVENT and affect the same process,
+   or apply the same kind of fault to the same target, address or platform? */
 bool
-is_in_the_way (const SoakEvent &event, const SoakEvent &other)
+conflicts_with (const SoakEvent &event, const SoakEvent &other)
 {
   if (other.to <= event.from)
     return false;
   const bool same_process
       = event.which == other.which
-        && ((is_of_host (event.kind) && is_of_host (other.kind))
-            || (is_of_target (event.kind) && is_of_target (other.kind)));
+        && ((affects_host (event.kind) && affects_host (other.kind))
+            || (affects_target (event.kind) && affects_target (other.kind)));
   return same_process
          || (event.kind == other.kind && event.which == other.which);
 }
@@ -64,20 +65,20 @@
   };
   std::vector<SoakEvent> plan;
   for (int step = 0; step < steps; step++)
-    for (int n = below (most_at_a_step + 1); n > 0; n--)
+    for (int n = below (events_per_step_max + 1); n > 0; n--)
       {
         SoakEvent event{};
         event.kind = static_cast<SoakKind> (
             below (static_cast<int> (SoakKind::count)));
-        const bool by_host
-            = is_of_host (event.kind) || is_of_peer (event.kind);
+        const bool concerns_host
+            = affects_host (event.kind) || affects_peer_address (event.kind);
         event.from = step;
-        event.to = std::min (steps, step + 1 + below (longest_steps));
-        event.which = 1 + below (by_host ? hosts : targets);
+        event.to = std::min (steps, step + 1 + below (event_steps_max));
+        event.which = 1 + below (concerns_host ? hosts : targets);
         event.variant = below (8);
         const bool is_free
             = std::none_of (plan.begin (), plan.end (), [&] (const auto &e) {
-                return is_in_the_way (event, e);
+                return conflicts_with (event, e);
               });
         if (is_free)
           plan.push_back (event);
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -1,4 +1,4 @@
-/** Faults at random over a whole fleet, and the promises that must hold. */
+/** Random faults in a fleet, and the guarantees that must hold throughout. */
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -19,150 +19,154 @@
 constexpr int dcs = 2;
 constexpr int callers = 6;
 constexpr int steps = 24;
-/* A step ends when so many requests have ended, or, while all callers wait for
-   hosts that hang, after its limit. */
+/* A step ends after this number of requests, or after its timeout if all
+   callers wait for hosts that hang. */
 constexpr size_t step_requests = 400;
-constexpr int step_limit_s = 1;
-constexpr size_t some = 100;
-constexpr double window_s = 10; /* of the hosts' settings, as below */
+constexpr int step_timeout_s = 1;
+constexpr size_t batch_requests = 100;
+/* The retry budget of the hosts' settings, see SoakFleet. */
+constexpr double window_s = 10;
 constexpr double retry_share = 0.1;
 constexpr double retry_reserve = 10;
 
-/** One run: the load, what watches it, and the plan that is carried out. */
+/** One run: executes a plan of faults under load and checks the guarantees. */
 class Soak
 {
 public:
   explicit Soak (uint64_t seed)
       : plan_ (soak_plan (seed, steps, hosts, targets)),
-        world_ (hosts, targets, dcs)
+        fleet_ (hosts, targets, dcs)
   {
   }
 
   void
   run ()
   {
-    ASSERT_TRUE (world_.start ());
-    const auto begun = std::chrono::steady_clock::now ();
-    Load load (world_.fleet (), callers);
-    VersionMonitor watch (world_);
-    ASSERT_TRUE (load.wait_for_requests (some));
+    ASSERT_TRUE (fleet_.start ());
+    const auto start = std::chrono::steady_clock::now ();
+    Load load (fleet_.fleet (), callers);
+    VersionMonitor monitor (fleet_);
+    ASSERT_TRUE (load.wait_for_requests (batch_requests));
     for (int now = 0; now <= steps; now++)
-      carry_out (load, now);
-    ASSERT_TRUE (world_.wait_recovered ()) << about ();
+      run_step (load, now);
+    ASSERT_TRUE (fleet_.wait_recovered ()) << describe ();
     expect_recovered (load);
-    expect_drained (load, watch);
-    EXPECT_EQ (watch.stop (), "") << about ();
+    expect_drained (load, monitor);
+    EXPECT_EQ (monitor.stop (), "") << describe ();
     load.stop ();
-    EXPECT_EQ (load.check (), "") << about ();
-    const std::chrono::duration<double> took
-        = std::chrono::steady_clock::now () - begun;
-    expect_few_repeats (load, took.count ());
+    EXPECT_EQ (load.check (), "") << describe ();
+    const std::chrono::duration<double> elapsed
+        = std::chrono::steady_clock::now () - start;
+    expect_retries_within_budget (load, elapsed.count ());
     std::cout << load.summary () << "\n";
   }
 
 private:
   std::string
-  about ()
+  describe ()
   {
-    return soak_plan_text (plan_) + world_.fleet ().logs ();
+    return soak_plan_text (plan_) + fleet_.fleet ().logs ();
   }
 
   void
-  carry_out (Load &load, int now)
+  run_step (Load &load, int now)
   {
     for (const SoakEvent &event : plan_)
       if (event.to == now)
-        world_.end (event);
+        fleet_.end (event);
     for (const SoakEvent &event : plan_)
       if (event.from == now)
-        world_.begin (event);
+        fleet_.begin (event);
     const size_t goal = load.count () + step_requests;
-    wait_until ([&] { return load.count () >= goal; }, step_limit_s);
+    wait_until ([&] { return load.count () >= goal; }, step_timeout_s);
   }
 
-  /* Once all is healed, a good part of requests is served again. */
+  /* After all faults have ended, at least a quarter of the requests is served
+     again. */
   void
   expect_recovered (Load &load)
   {
     EXPECT_TRUE (wait_until ([&] {
-      const size_t before = load.count_outcome (RequestOutcome::ran);
-      const size_t all = load.count ();
-      if (!load.wait_for_requests (some))
+      const size_t ran_before = load.count_outcome (RequestOutcome::ran);
+      const size_t count_before = load.count ();
+      if (!load.wait_for_requests (batch_requests))
         return false;
-      return 4 * (load.count_outcome (RequestOutcome::ran) - before)
-             >= load.count () - all;
+      return 4 * (load.count_outcome (RequestOutcome::ran) - ran_before)
+             >= load.count () - count_before;
     })) << load.summary ()
-        << about ();
+        << describe ();
   }
 
-  /* A target that is drained on all hosts gets nothing more. */
+  /* A target that is drained on all hosts gets no more requests. */
   void
-  expect_drained (Load &load, VersionMonitor &watch)
+  expect_drained (Load &load, VersionMonitor &monitor)
   {
     int code = -1;
     EXPECT_TRUE (wait_until ([&] {
-      world_.fleet ().jaystair (1, { "drain", "target-1" }, &code);
+      fleet_.fleet ().jaystair (1, { "drain", "target-1" }, &code);
       return code == 0;
-    })) << about ();
+    })) << describe ();
     const long version = atol (
         json_at (
-            http_get (world_.fleet ().platform_url ("/objects/service/holds"))
+            http_get (fleet_.fleet ().platform_url ("/objects/service/holds"))
                 .body,
             "version")
             .c_str ());
     for (int number = 1; number <= hosts; number++)
       EXPECT_TRUE (wait_until ([&] {
-        return watch.version (number) >= version;
+        return monitor.version (number) >= version;
       })) << "host-"
           << number << "\n"
-          << about ();
-    /* What had been sent before is finished. */
-    ASSERT_TRUE (load.wait_for_requests (some));
-    Process &target = *world_.fleet ().targets[0];
+          << describe ();
+    /* Requests sent before the drain have ended. */
+    ASSERT_TRUE (load.wait_for_requests (batch_requests));
+    Process &target = *fleet_.fleet ().targets[0];
     const size_t runs = target.lines_with ("run ").size ();
-    ASSERT_TRUE (load.wait_for_requests (some));
-    EXPECT_EQ (target.lines_with ("run ").size (), runs) << about ();
+    ASSERT_TRUE (load.wait_for_requests (batch_requests));
+    EXPECT_EQ (target.lines_with ("run ").size (), runs) << describe ();
   }
 
-  /* The fleet's own repeats stay within their share, over all hosts. */
+  /* The retries of all hosts together stay within the retry budget. */
   void
-  expect_few_repeats (Load &load, double took_s)
+  expect_retries_within_budget (Load &load, double elapsed_s)
   {
-    const double windows = std::ceil (took_s / window_s) + 1;
-    const double most = retry_share * static_cast<double> (load.count ())
-                        + retry_reserve * windows;
-    EXPECT_LE (static_cast<double> (load.repeated_runs ()), most) << about ();
+    const double windows = std::ceil (elapsed_s / window_s) + 1;
+    const double max_retries
+        = retry_share * static_cast<double> (load.count ())
+          + retry_reserve * windows;
+    EXPECT_LE (static_cast<double> (load.repeated_runs ()), max_retries)
+        << describe ();
   }
 
   std::vector<SoakEvent> plan_;
-  SoakFleet world_;
+  SoakFleet fleet_;
 };
 
 class SoakSeeds : public testing::TestWithParam<uint64_t>
 {
 };
 
-TEST_P (SoakSeeds, PromisesHold)
+TEST_P (SoakSeeds, GuaranteesHold)
 {
   Soak soak (GetParam ());
   soak.run ();
 }
 
-/* Three seeds in each check. */
+/* Three fixed seeds in each CI run. */
 INSTANTIATE_TEST_SUITE_P (Check, SoakSeeds, testing::Values (1, 2, 3));
 
-/* Seeds that failed once.  117: settings of host-3 change while it starts
-   again, and the signal ended it before it listened to it. */
+/* Seeds that failed before.  117: SIGHUP reached host-3 during a restart and
+   ended it before its signal handler was installed. */
 INSTANTIATE_TEST_SUITE_P (Failed, SoakSeeds, testing::Values (117));
 
-/* `JAYSTAIR_SOAK=FROM:COUNT` plays other seeds, by hand. */
-TEST (SoakByHand, SeedsOfTheEnvironment)
+/* `JAYSTAIR_SOAK=FROM:COUNT` runs other seeds. */
+TEST (SoakManual, SeedsFromEnvironment)
 {
-  const char *wanted = getenv ("JAYSTAIR_SOAK");
-  if (wanted == nullptr)
-    GTEST_SKIP () << "set JAYSTAIR_SOAK=FROM:COUNT to play seeds";
+  const char *seeds = getenv ("JAYSTAIR_SOAK");
+  if (seeds == nullptr)
+    GTEST_SKIP () << "set JAYSTAIR_SOAK=FROM:COUNT to run other seeds";
   char *rest = nullptr;
-  const uint64_t from = strtoull (wanted, &rest, 10);
+  const uint64_t from = strtoull (seeds, &rest, 10);
   const uint64_t count = *rest == ':' ? strtoull (rest + 1, nullptr, 10) : 1;
   for (uint64_t seed = from; seed < from + count; seed++)
     {
--- a/tests/soak/version_monitor.cc
+++ b/tests/soak/version_monitor.cc
@@ -7,13 +7,13 @@
 namespace
 {
 
-constexpr long ask_ms = 300;
-constexpr std::chrono::milliseconds between_rounds{ 20 };
+constexpr long request_timeout_ms = 300;
+constexpr std::chrono::milliseconds round_interval{ 20 };
 
 } // namespace
 
-VersionMonitor::VersionMonitor (SoakFleet &world)
-    : world_ (world), thread_ ([this] { run (); })
+VersionMonitor::VersionMonitor (SoakFleet &fleet)
+    : fleet_ (fleet), thread_ ([this] { run (); })
 {
 }
 
@@ -32,51 +32,52 @@
   stop_.notify_all ();
   if (thread_.joinable ())
     thread_.join ();
-  return broken_;
+  return violations_;
 }
 
 bool
 VersionMonitor::wait_stop ()
 {
   std::unique_lock<std::mutex> lock (mutex_);
-  return stop_.wait_for (lock, between_rounds, [this] { return stopping_; });
+  return stop_.wait_for (lock, round_interval, [this] { return stopping_; });
 }
 
 long
 VersionMonitor::version (int number)
 {
   HttpRequest request;
-  request.url = world_.fleet ().operator_url (number, "/v1/services");
-  request.timeout_ms = ask_ms;
-  const HttpResponse answer = http (request);
-  if (!answer.complete || answer.status != 200)
+  request.url = fleet_.fleet ().operator_url (number, "/v1/services");
+  request.timeout_ms = request_timeout_ms;
+  const HttpResponse response = http (request);
+  if (!response.complete || response.status != 200)
     return 0;
-  return atol (json_at (answer.body, "rows.0.version").c_str ());
+  return atol (json_at (response.body, "rows.0.version").c_str ());
 }
 
-/* An answer counts only if the host wasn't started anew meanwhile. */
+/* A response counts only if the host wasn't restarted meanwhile. */
 void
 VersionMonitor::run ()
 {
-  const size_t hosts = static_cast<size_t> (world_.hosts ());
+  const size_t hosts = static_cast<size_t> (fleet_.hosts ());
   std::vector<long> highest (hosts, 0);
-  std::vector<int> lifetimes (hosts, 0);
+  std::vector<int> start_counts (hosts, 0);
   while (!wait_stop ())
     {
       for (size_t i = 0; i < hosts; i++)
         {
           const int number = static_cast<int> (i) + 1;
-          const int lifetime = world_.lifetime (number);
+          const int start_count = fleet_.start_count (number);
           const long found = version (number);
-          if (lifetime != lifetimes[i])
+          if (start_count != start_counts[i])
             highest[i] = 0;
-          lifetimes[i] = lifetime;
-          if (found == 0 || world_.lifetime (number) != lifetime)
+          start_counts[i] = start_count;
+          if (found == 0 || fleet_.start_count (number) != start_count)
             continue;
           if (found < highest[i])
-            broken_ += "host-" + std::to_string (number)
-                       + " went from version " + std::to_string (highest[i])
-                       + " back to " + std::to_string (found) + "\n";
+            violations_ += "host-" + std::to_string (number)
+                           + " went from version "
+                           + std::to_string (highest[i]) + " back to "
+                           + std::to_string (found) + "\n";
           highest[i] = found;
         }
     }
--- a/tests/soak/version_monitor.h
+++ b/tests/soak/version_monitor.h
@@ -1,6 +1,6 @@
 /** @file
- * Asks every host again and again which version of the service it has in
- * force: within one lifetime it must never go back.
+ * Polls the version of the service that is in force on every host.  During one
+ * process lifetime of a host it must never decrease.
  */
 #ifndef TESTS_SOAK_VERSION_MONITOR_H
 #define TESTS_SOAK_VERSION_MONITOR_H
@@ -15,20 +15,22 @@
 class VersionMonitor
 {
 public:
-  explicit VersionMonitor (SoakFleet &world);
+  explicit VersionMonitor (SoakFleet &fleet);
   ~VersionMonitor ();
 
-  /** Stop asking; what went back, "" if nothing did. */
+  /** Stop polling.
+   * @return "" or a description of each decrease */
   std::string stop ();
-  /** The version that host NUMBER has in force now; 0: it doesn't say. */
+  /** The version in force on host NUMBER; 0 if it doesn't respond. */
   long version (int number);
 
 private:
   void run ();
-  /** Wait for the stop until the next round is due; was there one? */
+  /** Wait for the next round.
+   * @return true if stop() was called */
   bool wait_stop ();
 
-  SoakFleet &world_;
+  SoakFleet &fleet_;
   std::mutex mutex_;
   std::condition_variable stop_;
   bool stopping_ = false;
