--- a/tests/demo/demo.cc
+++ b/tests/demo/demo.cc
@@ -1,11 +1,11 @@
 /** @file
- * `make demo`: the main job on one machine, as separate processes.
+ * `make demo`: a small fleet on one machine, as separate processes.
  *
- * Starts a platform, three targets and three hosts, lets callers ask for
- * addresses and send requests, kills a target and a host on the way, and
- * prints what callers were told and what the fleet believes.  Ends with 0 only
- * if every caller got the whole answer to its own request or an honest word,
- * and nothing unrepeatable ran twice.
+ * Starts a platform, three targets and three hosts, lets callers fetch
+ * addresses and send requests, kills a target and a host meanwhile, and prints
+ * the outcomes and the fleet's state.  Exits with 0 only if every caller got
+ * the complete response to its own request or a correct outcome, and no
+ * unrepeatable request ran twice.
  */
 #include <iostream>
 
@@ -16,10 +16,10 @@
 {
 
 constexpr int callers = 6;
-constexpr size_t requests_a_part = 400;
+constexpr size_t requests_per_part = 400;
 
 void
-show (Fleet &fleet, const std::vector<std::string> &args)
+run_jaystair (Fleet &fleet, const std::vector<std::string> &args)
 {
   std::cout << "\n$ jaystair";
   for (const std::string &arg : args)
@@ -28,12 +28,12 @@
 }
 
 bool
-part (Load &load, const std::string &what)
+run_part (Load &load, const std::string &title)
 {
-  std::cout << "* " << what << std::endl;
-  const bool moved = load.wait_for_requests (requests_a_part);
+  std::cout << "* " << title << std::endl;
+  const bool progressed = load.wait_for_requests (requests_per_part);
   std::cout << "  so far " << load.summary () << std::endl;
-  return moved;
+  return progressed;
 }
 
 } // namespace
@@ -45,39 +45,42 @@
   options.floor = 4;
   options.secret = true;
   Fleet fleet (options);
-  std::cout << "* start a platform, three targets and three hosts"
+  std::cout << "* starting a platform, three targets and three hosts"
             << std::endl;
   if (!fleet.start ())
     return 1;
-  std::cout << "* ask host-1 which addresses to use\n  "
+  std::cout << "* fetching the addresses of hosts from host-1\n  "
             << http_get (
                    fleet.caller_url (
                        1, "/.well-known/jaystair/addresses?service=holds"))
                    .body
             << std::endl;
   Load load (fleet, callers);
-  bool moved = part (load, "send requests");
+  bool progressed = run_part (load, "sending requests");
   fleet.targets[1]->kill ();
-  moved = moved && part (load, "target-2 is killed; go on");
-  show (fleet, { "show", "targets" });
-  show (fleet, { "explain", "target", "target-2" });
+  progressed
+      = progressed && run_part (load, "target-2 is killed; sending requests");
+  run_jaystair (fleet, { "show", "targets" });
+  run_jaystair (fleet, { "explain", "target", "target-2" });
   fleet.hosts[2]->kill ();
-  moved = moved && part (load, "host-3 is killed; go on");
-  show (fleet, { "show", "hosts" });
-  show (fleet, { "drain", "target-3" });
-  moved = moved && part (load, "target-3 is drained; go on");
-  show (fleet, { "show", "services" });
+  progressed
+      = progressed && run_part (load, "host-3 is killed; sending requests");
+  run_jaystair (fleet, { "show", "hosts" });
+  run_jaystair (fleet, { "drain", "target-3" });
+  progressed
+      = progressed && run_part (load, "target-3 is drained; sending requests");
+  run_jaystair (fleet, { "show", "services" });
   load.stop ();
-  const std::string broken = load.check ();
+  const std::string violations = load.check ();
   std::cout << "\n* " << load.summary () << "\n";
-  if (!moved || !broken.empty ()
+  if (!progressed || !violations.empty ()
       || load.count_outcome (RequestOutcome::ran) == 0)
     {
-      std::cout << "* NOT in order\n" << broken << fleet.logs ();
+      std::cout << "* FAILED\n" << violations << fleet.logs ();
       return 1;
     }
-  std::cout << "* in order: every caller got the whole answer to its own "
-               "request or an honest word,\n  and nothing unrepeatable ran "
-               "twice\n";
+  std::cout << "* passed: every caller got the complete response to its own "
+               "request or a correct outcome,\n  and no unrepeatable request "
+               "ran twice\n";
   return 0;
 }
