--- a/tests/docs/tour_test.cc
+++ b/tests/docs/tour_test.cc
@@ -1,4 +1,4 @@
-/** The README's tour and the links of all pages, as a newcomer meets them. */
+/** The commands of the README's tour and the links of all pages. */
 #include <gtest/gtest.h>
 
 #include <fcntl.h>
@@ -30,7 +30,7 @@
     text.replace (at, from.size (), to);
 }
 
-/* The files that TEXT links, without the part behind a '#'. */
+/* The files that TEXT links to, without fragments. */
 std::vector<std::string>
 links_of (const std::string &text)
 {
@@ -46,15 +46,16 @@
   return links;
 }
 
-/* A newcomer copies the tour's lines.  They must work as printed, from the
-   top of the tree; only the build folder is this test's own. */
-TEST (Tour, LinesOfTheReadmeWork)
+/* The commands of the tour must work as printed, at the top of the tree; only
+   the build folder is replaced. */
+TEST (Tour, ReadmeCommandsWork)
 {
   const std::string readme = read (SOURCE_DIR "/README.md");
   const std::string start = "```sh tour\n";
   const size_t from = readme.find (start);
   ASSERT_NE (from, std::string::npos);
-  /* The tour's ports are fixed, and another build may run it now. */
+  /* The tour's ports are fixed, and another build may run it at the same time.
+   */
   const std::string lock_path
       = "/tmp/jaystair-tour-" + std::to_string (getuid ()) + ".lock";
   const int lock
@@ -65,7 +66,7 @@
       = readme.substr (first, readme.find ("```", first) - first);
   replace_all (lines, "build/", BUILD_DIR "/");
   replace_all (lines, "host.log", "/dev/null");
-  /* timeout(1) ends the jobs of the tour along with it. */
+  /* timeout(1) also ends the background jobs of the tour. */
   Process tour ({ "/usr/bin/timeout", "200", "/bin/bash", "-ec",
                   "cd " SOURCE_DIR "\n" + lines });
   EXPECT_EQ (tour.wait (), 0) << tour.tail (100);
@@ -77,7 +78,7 @@
       << output;
 }
 
-TEST (Tour, LinksOfAllPagesLeadSomewhere)
+TEST (Tour, LinkedFilesExist)
 {
   const std::filesystem::path top = SOURCE_DIR;
   std::vector<std::filesystem::path> pages
