--- a/ctl/addresses.c
+++ b/ctl/addresses.c
@@ -53,18 +53,18 @@
 }
 
 static void
-print_addresses (const struct commands *commands, struct json_object *answer)
+print_addresses (const struct commands *commands, struct json_object *response)
 {
   if (commands->json)
     {
-      commands_print_json (commands, answer);
+      commands_print_json (commands, response);
       return;
     }
-  struct json_object *addresses = json_member_array (answer, "addresses");
+  struct json_object *addresses = json_member_array (response, "addresses");
   if (addresses != NULL)
     table_printer_print (commands->out, addresses);
   fprintf (commands->out, "-- callers keep this answer for %" PRId64 " ms\n",
-           json_member_int (answer, "keep_ms"));
+           json_member_int (response, "keep_ms"));
 }
 
 enum exit_code
--- a/ctl/explain_target.c
+++ b/ctl/explain_target.c
@@ -58,7 +58,7 @@
   return rows;
 }
 
-/** The first MOST of ROWS, the latest ones: decisions are ordered newest
+/** At most MAX of ROWS, the latest ones: decisions are ordered newest
  * first. */
 static struct json_object *
 first_rows (struct json_object *rows, size_t max)
@@ -158,17 +158,17 @@
                      const struct findings *findings,
                      const char *brought_back_by)
 {
-  struct json_object *answer = findings->reply;
-  json_object_object_del (answer, "rows");
-  json_object_object_add (answer, "target",
+  struct json_object *report = findings->reply;
+  json_object_object_del (report, "rows");
+  json_object_object_add (report, "target",
                           json_object_get (findings->target));
-  json_object_object_add (answer, "brought_back_by",
+  json_object_object_add (report, "brought_back_by",
                           json_object_new_string (brought_back_by));
-  json_object_object_add (answer, "ejections",
+  json_object_object_add (report, "ejections",
                           json_object_get (findings->ejections));
-  json_object_object_add (answer, "decisions",
+  json_object_object_add (report, "decisions",
                           json_object_get (findings->decisions));
-  commands_print_json (commands, answer);
+  commands_print_json (commands, report);
 }
 
 static void
--- a/ctl/request_cause.c
+++ b/ctl/request_cause.c
@@ -39,12 +39,13 @@
   { "malformed-key", "its key could not be read" },
   { "unknown-key", "its key belongs to no workspace of the configuration in "
                    "force" },
-  { "config-not-fresh", "the host could not tell which keys are in force" },
+  { "config-not-fresh",
+    "the host could not determine which keys are in force" },
   { "over-quota", "its workspace had used up its quota" },
-  { "quota-not-known",
-    "the host could not tell how much of its workspace's quota was used" },
+  { "quota-not-known", "the host could not determine how much of its "
+                       "workspace's quota was used" },
   { "ticket-duplicate", "its ticket had been used before" },
-  { "ticket-forged", "its ticket was never handed out" },
+  { "ticket-forged", "its ticket was never issued" },
   { "ticket-elsewhere", "its ticket is of another host" },
   { "poison-request", "targets had crashed while running the same request" },
   { "body-late", "its body did not arrive in time" },
--- a/node/host_settings.c
+++ b/node/host_settings.c
@@ -112,8 +112,8 @@
                   &limits->hold_answer_bytes);
   if (limits->hold_answer_bytes > limits->stream_buffer_bytes)
     options_fail (&options, "hold_answer_bytes",
-                  "expected at most stream_buffer_bytes (%u), found %u; an "
-                  "answer is held in that buffer",
+                  "expected at most stream_buffer_bytes (%u), found %u; a "
+                  "response is held in that buffer",
                   limits->stream_buffer_bytes, limits->hold_answer_bytes);
   read_ms (&options, "keep_answer_ms", 100, HOUR_MS, &limits->keep_answer_ms);
   options_end_child (top, &options);
--- a/node/operator/operator_backend.h
+++ b/node/operator/operator_backend.h
@@ -42,7 +42,7 @@
 {
   enum operator_verb verb;
   char service[SERVICE_NAME_SIZE];
-  char target[SERVICE_NAME_SIZE]; /**< "" where the verb takes none */
+  char target[SERVICE_NAME_SIZE]; /**< "" if the verb takes none */
   /** Used with OPERATOR_CLEAR_POISON only. */
   struct fingerprint fingerprint;
   uint32_t floor_capacity; /**< with OPERATOR_SET_FLOOR */
--- a/node/operator/tests/service_command_test.cc
+++ b/node/operator/tests/service_command_test.cc
@@ -19,7 +19,7 @@
       "{\"name\":\"h2\",\"address\":\"127.0.0.1:2\"}]}";
 
 /* What the fake platform does with a write. */
-enum class WriteFate
+enum class WriteOutcome
 {
   answered,
   lost_after_effect,
@@ -37,7 +37,7 @@
   bool exists = true;
   int failing_reads = 0; /* the number of reads that will fail */
   int writes = 0;
-  std::deque<WriteFate> write_fates;
+  std::deque<WriteOutcome> write_outcomes;
   std::deque<std::function<void ()>> answers;
   std::function<void ()> queued_write;
   std::function<void ()>
@@ -97,28 +97,28 @@
 {
   fake_platform *fake = fake_of (platform);
   const std::string text = value;
-  WriteFate fate = WriteFate::answered;
-  if (!fake->write_fates.empty ())
+  WriteOutcome outcome = WriteOutcome::answered;
+  if (!fake->write_outcomes.empty ())
     {
-      fate = fake->write_fates.front ();
-      fake->write_fates.pop_front ();
+      outcome = fake->write_outcomes.front ();
+      fake->write_outcomes.pop_front ();
     }
   fake->writes++;
   fake->answers.push_back ([=] {
     if (fake->on_before_write)
       fake->on_before_write ();
     fake->on_before_write = nullptr;
-    if (fate == WriteFate::lost_then_effect_later)
+    if (outcome == WriteOutcome::lost_then_effect_later)
       fake->queued_write = [=] { fake->apply (expected, text); };
-    const bool effective
-        = (fate == WriteFate::answered || fate == WriteFate::lost_after_effect)
-          && fake->apply (expected, text);
-    if (fate == WriteFate::answered)
+    const bool effective = (outcome == WriteOutcome::answered
+                            || outcome == WriteOutcome::lost_after_effect)
+                           && fake->apply (expected, text);
+    if (outcome == WriteOutcome::answered)
       fake->answer (done, owner, effective ? STATUS_OK : STATUS_REFUSED, true);
     else
       fake->answer (done, owner,
-                    fate == WriteFate::unreachable ? STATUS_UNREACHABLE
-                                                   : STATUS_LOST_ANSWER,
+                    outcome == WriteOutcome::unreachable ? STATUS_UNREACHABLE
+                                                         : STATUS_LOST_ANSWER,
                     false);
   });
 }
@@ -327,7 +327,7 @@
   EXPECT_EQ (result.status, STATUS_UNREACHABLE);
   EXPECT_NE (result.message.find ("nothing was changed"), std::string::npos);
   result = command_result ();
-  fake.write_fates = { WriteFate::unreachable };
+  fake.write_outcomes = { WriteOutcome::unreachable };
   start (OPERATOR_DRAIN, "h1");
   pump ();
   EXPECT_EQ (result.status, STATUS_UNREACHABLE);
@@ -338,7 +338,7 @@
    for some time.  The command must end as accepted, written once. */
 TEST_F (ServiceCommand, LostAnswerIsReadBack)
 {
-  fake.write_fates = { WriteFate::lost_after_effect };
+  fake.write_outcomes = { WriteOutcome::lost_after_effect };
   start (OPERATOR_DRAIN, "h1");
   step ();
   fake.failing_reads = 3;
@@ -350,7 +350,7 @@
 
 TEST_F (ServiceCommand, LostWriteIsRepeated)
 {
-  fake.write_fates = { WriteFate::lost_without_effect };
+  fake.write_outcomes = { WriteOutcome::lost_without_effect };
   start (OPERATOR_DRAIN, "h1");
   pump ();
   EXPECT_EQ (result.status, STATUS_OK) << result.message;
@@ -362,7 +362,7 @@
    would be told "not done" of a change that comes into force. */
 TEST_F (ServiceCommand, DelayedWriteIsAccepted)
 {
-  fake.write_fates = { WriteFate::lost_then_effect_later };
+  fake.write_outcomes = { WriteOutcome::lost_then_effect_later };
   start (OPERATOR_DRAIN, "h1");
   step ();
   step ();
@@ -378,7 +378,7 @@
    effect. */
 TEST_F (ServiceCommand, OverwrittenAfterLostAnswerIsUnknown)
 {
-  fake.write_fates = { WriteFate::lost_after_effect };
+  fake.write_outcomes = { WriteOutcome::lost_after_effect };
   start (OPERATOR_DRAIN, "h1");
   step ();
   step ();
@@ -392,7 +392,7 @@
 
 TEST_F (ServiceCommand, UnresolvedLostAnswerIsUnknown)
 {
-  fake.write_fates = { WriteFate::lost_after_effect };
+  fake.write_outcomes = { WriteOutcome::lost_after_effect };
   start (OPERATOR_DRAIN, "h1", OPERATOR_ANY_VERSION, 10);
   step ();
   fake.failing_reads = 1000000;
