--- a/bench/bench_platform.c
+++ b/bench/bench_platform.c
@@ -42,8 +42,8 @@
   char *kind;
   char *name;
   char *value;
-  uint64_t number; /**< expected version, or revision */
-  uint64_t looked; /**< a watch has seen the store up to here */
+  uint64_t version; /**< expected version of a put, revision of a watch */
+  uint64_t seen_sequence; /**< of the store, when last evaluated */
   platform_done *done;
   void *owner;
   struct call *prev;
@@ -134,10 +134,10 @@
   call->done (call->owner, &reply);
 }
 
-/* All of the kind that is newer than the call's number.
-   @return false when a watch finds nothing. */
+/* Replies with the objects of the kind that are newer than the call's version.
+   @return false, without a reply, if a watch finds none */
 static bool
-reply_many (const struct bench_store *store, const struct call *call)
+reply_list (const struct bench_store *store, const struct call *call)
 {
   struct platform_object *found = xcalloc (store->count + 1, sizeof *found);
   struct platform_reply reply = { .status = STATUS_OK, .objects = found };
@@ -148,37 +148,38 @@
         continue;
       if (object->version > reply.revision)
         reply.revision = object->version;
-      if (object->version > call->number)
+      if (object->version > call->version)
         found[reply.count++]
             = (struct platform_object){ .name = object->name,
                                         .version = object->version,
                                         .value = object->value };
     }
-  const bool has_answer = call->verb == VERB_LIST || reply.count > 0;
-  if (has_answer)
+  const bool has_reply = call->verb == VERB_LIST || reply.count > 0;
+  if (has_reply)
     call->done (call->owner, &reply);
   free (found);
-  return has_answer;
+  return has_reply;
 }
 
 static bool
-answer (const struct bench_platform *platform, struct call *call)
+handle_call (const struct bench_platform *platform, struct call *call)
 {
   struct bench_store *store = platform->store;
-  if (call->verb == VERB_WATCH && call->looked == store->sequence)
+  if (call->verb == VERB_WATCH && call->seen_sequence == store->sequence)
     return false;
-  call->looked = store->sequence;
+  call->seen_sequence = store->sequence;
   if (call->verb == VERB_LIST || call->verb == VERB_WATCH)
-    return reply_many (store, call);
-  const struct object *held = find (store, call->kind, call->name);
+    return reply_list (store, call);
+  const struct object *current = find (store, call->kind, call->name);
   if (call->verb == VERB_GET)
     {
-      reply_one (call, held == NULL ? STATUS_NOT_FOUND : STATUS_OK, held);
+      reply_one (call, current == NULL ? STATUS_NOT_FOUND : STATUS_OK,
+                 current);
       return true;
     }
-  if ((held == NULL ? 0 : held->version) != call->number)
+  if ((current == NULL ? 0 : current->version) != call->version)
     {
-      reply_one (call, STATUS_REFUSED, held);
+      reply_one (call, STATUS_REFUSED, current);
       return true;
     }
   bench_store_put (store, call->kind, call->name, call->value);
@@ -197,7 +198,7 @@
   DL_FOREACH_SAFE (due, call, next)
   {
     DL_DELETE (due, call);
-    if (answer (platform, call))
+    if (handle_call (platform, call))
       call_free (call);
     else
       DL_APPEND (platform->calls, call);
@@ -205,14 +206,14 @@
 }
 
 static void
-add (struct platform *base, const struct call *made)
+enqueue_call (struct platform *base, const struct call *prototype)
 {
   struct bench_platform *platform = (struct bench_platform *)base;
   struct call *call = xmalloc (sizeof *call);
-  *call = *made;
-  call->kind = xstrdup (made->kind);
-  call->name = xstrdup (made->name);
-  call->value = xstrdup (made->value);
+  *call = *prototype;
+  call->kind = xstrdup (prototype->kind);
+  call->name = xstrdup (prototype->name);
+  call->value = xstrdup (prototype->value);
   base->calls++;
   DL_APPEND (platform->calls, call);
 }
@@ -221,46 +222,46 @@
 do_get (struct platform *platform, const char *kind, const char *name,
         platform_done *done, void *owner)
 {
-  add (platform, &(struct call){ .verb = VERB_GET,
-                                 .kind = (char *)kind,
-                                 .name = (char *)name,
-                                 .done = done,
-                                 .owner = owner });
+  enqueue_call (platform, &(struct call){ .verb = VERB_GET,
+                                          .kind = (char *)kind,
+                                          .name = (char *)name,
+                                          .done = done,
+                                          .owner = owner });
 }
 
 static void
 do_list (struct platform *platform, const char *kind,
-         enum platform_read_mode age, platform_done *done, void *owner)
+         enum platform_read_mode mode, platform_done *done, void *owner)
 {
-  add (platform, &(struct call){ .verb = VERB_LIST,
-                                 .kind = (char *)kind,
-                                 .done = done,
-                                 .owner = owner });
+  enqueue_call (platform, &(struct call){ .verb = VERB_LIST,
+                                          .kind = (char *)kind,
+                                          .done = done,
+                                          .owner = owner });
 }
 
 static void
 do_put (struct platform *platform, const char *kind, const char *name,
         uint64_t expected, const char *value, platform_done *done, void *owner)
 {
-  add (platform, &(struct call){ .verb = VERB_PUT,
-                                 .kind = (char *)kind,
-                                 .name = (char *)name,
-                                 .value = (char *)value,
-                                 .number = expected,
-                                 .done = done,
-                                 .owner = owner });
+  enqueue_call (platform, &(struct call){ .verb = VERB_PUT,
+                                          .kind = (char *)kind,
+                                          .name = (char *)name,
+                                          .value = (char *)value,
+                                          .version = expected,
+                                          .done = done,
+                                          .owner = owner });
 }
 
 static void
 do_watch (struct platform *platform, const char *kind, uint64_t revision,
-          uint32_t timeout_ms, enum platform_read_mode age,
+          uint32_t timeout_ms, enum platform_read_mode mode,
           platform_done *done, void *owner)
 {
-  add (platform, &(struct call){ .verb = VERB_WATCH,
-                                 .kind = (char *)kind,
-                                 .number = revision,
-                                 .done = done,
-                                 .owner = owner });
+  enqueue_call (platform, &(struct call){ .verb = VERB_WATCH,
+                                          .kind = (char *)kind,
+                                          .version = revision,
+                                          .done = done,
+                                          .owner = owner });
 }
 
 static void
--- a/bench/choice_bench.c
+++ b/bench/choice_bench.c
@@ -1,5 +1,6 @@
 /** @file
- * The cost of a decision: choice and outcome, at 10, 100 and 1,000 targets.
+ * Cost of a request in service_policy, admission and outcome, with 10, 100 and
+ * 1,000 targets.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,15 +15,16 @@
 {
   REQUESTS = 2000000,
   SLOTS = 5,
-  FAILING_PERCENT = 40, /* of what the first target gets */
+  FAILING_PERCENT = 40, /* of the requests to the first target */
 };
 
-/* Half of all slots busy; the oldest attempt ends as a new request comes. */
+/* Half of all slots are busy.  The oldest attempt ends when a request
+   arrives. */
 static void
 run (struct service_policy *policy, uint32_t count, struct rng *rng)
 {
   const uint32_t depth = count * SLOTS / 2;
-  uint32_t *flying = xcalloc (depth, sizeof *flying);
+  uint32_t *in_flight = xcalloc (depth, sizeof *in_flight);
   int64_t now_us = 1;
   for (uint32_t i = 0; i < REQUESTS; i++)
     {
@@ -35,12 +37,12 @@
       };
       if (i >= depth)
         {
-          const uint32_t target = flying[i % depth];
-          const bool bad
+          const uint32_t target = in_flight[i % depth];
+          const bool is_failure
               = target == 0 && rng_below (rng, 100) < FAILING_PERCENT;
           const struct policy_outcome o = {
             .target = target,
-            .end = bad ? ATTEMPT_FAILED : ATTEMPT_ANSWERED,
+            .end = is_failure ? ATTEMPT_FAILED : ATTEMPT_ANSWERED,
             .latency_us = 10000,
             .repeatable = true,
           };
@@ -53,9 +55,9 @@
           = service_policy_admit (policy, now_us, &r);
       if (d.verdict != POLICY_SEND)
         abort ();
-      flying[i % depth] = d.target;
+      in_flight[i % depth] = d.target;
     }
-  free (flying);
+  free (in_flight);
 }
 
 static void
@@ -80,11 +82,11 @@
     };
   struct service_policy *policy = service_policy_create (&options);
   service_policy_set_targets (policy, 0, targets, count);
-  const int64_t begun_us = clock_now_us ();
+  const int64_t start_us = clock_now_us ();
   run (policy, count, &rng);
-  const int64_t took_us = clock_now_us () - begun_us;
+  const int64_t elapsed_us = clock_now_us () - start_us;
   printf ("figure policy_ns_per_request_%" PRIu32 " %.0f ns\n", count,
-          (double)took_us * 1000 / REQUESTS);
+          (double)elapsed_us * 1000 / REQUESTS);
   service_policy_destroy (policy);
   free (targets);
 }
--- a/bench/control_bench.c
+++ b/bench/control_bench.c
@@ -1,5 +1,5 @@
 /** @file
- * What control costs a host, and how fast a change of settings is in force:
+ * Cost of control per host, and the time until a settings change is in force:
  * many control tasks on one loop, over loopback, with the default times.
  */
 #include <inttypes.h>
@@ -25,7 +25,7 @@
   FIRST_PORT = 21000,
   SETTLE_MS = 3000,
   MEASURE_MS = 6000,
-  LIMIT_MS = 60000,
+  IN_FORCE_TIMEOUT_MS = 60000,
   CHANGES = 5,
   PAGE_KB = 4,
   VALUE_SIZE = 256,
@@ -41,7 +41,7 @@
   struct counters *counters;
   struct platform *platform;
   struct control_task *task;
-  uint64_t version; /**< of the changed service, in force here */
+  uint64_t version; /**< version of the changed service in force */
   size_t set_size;
 };
 
@@ -52,10 +52,10 @@
   struct node *nodes;
   size_t count;
   size_t services;
-  struct ev_timer wake; /**< lets the loop look at the time */
+  struct ev_timer tick; /**< ends ev_run() regularly to check the time */
 };
 
-/** What was used up to a moment. */
+/** Totals of the resources used, at one time. */
 struct usage
 {
   int64_t at_ms;
@@ -65,7 +65,7 @@
 };
 
 static void
-wake_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
+tick_cb (struct ev_loop *loop, struct ev_timer *watcher, int events)
 {
 }
 
@@ -134,7 +134,7 @@
 }
 
 static bool
-all_have (const struct fleet *fleet, uint64_t version)
+all_in_force (const struct fleet *fleet, uint64_t version)
 {
   for (size_t i = 0; i < fleet->count; i++)
     if (fleet->nodes[i].version < version)
@@ -150,19 +150,19 @@
     ev_run (fleet->loop, EVRUN_ONCE);
 }
 
-/* Milliseconds until all have VERSION. */
+/* Returns the milliseconds until VERSION is in force on all nodes. */
 static double
 run_until_in_force (struct fleet *fleet, uint64_t version)
 {
   const int64_t start_us = clock_now_us ();
-  while (!all_have (fleet, version))
+  while (!all_in_force (fleet, version))
     {
       ev_run (fleet->loop, EVRUN_ONCE);
-      if (clock_now_us () - start_us > LIMIT_MS * 1000)
+      if (clock_now_us () - start_us > IN_FORCE_TIMEOUT_MS * 1000)
         {
           fprintf (stderr,
-                   "control_bench: version %" PRIu64
-                   " isn't in force everywhere in time\n",
+                   "control_bench: timed out waiting until version %" PRIu64
+                   " is in force on all hosts\n",
                    version);
           exit (1);
         }
@@ -184,7 +184,7 @@
 }
 
 static struct usage
-take_usage (const struct fleet *fleet)
+read_usage (const struct fleet *fleet)
 {
   struct rusage cpu;
   getrusage (RUSAGE_SELF, &cpu);
@@ -225,9 +225,9 @@
 static void
 measure_steady (struct fleet *fleet)
 {
-  const struct usage before = take_usage (fleet);
+  const struct usage before = read_usage (fleet);
   run_for (fleet, MEASURE_MS);
-  const struct usage after = take_usage (fleet);
+  const struct usage after = read_usage (fleet);
   const double seconds = (double)(after.at_ms - before.at_ms) / 1000.0;
   const double host_seconds = seconds * (double)fleet->count;
   print_figure (fleet, "control_bytes_per_s_per_host",
@@ -243,17 +243,17 @@
 measure_changes (struct fleet *fleet)
 {
   double worst_ms = 0;
-  const struct usage before = take_usage (fleet);
+  const struct usage before = read_usage (fleet);
   for (size_t i = 0; i < CHANGES; i++)
     {
-      const double took_ms
+      const double elapsed_ms
           = run_until_in_force (fleet, put_service (fleet, 0, 2 + i));
-      if (took_ms > worst_ms)
-        worst_ms = took_ms;
+      if (elapsed_ms > worst_ms)
+        worst_ms = elapsed_ms;
     }
   print_figure (fleet, "settings_in_force_ms_worst", worst_ms, "ms");
   run_for (fleet, SETTLE_MS);
-  const struct usage after = take_usage (fleet);
+  const struct usage after = read_usage (fleet);
   print_figure (fleet, "platform_calls_per_change",
                 (double)(after.calls - before.calls) / CHANGES, "calls");
 }
@@ -266,8 +266,8 @@
                          .services = services };
   fleet.nodes = xcalloc (hosts, sizeof *fleet.nodes);
   fleet.store = bench_store_create (fleet.loop);
-  ev_timer_init (&fleet.wake, wake_cb, 0, 0.01);
-  ev_timer_start (fleet.loop, &fleet.wake);
+  ev_timer_init (&fleet.tick, tick_cb, 0, 0.01);
+  ev_timer_start (fleet.loop, &fleet.tick);
   uint64_t version = 0;
   for (size_t i = services; i > 0; i--)
     version = put_service (&fleet, i - 1, 1);
@@ -285,7 +285,7 @@
     node_stop (&fleet.nodes[i]);
   bench_store_destroy (fleet.store);
   free (fleet.nodes);
-  ev_timer_stop (fleet.loop, &fleet.wake);
+  ev_timer_stop (fleet.loop, &fleet.tick);
   ev_loop_destroy (fleet.loop);
 }
 
--- a/bench/detection_bench.c
+++ b/bench/detection_bench.c
@@ -1,12 +1,12 @@
 /** @file
- * How soon gray targets are ejected, and how often good ones are, by the
- * detector in both preferences, beside two naive detectors on the same
+ * Time to the ejection of gray targets and the rate of false ejections, for
+ * the detector in both preferences and two naive detectors on the same
  * outcomes: five consecutive failures, and Envoy-like success-rate deviation
- * over windows of 10 s.  The naive ones see each outcome at once, at one
- * place, which flatters them: in a fleet each host would have to count alone.
+ * over windows of 10 s.  The naive detectors get every outcome immediately and
+ * in one place, which favours them: in a fleet each host would count alone.
  *
- * usage: detection_bench [THOUSANDS [SCENE]], with the length of the runs for
- * false ejections in thousands of requests, and one scene to run alone
+ * usage: detection_bench [THOUSANDS [SCENARIO]], with the length of the runs
+ * for false ejections in thousands of requests, and one scenario to run
  */
 #include <math.h>
 #include <stdio.h>
@@ -19,22 +19,22 @@
 enum
 {
   RUNS = 200,
-  QUIET_US = 60000000,    /* before the fault */
-  GIVE_UP_US = 300000000, /* after its start */
+  FAULT_START_US = 60000000,
+  DETECTION_TIMEOUT_US = 300000000, /* from the start of the fault */
   FALSE_THOUSANDS = 5000,
-  CONSECUTIVE = 5,
+  CONSECUTIVE_FAILURES = 5,
   WINDOW_US = 10000000,
   WINDOW_REQUESTS = 100,
   COST_REQUESTS = 5000000
 };
 
-#define DEVIATIONS 1.9
+#define EJECTION_DEVIATIONS 1.9
 
 enum method
 {
   METHOD_FEWER,
   METHOD_FASTER,
-  METHOD_FIVE,
+  METHOD_CONSECUTIVE,
   METHOD_DEVIATION,
   METHOD_COUNT
 };
@@ -55,18 +55,18 @@
 /* The two naive detectors. */
 struct naive
 {
-  uint32_t in_row[FAKE_TARGETS_MAX];
+  uint32_t consecutive_failures[FAKE_TARGETS_MAX];
   struct window windows[FAKE_TARGETS_MAX];
   int64_t window_end_us;
 };
 
-/* The four side by side, and what they said. */
-struct side_by_side
+/* The four detectors on the same outcomes, and their ejections. */
+struct comparison
 {
   struct fake_pool pool;
   struct fake_fleet fleets[2];
   struct naive naive;
-  uint32_t ejected[METHOD_COUNT]; /* bits of targets, in this event */
+  uint32_t ejected[METHOD_COUNT]; /* bits of targets, at this outcome */
 };
 
 static bool
@@ -76,7 +76,7 @@
 }
 
 static uint32_t
-feed_deviation (struct naive *naive, uint32_t targets)
+evaluate_deviation (struct naive *naive, uint32_t targets)
 {
   double rates[FAKE_TARGETS_MAX];
   double sum = 0;
@@ -101,35 +101,35 @@
   double deviation = sqrt (fmax (0, squares / count - mean * mean));
   uint32_t ejected = 0;
   for (uint32_t i = 0; i < targets; i++)
-    if (rates[i] < mean - DEVIATIONS * deviation)
+    if (rates[i] < mean - EJECTION_DEVIATIONS * deviation)
       ejected |= 1U << i;
   return ejected;
 }
 
 static void
-feed_naive (struct side_by_side *s, const struct fake_outcome *o)
+feed_naive (struct comparison *s, const struct fake_outcome *o)
 {
   struct naive *naive = &s->naive;
   bool failed = is_failure (o->end);
-  uint32_t *in_row = &naive->in_row[o->target];
-  *in_row = failed ? *in_row + 1 : 0;
-  if (*in_row >= CONSECUTIVE)
+  uint32_t *consecutive_failures = &naive->consecutive_failures[o->target];
+  *consecutive_failures = failed ? *consecutive_failures + 1 : 0;
+  if (*consecutive_failures >= CONSECUTIVE_FAILURES)
     {
-      s->ejected[METHOD_FIVE] = 1U << o->target;
-      *in_row = 0;
+      s->ejected[METHOD_CONSECUTIVE] = 1U << o->target;
+      *consecutive_failures = 0;
     }
   naive->windows[o->target].requests++;
   naive->windows[o->target].failures += failed;
   if (o->now_us < naive->window_end_us)
     return;
   naive->window_end_us = o->now_us + WINDOW_US;
-  s->ejected[METHOD_DEVIATION] = feed_deviation (naive, s->pool.targets);
+  s->ejected[METHOD_DEVIATION] = evaluate_deviation (naive, s->pool.targets);
 }
 
-/* Advice is noted and the target put back at once, so that all detectors go
-   on seeing the same outcomes. */
+/* Records an ejection and reinstates the target at once, so that all detectors
+   continue to get the same outcomes. */
 static void
-feed_fleet (struct side_by_side *s, enum method method,
+feed_fleet (struct comparison *s, enum method method,
             const struct fake_outcome *o)
 {
   struct fake_fleet *fleet = &s->fleets[method];
@@ -146,7 +146,7 @@
 }
 
 static void
-side_by_side_init (struct side_by_side *s, uint64_t seed)
+comparison_init (struct comparison *s, uint64_t seed)
 {
   memset (s, 0, sizeof *s);
   fake_pool_init (&s->pool, seed);
@@ -162,14 +162,14 @@
 }
 
 static void
-side_by_side_clear (struct side_by_side *s)
+comparison_clear (struct comparison *s)
 {
   fake_fleet_clear (&s->fleets[METHOD_FEWER]);
   fake_fleet_clear (&s->fleets[METHOD_FASTER]);
 }
 
 static struct fake_outcome
-side_by_side_next (struct side_by_side *s)
+comparison_next (struct comparison *s)
 {
   struct fake_outcome o = fake_pool_next (&s->pool);
   memset (s->ejected, 0, sizeof s->ejected);
@@ -179,20 +179,20 @@
   return o;
 }
 
-/* One kind of trouble. */
-struct scene
+/* A fault, and whether any ejection is correct. */
+struct scenario
 {
   const char *name;
   struct fake_fault fault;
   double background;
   bool nothing_to_eject; /* every ejection is false */
-  bool cold_start;       /* the first target is new when the fault begins */
+  bool cold_start;       /* the first target is new when the fault starts */
 };
 
-/* A fault of the first N targets, seen from everywhere. */
+/* A fault of the first N targets, for all hosts. */
 #define FAULT(n) .targets = (n), .dc = FAKE_ALL, .host = FAKE_ALL
 
-static const struct scene scenes[] = {
+static const struct scenario scenarios[] = {
   { .name = "fail100",
     .background = 0.01,
     .fault = { FAULT (1), .failures = 1 } },
@@ -236,11 +236,11 @@
     .fault = { FAULT (1), .slow_factor = 10, .end_us = 8000000 } },
 };
 
-/* What one method did in all runs of a scene. */
-struct tally
+/* Results of one method in all runs of a scenario. */
+struct result
 {
-  double requests[RUNS]; /* of the faulty target until its ejection */
-  double waits_ms[RUNS];
+  double requests[RUNS]; /* to the faulty target until its ejection */
+  double detection_ms[RUNS];
   uint32_t found;
   uint32_t false_ejections;
 };
@@ -270,7 +270,7 @@
 }
 
 static void
-renew_first_target (struct side_by_side *s)
+replace_first_target (struct comparison *s)
 {
   for (int m = METHOD_FEWER; m <= METHOD_FASTER; m++)
     {
@@ -283,18 +283,19 @@
 }
 
 static void
-note (struct tally *tally, uint32_t ejected, const struct scene *scene,
-      bool *found, uint32_t requests, int64_t wait_us)
+record_ejections (struct result *result, uint32_t ejected,
+                  const struct scenario *scenario, bool *found,
+                  uint32_t requests, int64_t detection_us)
 {
   uint32_t faulty
-      = scene->nothing_to_eject ? 0 : (1U << scene->fault.targets) - 1;
-  tally->false_ejections += (uint32_t)__builtin_popcount (ejected & ~faulty);
+      = scenario->nothing_to_eject ? 0 : (1U << scenario->fault.targets) - 1;
+  result->false_ejections += (uint32_t)__builtin_popcount (ejected & ~faulty);
   if (*found || (ejected & faulty) == 0)
     return;
   *found = true;
-  tally->requests[tally->found] = requests;
-  tally->waits_ms[tally->found] = (double)wait_us / 1000;
-  tally->found++;
+  result->requests[result->found] = requests;
+  result->detection_ms[result->found] = (double)detection_us / 1000;
+  result->found++;
 }
 
 static bool
@@ -306,66 +307,69 @@
   return true;
 }
 
-/* The deviation method ejects good targets all the time; ejections before
-   the fault are left to the run for false ones. */
+/* Ejections before the fault aren't counted, as the deviation method ejects
+   healthy targets all the time; run_false() counts those. */
 static void
-run_once (const struct scene *scene, uint64_t seed, struct tally *tallies)
+run_once (const struct scenario *scenario, uint64_t seed,
+          struct result *results)
 {
-  struct side_by_side s;
-  side_by_side_init (&s, seed);
-  s.pool.background = scene->background;
-  s.pool.fault = scene->fault;
-  s.pool.fault.start_us = QUIET_US;
+  struct comparison s;
+  comparison_init (&s, seed);
+  s.pool.background = scenario->background;
+  s.pool.fault = scenario->fault;
+  s.pool.fault.start_us = FAULT_START_US;
   if (s.pool.fault.end_us != 0)
-    s.pool.fault.end_us += QUIET_US;
-  while (s.pool.now_us < QUIET_US)
-    side_by_side_next (&s);
-  if (scene->cold_start)
-    renew_first_target (&s);
+    s.pool.fault.end_us += FAULT_START_US;
+  while (s.pool.now_us < FAULT_START_US)
+    comparison_next (&s);
+  if (scenario->cold_start)
+    replace_first_target (&s);
   bool found[METHOD_COUNT] = { false };
   uint32_t requests = 0;
-  int64_t length_us = scene->nothing_to_eject ? GIVE_UP_US / 5 : GIVE_UP_US;
-  while (s.pool.now_us < QUIET_US + length_us && !all_found (found))
+  int64_t length_us = scenario->nothing_to_eject ? DETECTION_TIMEOUT_US / 5
+                                                 : DETECTION_TIMEOUT_US;
+  while (s.pool.now_us < FAULT_START_US + length_us && !all_found (found))
     {
-      struct fake_outcome o = side_by_side_next (&s);
+      struct fake_outcome o = comparison_next (&s);
       requests += o.target == 0;
       for (int m = 0; m < METHOD_COUNT; m++)
-        note (&tallies[m], s.ejected[m], scene, &found[m], requests,
-              o.now_us - QUIET_US);
+        record_ejections (&results[m], s.ejected[m], scenario, &found[m],
+                          requests, o.now_us - FAULT_START_US);
     }
-  side_by_side_clear (&s);
+  comparison_clear (&s);
 }
 
 static void
-print_found (const struct scene *scene, enum method m, struct tally *tally)
+print_found (const struct scenario *scenario, enum method m,
+             struct result *result)
 {
   const char *method = method_names[m];
-  printf ("figure detect_%s_found_%s %.3f share\n", scene->name, method,
-          (double)tally->found / RUNS);
-  if (tally->found == 0)
+  printf ("figure detect_%s_found_%s %.3f share\n", scenario->name, method,
+          (double)result->found / RUNS);
+  if (result->found == 0)
     return;
-  printf ("figure detect_%s_requests_%s %.1f requests\n", scene->name, method,
-          mean (tally->requests, tally->found));
-  printf ("figure detect_%s_requests_p99_%s %.0f requests\n", scene->name,
-          method, quantile (tally->requests, tally->found, 0.99));
-  printf ("figure detect_%s_ms_%s %.0f ms\n", scene->name, method,
-          mean (tally->waits_ms, tally->found));
+  printf ("figure detect_%s_requests_%s %.1f requests\n", scenario->name,
+          method, mean (result->requests, result->found));
+  printf ("figure detect_%s_requests_p99_%s %.0f requests\n", scenario->name,
+          method, quantile (result->requests, result->found, 0.99));
+  printf ("figure detect_%s_ms_%s %.0f ms\n", scenario->name, method,
+          mean (result->detection_ms, result->found));
 }
 
 static void
-run_scene (const struct scene *scene)
+run_scenario (const struct scenario *scenario)
 {
-  struct tally tallies[METHOD_COUNT];
-  memset (tallies, 0, sizeof tallies);
+  struct result results[METHOD_COUNT];
+  memset (results, 0, sizeof results);
   for (uint64_t seed = 1; seed <= RUNS; seed++)
-    run_once (scene, seed, tallies);
+    run_once (scenario, seed, results);
   for (int m = 0; m < METHOD_COUNT; m++)
     {
-      if (!scene->nothing_to_eject)
-        print_found (scene, m, &tallies[m]);
+      if (!scenario->nothing_to_eject)
+        print_found (scenario, m, &results[m]);
       printf ("figure detect_%s_false_ejections_%s %.3f per_run\n",
-              scene->name, method_names[m],
-              (double)tallies[m].false_ejections / RUNS);
+              scenario->name, method_names[m],
+              (double)results[m].false_ejections / RUNS);
     }
   fflush (stdout);
 }
@@ -373,13 +377,13 @@
 static void
 run_false (double background, uint64_t thousands)
 {
-  struct side_by_side s;
-  side_by_side_init (&s, 7);
+  struct comparison s;
+  comparison_init (&s, 7);
   s.pool.background = background;
   uint64_t counts[METHOD_COUNT] = { 0 };
   for (uint64_t i = 0; i < thousands * 1000; i++)
     {
-      side_by_side_next (&s);
+      comparison_next (&s);
       for (int m = 0; m < METHOD_COUNT; m++)
         counts[m] += (uint64_t)__builtin_popcount (s.ejected[m]);
     }
@@ -390,7 +394,7 @@
             (double)counts[m] * 1000 / (double)thousands);
   printf ("figure detect_false_run_at_%.0fpercent %.1f million_requests\n",
           100 * background, (double)thousands / 1000);
-  side_by_side_clear (&s);
+  comparison_clear (&s);
   fflush (stdout);
 }
 
@@ -419,11 +423,11 @@
   for (uint32_t i = 0; i < COST_REQUESTS; i++)
     urgent += detection_recorder_record (recorder, keys[i % targets],
                                          ATTEMPT_ANSWERED, 1000 + i % 65536);
-  double spent = seconds () - start;
+  double elapsed = seconds () - start;
   printf ("figure detect_record_ns_%u_targets %.1f ns\n", targets,
-          spent * 1e9 / COST_REQUESTS);
+          elapsed * 1e9 / COST_REQUESTS);
   if (urgent != 0)
-    printf ("unexpected: %u urgent\n", urgent);
+    printf ("unexpected urgent reports: %u\n", urgent);
   detection_recorder_destroy (recorder);
   free (keys);
 }
@@ -431,9 +435,9 @@
 int
 main (int argc, char **argv)
 {
-  for (size_t i = 0; i < sizeof scenes / sizeof scenes[0]; i++)
-    if (argc < 3 || strcmp (argv[2], scenes[i].name) == 0)
-      run_scene (&scenes[i]);
+  for (size_t i = 0; i < sizeof scenarios / sizeof scenarios[0]; i++)
+    if (argc < 3 || strcmp (argv[2], scenarios[i].name) == 0)
+      run_scenario (&scenarios[i]);
   uint64_t thousands
       = argc > 1 ? strtoull (argv[1], NULL, 10) : FALSE_THOUSANDS;
   run_false (0.01, thousands);
--- a/bench/fleet_bench.cc
+++ b/bench/fleet_bench.cc
@@ -1,8 +1,8 @@
 /** @file
- * What whole fleets of separate processes cost and do: processor time, bytes,
- * memory and platform calls of control over a quiet interval, how fast a
- * change of settings is in force, and requests lost or run twice while all
- * hosts are replaced under load.
+ * Measurements of fleets of separate processes: processor time, bytes, memory
+ * and platform calls of control while idle, the time until a settings change
+ * is in force, and requests lost or run twice while all hosts are restarted
+ * under load.
  */
 #include <algorithm>
 #include <chrono>
@@ -32,25 +32,25 @@
 constexpr int targets = 3;
 constexpr int settle_ms = 3000;
 constexpr int settle_change_ms = 1000;
-/* Records of ejections of many new services are written in this time. */
+/* Time to write the ejection records of many new services. */
 constexpr int settle_services_ms = 6000;
-/* As long as a waiting watch, so that each watch is counted once. */
+/* The duration of a watch call, so that each watch is counted once. */
 constexpr int measure_ms = 20000;
 constexpr int changes = 10;
 constexpr int rolling_hosts = 6;
 constexpr int callers = 4;
-constexpr size_t requests_between = 200;
+constexpr size_t requests_per_restart = 200;
 
-/** Of each service besides "holds". */
-struct Shape
+/** The size of each service other than "holds". */
+struct ServiceShape
 {
   int targets;
   int routes;
 };
 
-constexpr Shape small_shape = { 3, 2 };
+constexpr ServiceShape small_shape = { 3, 2 };
 
-/** What a fleet had used up to a moment. */
+/** Totals of the resources used by a fleet, at one time. */
 struct Usage
 {
   Clock::time_point at;
@@ -83,7 +83,7 @@
       .count ();
 }
 
-/* All threads' time on a processor: in nanoseconds, where stat counts only
+/* Processor time of all threads.  schedstat counts nanoseconds, stat only
    hundredths of a second. */
 double
 cpu_us_of (pid_t pid)
@@ -109,7 +109,7 @@
   return 0;
 }
 
-/* The sum of the series of a metric whose lines begin with PREFIX. */
+/* The sum of the series of a metric whose lines start with PREFIX. */
 double
 metric (const std::string &metrics, const std::string &prefix)
 {
@@ -135,7 +135,7 @@
 }
 
 Usage
-take_usage (Fleet &fleet)
+read_usage (Fleet &fleet)
 {
   Usage usage;
   const std::string calls
@@ -149,19 +149,19 @@
   return usage;
 }
 
-/* One fleet's figures from now to finish(), with this many services. */
-class Scene
+/* Measures a fleet from construction to finish(). */
+class Measurement
 {
 public:
-  Scene (Fleet &fleet, int services)
-      : fleet_ (fleet), services_ (services), before_ (take_usage (fleet))
+  Measurement (Fleet &fleet, int services)
+      : fleet_ (fleet), services_ (services), before_ (read_usage (fleet))
   {
   }
 
   void
   finish ()
   {
-    const Usage after = take_usage (fleet_);
+    const Usage after = read_usage (fleet_);
     const double seconds
         = std::chrono::duration<double> (after.at - before_.at).count ();
     const double hosts = static_cast<double> (fleet_.hosts.size ());
@@ -192,27 +192,27 @@
     fflush (stdout);
   }
 
-  /* Beside what links carry anyhow, QUIET_BYTES_PER_S in the whole fleet. */
+  /* Subtracts the traffic of the idle fleet, IDLE_BYTES_PER_S. */
   void
-  measure_changes (double quiet_bytes_per_s)
+  measure_changes (double idle_bytes_per_s)
   {
-    const Usage before = take_usage (fleet_);
+    const Usage before = read_usage (fleet_);
     double worst_ms = 0;
     for (int i = 0; i < changes; i++)
       worst_ms = std::max (worst_ms, change_ms (i % 2 == 0 ? 5 : 6));
     wait_ms (settle_change_ms);
-    const Usage after = take_usage (fleet_);
+    const Usage after = read_usage (fleet_);
     const double seconds
         = std::chrono::duration<double> (after.at - before.at).count ();
     const double bytes
-        = after.bytes_out - before.bytes_out - quiet_bytes_per_s * seconds;
+        = after.bytes_out - before.bytes_out - idle_bytes_per_s * seconds;
     print ("settings_in_force_ms_worst", worst_ms, "ms");
     print ("settings_bytes_per_change_per_host",
            bytes / changes / static_cast<double> (fleet_.hosts.size ()), "B");
   }
 
-  /* From the write until each host's line says that the version is in force
-     there. */
+  /* The time from the write until every host logs that the version is in
+     force. */
   double
   change_ms (int slots)
   {
@@ -248,8 +248,8 @@
   return "service-" + std::to_string (number);
 }
 
-/* Each target has an address of its own; only the first ones answer, and no
-   request goes to any. */
+/* Each target has its own address.  Only the first ones respond; none gets
+   requests. */
 std::string
 target_text (const Fleet &fleet, const std::string &service, int number)
 {
@@ -270,7 +270,7 @@
 }
 
 std::string
-service_text (const Fleet &fleet, int number, const Shape &shape)
+service_text (const Fleet &fleet, int number, const ServiceShape &shape)
 {
   const std::string name = service_name (number);
   std::string text
@@ -284,7 +284,7 @@
 }
 
 void
-put_services (Fleet &fleet, int from, int to, const Shape &shape)
+put_services (Fleet &fleet, int from, int to, const ServiceShape &shape)
 {
   const auto start = Clock::now ();
   std::string version;
@@ -300,8 +300,9 @@
     }
   for (const auto &host : fleet.hosts)
     if (!host->wait_line ({ "service-in-force", "\"version\":" + version }))
-      fail ("services aren't in force everywhere in time\n" + host->tail (5));
-  printf ("# %d services put and in force on %zu hosts after %.0f ms\n",
+      fail ("services aren't in force on all hosts in time\n"
+            + host->tail (5));
+  printf ("# %d services written and in force on %zu hosts after %.0f ms\n",
           to - from, fleet.hosts.size (), ms_since (start));
 }
 
@@ -327,29 +328,30 @@
       fleets.push_back (std::make_unique<Fleet> (fleet_options (hosts)));
       const auto start = Clock::now ();
       if (!fleets.back ()->start ())
-        fail ("a fleet of " + std::to_string (hosts) + " didn't start");
+        fail ("a fleet of " + std::to_string (hosts) + " hosts didn't start");
       printf ("# %d hosts serve after %.0f ms\n", hosts, ms_since (start));
     }
   return fleets;
 }
 
-/* Fleets of all sizes at once: idle, they take a tenth of one core. */
+/* Measures fleets of all sizes at the same time; idle, they use a tenth of one
+   core. */
 void
 measure_sizes ()
 {
   const Fleets fleets = start_fleets ({ 6, 12, 24, 36 });
-  std::vector<Scene> scenes;
+  std::vector<Measurement> measurements;
   wait_ms (settle_ms);
   for (const auto &fleet : fleets)
-    scenes.emplace_back (*fleet, 1);
+    measurements.emplace_back (*fleet, 1);
   wait_ms (measure_ms);
-  for (Scene &scene : scenes)
-    scene.finish ();
+  for (Measurement &measurement : measurements)
+    measurement.finish ();
 }
 
-/* The fleet gets services in steps of ten times as many. */
+/* Increases the number of services tenfold in each step. */
 void
-measure_services (int hosts, int first, int last, const Shape &shape)
+measure_services (int hosts, int first, int last, const ServiceShape &shape)
 {
   const Fleets fleets = start_fleets ({ hosts });
   Fleet &fleet = *fleets.front ();
@@ -359,24 +361,24 @@
       put_services (fleet, from, services, shape);
       from = services;
       wait_ms (settle_services_ms);
-      Scene scene (fleet, services);
+      Measurement measurement (fleet, services);
       wait_ms (measure_ms);
-      scene.finish ();
+      measurement.finish ();
     }
 }
 
-/* Requests lost: not answered with the target's whole answer. */
+/* A request is lost if it got no complete response of a target. */
 void
 print_rolling (Fleet &fleet, Load &load)
 {
   const std::map<std::string, int> runs = fleet.all_runs ();
-  size_t doubled = 0;
+  size_t run_twice = 0;
   for (const auto &run : runs)
-    doubled += run.second > 1;
+    run_twice += run.second > 1;
   printf ("figure rolling_requests %zu requests\n", load.count ());
   printf ("figure rolling_requests_lost %zu requests\n",
           load.count () - load.count_outcome (RequestOutcome::ran));
-  printf ("figure rolling_requests_doubled %zu requests\n", doubled);
+  printf ("figure rolling_requests_doubled %zu requests\n", run_twice);
   printf ("# %s\n%s", load.summary ().c_str (), load.check ().c_str ());
 }
 
@@ -388,19 +390,20 @@
     fail ("the fleet didn't start");
   Load load (fleet, callers);
   const auto start = Clock::now ();
-  load.wait_for_requests (requests_between);
+  load.wait_for_requests (requests_per_restart);
   for (int number = 1; number <= rolling_hosts; number++)
     {
       Process &host = *fleet.hosts[static_cast<size_t> (number - 1)];
       host.signal (SIGTERM);
       const int code = host.wait ();
       if (code != 0)
-        fail ("host " + std::to_string (number) + " ended with "
+        fail ("host " + std::to_string (number) + " exited with code "
               + std::to_string (code) + "\n" + host.tail (5));
       fleet.start_host (number);
       if (!fleet.wait_serving (number))
-        fail ("host " + std::to_string (number) + " doesn't serve again");
-      load.wait_for_requests (requests_between);
+        fail ("host " + std::to_string (number)
+              + " doesn't serve after its restart");
+      load.wait_for_requests (requests_per_restart);
     }
   load.stop ();
   printf ("figure rolling_ms_per_host %.0f ms\n",
@@ -408,13 +411,14 @@
   print_rolling (fleet, load);
 }
 
-/* "HOSTS SERVICES [TARGETS ROUTES]" */
+/* Arguments: HOSTS SERVICES [TARGETS ROUTES]. */
 void
 measure_one (int argc, char **argv)
 {
   const int services = std::max (2, atoi (argv[2]));
-  const Shape shape
-      = argc < 5 ? small_shape : Shape{ atoi (argv[3]), atoi (argv[4]) };
+  const ServiceShape shape
+      = argc < 5 ? small_shape
+                 : ServiceShape{ atoi (argv[3]), atoi (argv[4]) };
   measure_services (atoi (argv[1]), services, services, shape);
 }
 
--- a/bench/floor_bench.c
+++ b/bench/floor_bench.c
@@ -1,4 +1,6 @@
-/* Cost of the floor authority, the ticket ledger and their messages. */
+/** @file
+ * Cost of the floor owner, the ticket table and their messages.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <time.h>
@@ -28,38 +30,38 @@
 }
 
 static uint64_t
-check (void *key, uint64_t sequence, int64_t expires_ms)
+fake_mac (void *key, uint64_t sequence, int64_t expires_ms)
 {
   return hash_pair (hash_pair (SEED, sequence), (uint64_t)expires_ms);
 }
 
 static void
-measure_ledger (void)
+measure_tickets (void)
 {
   const struct ticket_table_options options = { .host = "host",
                                                 .incarnation = SEED,
                                                 .capacity = TICKETS,
                                                 .lifetime_ms = LIFETIME_MS,
-                                                .mac = check };
-  struct ticket_table *ledger = ticket_table_create (&options);
+                                                .mac = fake_mac };
+  struct ticket_table *tickets = ticket_table_create (&options);
   const double start = now_ns ();
   for (int i = 0; i < CLAIMS; i++)
     {
       struct ticket ticket;
       const int64_t now_ms = i / 50;
-      if (ticket_table_issue (ledger, now_ms, &ticket) != STATUS_OK)
+      if (ticket_table_issue (tickets, now_ms, &ticket) != STATUS_OK)
         continue;
-      ticket_table_claim (ledger, now_ms, &ticket);
-      ticket_table_finish (ledger, now_ms, ticket.sequence,
+      ticket_table_claim (tickets, now_ms, &ticket);
+      ticket_table_finish (tickets, now_ms, ticket.sequence,
                            TICKET_END_ANSWERED, 200);
     }
   printf ("figure ticket_issue_claim_finish_ns %.0f ns\n",
           (now_ns () - start) / CLAIMS);
-  ticket_table_destroy (ledger);
+  ticket_table_destroy (tickets);
 }
 
 static void
-make_owner_work (struct floor_owner *owner)
+activate_owner (struct floor_owner *owner)
 {
   floor_owner_set_candidate (owner, 0, true, UINT64_MAX);
   floor_owner_next_request (owner, 0);
@@ -93,7 +95,7 @@
       spec.targets[i].active = true;
     }
   floor_owner_set_spec (owner, 0, &spec);
-  make_owner_work (owner);
+  activate_owner (owner);
   for (size_t i = 0; i < targets / 10; i++)
     floor_owner_eject (owner, 1, spec.targets[i].name, (uint32_t)i, false);
   const double start = now_ns ();
@@ -108,8 +110,8 @@
   floor_owner_destroy (owner);
 }
 
-/* A transport that only counts. */
-struct counting
+/* A transport that only counts bytes. */
+struct counting_transport
 {
   struct ejection_transport base; /* first */
   size_t bytes;
@@ -121,22 +123,22 @@
 {
   size_t size;
   free (peer_message_encode (message, &size));
-  ((struct counting *)transport)->bytes = size;
+  ((struct counting_transport *)transport)->bytes = size;
   return STATUS_OK;
 }
 
 static void
-measure_report (struct counting *transport, size_t items)
+measure_report (struct counting_transport *transport, size_t items)
 {
-  struct detection_report_item seen[16] = { { .target_key = 0 } };
+  struct detection_report_item report_items[16] = { { .target_key = 0 } };
   struct rng rng;
   rng_seed (&rng, SEED);
   for (size_t i = 0; i < items; i++)
     {
-      seen[i].target_key = rng_next (&rng) | 1;
-      seen[i].evidence.requests = 40;
-      seen[i].evidence.latency[4] = 20;
-      seen[i].evidence.latency[5] = 20;
+      report_items[i].target_key = rng_next (&rng) | 1;
+      report_items[i].evidence.requests = 40;
+      report_items[i].evidence.latency[4] = 20;
+      report_items[i].evidence.latency[5] = 20;
     }
   const struct ejection_report report = { .service = "deposit-holds",
                                           .epoch = 12,
@@ -144,7 +146,7 @@
                                           .poll_ms = 123456789,
                                           .dc = "north-a",
                                           .demand = 40,
-                                          .items = seen,
+                                          .items = report_items,
                                           .count = items };
   ejection_send_report (&transport->base, "host", &report);
   printf ("figure evidence_report_bytes_%zu_targets %zu B\n", items,
@@ -152,17 +154,17 @@
 }
 
 static void
-measure_decision_bytes (struct counting *transport)
+measure_decision_bytes (struct counting_transport *transport)
 {
-  const struct ejection_notice news = { .kind = EJECTION_DECISION,
-                                        .service = "deposit-holds",
-                                        .epoch = 12,
-                                        .sequence = 40,
-                                        .enforce_ms = 3000,
-                                        .incarnation = UINT64_MAX / 3,
-                                        .poll_ms = 123456789,
-                                        .share = { 833, 417 } };
-  ejection_send_notice (&transport->base, "host", &news);
+  const struct ejection_notice notice = { .kind = EJECTION_DECISION,
+                                          .service = "deposit-holds",
+                                          .epoch = 12,
+                                          .sequence = 40,
+                                          .enforce_ms = 3000,
+                                          .incarnation = UINT64_MAX / 3,
+                                          .poll_ms = 123456789,
+                                          .share = { 833, 417 } };
+  ejection_send_notice (&transport->base, "host", &notice);
   printf ("figure decision_bytes_nothing_ejected %zu B\n", transport->bytes);
 }
 
@@ -170,8 +172,8 @@
 main (void)
 {
   static const struct ejection_transport_ops ops = { .send = count_bytes };
-  struct counting transport = { .base = { .ops = &ops } };
-  measure_ledger ();
+  struct counting_transport transport = { .base = { .ops = &ops } };
+  measure_tickets ();
   measure_decision (10);
   measure_decision (1000);
   measure_report (&transport, 0);
--- a/bench/load_balancer.c
+++ b/bench/load_balancer.c
@@ -73,12 +73,12 @@
   struct load_balancer base;
   enum naive_kind kind;
   uint32_t count;
-  uint32_t turn;
+  uint32_t next_target;
   uint32_t *in_flight;
   uint32_t *slots;
   struct policy_request *queue;
   uint32_t queued;
-  uint32_t bound;
+  uint32_t queue_max;
   uint32_t attempts;
 };
 
@@ -88,7 +88,7 @@
   uint32_t best = POLICY_NO_TARGET;
   for (uint32_t i = 0; i < b->count; i++)
     {
-      const uint32_t t = (b->turn + i) % b->count;
+      const uint32_t t = (b->next_target + i) % b->count;
       if (b->in_flight[t] >= b->slots[t])
         continue;
       if (best == POLICY_NO_TARGET || b->in_flight[t] < b->in_flight[best])
@@ -97,7 +97,7 @@
         break;
     }
   if (best != POLICY_NO_TARGET)
-    b->turn = (best + 1) % b->count;
+    b->next_target = (best + 1) % b->count;
   return best;
 }
 
@@ -127,7 +127,7 @@
     return d;
   if (b->queued == 0 && naive_send (b, r, &d))
     return d;
-  if (b->queued == b->bound)
+  if (b->queued == b->queue_max)
     return d;
   b->queue[b->queued++] = *r;
   d.verdict = POLICY_QUEUE;
@@ -193,12 +193,12 @@
   };
   b->kind = kind;
   b->count = count;
-  b->bound = options->queue_requests;
+  b->queue_max = options->queue_requests;
   b->attempts = options->attempts;
   b->in_flight = xcalloc (count, sizeof *b->in_flight);
   b->slots = xcalloc (count, sizeof *b->slots);
   for (uint32_t i = 0; i < count; i++)
     b->slots[i] = targets[i].slots;
-  b->queue = xcalloc (b->bound + 1, sizeof *b->queue);
+  b->queue = xcalloc (b->queue_max + 1, sizeof *b->queue);
   return &b->base;
 }
--- a/bench/load_bench.c
+++ b/bench/load_bench.c
@@ -1,7 +1,7 @@
 /** @file
- * Goodput, refusals, retries and the share of a gray target, at 30 % to
- * 150 % of the slots of ten targets, side by side with round robin and
- * least-in-flight.
+ * Goodput, refusals, retries and the share of a gray target, at 30 % to 150 %
+ * of the slots of ten targets, compared with round robin and least-in-flight
+ * balancers.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -90,29 +90,31 @@
 }
 
 static void
-print (const char *what, const char *of, double value, const char *unit)
+print (const char *figure, const char *case_name, double value,
+       const char *unit)
 {
-  printf ("figure load_%s_%s %.4g %s\n", of, what, value, unit);
+  printf ("figure load_%s_%s %.4g %s\n", case_name, figure, value, unit);
 }
 
 static void
-report (const char *of, const struct load_result *r, double reference)
+report (const char *case_name, const struct load_result *r, double reference)
 {
   const double requests = (double)r->requests;
-  print ("goodput", of, (double)r->good / r->seconds, "requests/s");
-  print ("goodput_of_reference", of, 100 * (double)r->good / reference, "%");
-  print ("refused", of, 100 * (double)r->refused / requests, "%");
-  print ("refused_after_waiting", of,
+  print ("goodput", case_name, (double)r->good / r->seconds, "requests/s");
+  print ("goodput_of_reference", case_name, 100 * (double)r->good / reference,
+         "%");
+  print ("refused", case_name, 100 * (double)r->refused / requests, "%");
+  print ("refused_after_waiting", case_name,
          100 * (double)r->refused_after_waiting / requests, "%");
-  print ("failed", of, 100 * (double)r->failed / requests, "%");
-  print ("failed_unrepeatable", of,
+  print ("failed", case_name, 100 * (double)r->failed / requests, "%");
+  print ("failed_unrepeatable", case_name,
          100 * (double)r->failed_unrepeatable / requests, "%");
   const double sent = requests - (double)r->refused;
-  print ("retries", of, (double)r->attempts / sent - 1, "per-request");
-  print ("gray_share", of,
+  print ("retries", case_name, (double)r->attempts / sent - 1, "per-request");
+  print ("gray_share", case_name,
          100 * (double)r->gray_attempts / (double)r->attempts, "%");
-  print ("avoided", of, (double)r->avoided_requests, "requests");
-  print ("avoided", of, r->avoided_ms, "ms");
+  print ("avoided", case_name, (double)r->avoided_requests, "requests");
+  print ("avoided", case_name, r->avoided_ms, "ms");
 }
 
 static double
@@ -121,8 +123,9 @@
   return (double)TARGETS * LOAD_SLOTS * 1e6 / LOAD_SERVICE_US;
 }
 
-/* With a gray target the reference is the policy on nine good ones; without,
- * what is asked or the slots can do. */
+/* The reference number of good responses.  With a gray target it is that of
+   the policy with the nine healthy targets, else the smaller of the requests
+   and the capacity of the slots. */
 static double
 reference (enum gray_kind gray, uint32_t load_percent,
            const struct load_result *r)
@@ -131,8 +134,8 @@
     return (double)run (BALANCER_POLICY, TARGETS - 1, load_percent, GRAY_NONE)
         .good;
   const double slower = gray == ALL_SLOW_3 ? 3 : 1;
-  const double most = capacity () / slower * r->seconds;
-  return (double)r->requests < most ? (double)r->requests : most;
+  const double max = capacity () / slower * r->seconds;
+  return (double)r->requests < max ? (double)r->requests : max;
 }
 
 static void
@@ -142,10 +145,10 @@
     {
       const struct load_result r
           = run ((enum balancer_kind)kind, TARGETS, load_percent, gray);
-      char of[80];
-      (void)snprintf (of, sizeof of, "%s_%s_%" PRIu32, balancer_names[kind],
-                      gray_names[gray], load_percent);
-      report (of, &r, reference (gray, load_percent, &r));
+      char case_name[80];
+      (void)snprintf (case_name, sizeof case_name, "%s_%s_%" PRIu32,
+                      balancer_names[kind], gray_names[gray], load_percent);
+      report (case_name, &r, reference (gray, load_percent, &r));
     }
 }
 
--- a/bench/load_run.c
+++ b/bench/load_run.c
@@ -9,9 +9,10 @@
 {
   REPEATABLE_PERCENT = 70,
   QUICK_FAILURE_US = 2000,
-  FLAP_US = 2000000,
-  SHARE_WINDOW = 200, /* attempts over which a share is taken */
-  SHARE_LEAST = 2,    /* a tenth of a fair share of ten targets */
+  FLAP_INTERVAL_US = 2000000,
+  SHARE_WINDOW_ATTEMPTS = 200,
+  AVOIDED_ATTEMPTS_BELOW = 2, /* per window: a tenth of the fair share of one
+                                 of ten targets */
 };
 
 struct attempt_record
@@ -20,7 +21,7 @@
   bool gray;
 };
 
-struct flight
+struct attempt
 {
   int64_t end_us;
   int64_t sent_us;
@@ -32,7 +33,7 @@
 struct request_state
 {
   struct policy_request r;
-  bool waited;
+  bool was_queued;
   bool counted;
 };
 
@@ -45,37 +46,38 @@
   int64_t now_us;
   struct request_state *requests;
   uint32_t request_count;
-  struct flight *flying; /* unordered; a few dozen */
-  uint32_t flying_count;
+  struct attempt *in_flight; /* unordered, a few dozen */
+  uint32_t in_flight_count;
   struct attempt_record *records;
   uint32_t record_count;
   struct load_result result;
 };
 
-/* How an attempt at a target that is fine, or gray, will go. */
+/* Draws the end of an attempt at a healthy or gray target. */
 static void
-decide_fate (struct run *run, struct flight *f)
+decide_end (struct run *run, struct attempt *f)
 {
-  const bool begun = run->now_us >= run->c->onset_us;
-  const bool gray = begun && (f->target == 0 || run->c->gray == ALL_SLOW_3);
+  const bool started = run->now_us >= run->c->onset_us;
+  const bool gray = started && (f->target == 0 || run->c->gray == ALL_SLOW_3);
   const enum gray_kind kind = gray ? run->c->gray : GRAY_NONE;
-  const int64_t phase = (run->now_us - run->c->onset_us) / FLAP_US;
-  double took_us = 1000 + rng_exponential (&run->rng, LOAD_SERVICE_US - 1000);
-  const uint64_t roll = rng_below (&run->rng, 100);
+  const int64_t phase = (run->now_us - run->c->onset_us) / FLAP_INTERVAL_US;
+  double duration_us
+      = 1000 + rng_exponential (&run->rng, LOAD_SERVICE_US - 1000);
+  const uint64_t percent_roll = rng_below (&run->rng, 100);
   f->end = ATTEMPT_ANSWERED;
-  if (kind == GRAY_FAILS_ALL || (kind == GRAY_FAILS_40 && roll < 40)
+  if (kind == GRAY_FAILS_ALL || (kind == GRAY_FAILS_40 && percent_roll < 40)
       || (kind == GRAY_FLAPS && phase % 2 == 0))
     {
       f->end = ATTEMPT_FAILED;
-      took_us = QUICK_FAILURE_US;
+      duration_us = QUICK_FAILURE_US;
     }
   if (kind == GRAY_SLOW_10)
-    took_us *= 10;
+    duration_us *= 10;
   if (kind == ALL_SLOW_3)
-    took_us *= 3;
-  if (kind == GRAY_TIMES_OUT_HALF && roll < 50)
-    took_us = 1e9;
-  f->end_us = run->now_us + (int64_t)took_us;
+    duration_us *= 3;
+  if (kind == GRAY_TIMES_OUT_HALF && percent_roll < 50)
+    duration_us = 1e9;
+  f->end_us = run->now_us + (int64_t)duration_us;
   const int64_t deadline_us = run->requests[f->request].r.deadline_us;
   if (f->end_us >= deadline_us)
     {
@@ -87,13 +89,13 @@
 static void
 send_attempt (struct run *run, uint32_t request, uint32_t target)
 {
-  struct flight *f = &run->flying[run->flying_count++];
-  *f = (struct flight){
+  struct attempt *f = &run->in_flight[run->in_flight_count++];
+  *f = (struct attempt){
     .request = request,
     .target = target,
     .sent_us = run->now_us,
   };
-  decide_fate (run, f);
+  decide_end (run, f);
   if (!run->requests[request].counted)
     return;
   run->result.attempts++;
@@ -112,7 +114,7 @@
       send_attempt (run, (uint32_t)d->request_id, d->target);
       break;
     case POLICY_QUEUE:
-      s->waited = true;
+      s->was_queued = true;
       break;
     case POLICY_REFUSE:
       if (!s->counted)
@@ -122,7 +124,7 @@
       else
         {
           run->result.refused++;
-          run->result.refused_after_waiting += (uint64_t)s->waited;
+          run->result.refused_after_waiting += (uint64_t)s->was_queued;
         }
       break;
     }
@@ -131,7 +133,7 @@
 static void
 admit (struct run *run, uint32_t request)
 {
-  run->requests[request].waited = false;
+  run->requests[request].was_queued = false;
   const struct policy_decision d = run->balancer->admit (
       run->balancer, run->now_us, &run->requests[request].r);
   apply (run, &d);
@@ -156,7 +158,7 @@
 }
 
 static void
-ask_next (struct run *run)
+handle_queued (struct run *run)
 {
   struct policy_decision d;
   while (run->balancer->next (run->balancer, run->now_us, &d))
@@ -164,7 +166,7 @@
 }
 
 static void
-retry_or_fail (struct run *run, const struct flight *f)
+retry_or_fail (struct run *run, const struct attempt *f)
 {
   struct request_state *s = &run->requests[f->request];
   if (service_policy_may_retry (f->end, s->r.repeatable)
@@ -183,8 +185,8 @@
 static void
 finish (struct run *run, uint32_t at)
 {
-  const struct flight f = run->flying[at];
-  run->flying[at] = run->flying[--run->flying_count];
+  const struct attempt f = run->in_flight[at];
+  run->in_flight[at] = run->in_flight[--run->in_flight_count];
   const struct request_state *s = &run->requests[f.request];
   const struct policy_outcome o = {
     .target = f.target,
@@ -193,7 +195,7 @@
     .repeatable = s->r.repeatable,
   };
   run->balancer->outcome (run->balancer, run->now_us, &o);
-  ask_next (run);
+  handle_queued (run);
   if (f.end == ATTEMPT_ANSWERED)
     run->result.good += (uint64_t)s->counted;
   else
@@ -201,18 +203,18 @@
 }
 
 static uint32_t
-first_to_end (const struct run *run)
+find_next_end (const struct run *run)
 {
   uint32_t first = UINT32_MAX;
-  for (uint32_t i = 0; i < run->flying_count; i++)
+  for (uint32_t i = 0; i < run->in_flight_count; i++)
     if (first == UINT32_MAX
-        || run->flying[i].end_us < run->flying[first].end_us)
+        || run->in_flight[i].end_us < run->in_flight[first].end_us)
       first = i;
   return first;
 }
 
-/* The first attempt from which on a window holds less than a tenth of the
- * fair share. */
+/* Finds the first attempt that starts a window in which the gray target gets
+   less than a tenth of the fair share. */
 static void
 find_avoided (struct run *run)
 {
@@ -222,11 +224,11 @@
   for (uint32_t i = 0; i < run->record_count; i++)
     {
       gray += (uint32_t)run->records[i].gray;
-      if (i >= SHARE_WINDOW)
-        gray -= (uint32_t)run->records[i - SHARE_WINDOW].gray;
-      if (i + 1 < SHARE_WINDOW || gray >= SHARE_LEAST)
+      if (i >= SHARE_WINDOW_ATTEMPTS)
+        gray -= (uint32_t)run->records[i - SHARE_WINDOW_ATTEMPTS].gray;
+      if (i + 1 < SHARE_WINDOW_ATTEMPTS || gray >= AVOIDED_ATTEMPTS_BELOW)
         continue;
-      r->avoided_requests = i + 1 - SHARE_WINDOW;
+      r->avoided_requests = i + 1 - SHARE_WINDOW_ATTEMPTS;
       const int64_t at_us = run->records[r->avoided_requests].at_us;
       r->avoided_ms = (double)(at_us - run->c->onset_us) / 1000;
       return;
@@ -238,19 +240,21 @@
 {
   const double gap_us
       = (double)LOAD_SERVICE_US / (10 * LOAD_SLOTS) * 100 / c->load_percent;
-  const uint32_t most = (uint32_t)((double)c->end_us / gap_us * 1.2) + 1000;
+  const uint32_t max_requests
+      = (uint32_t)((double)c->end_us / gap_us * 1.2) + 1000;
   struct run run = { .c = c, .balancer = balancer, .now_us = 1 };
   rng_seed (&run.arrivals, c->seed);
   rng_seed (&run.rng, c->seed + 1);
-  run.requests = xcalloc (most, sizeof *run.requests);
-  run.flying = xcalloc ((size_t)c->targets * LOAD_SLOTS, sizeof *run.flying);
-  run.records = xcalloc (most * 4UL, sizeof *run.records);
+  run.requests = xcalloc (max_requests, sizeof *run.requests);
+  run.in_flight
+      = xcalloc ((size_t)c->targets * LOAD_SLOTS, sizeof *run.in_flight);
+  run.records = xcalloc (max_requests * 4UL, sizeof *run.records);
   int64_t arrival_us = 1;
   for (;;)
     {
-      const uint32_t at = first_to_end (&run);
+      const uint32_t at = find_next_end (&run);
       const int64_t end_us
-          = at == UINT32_MAX ? INT64_MAX : run.flying[at].end_us;
+          = at == UINT32_MAX ? INT64_MAX : run.in_flight[at].end_us;
       const int64_t wake_us = balancer->wake_us (balancer);
       if (arrival_us >= c->end_us && end_us == INT64_MAX
           && wake_us == INT64_MAX)
@@ -259,7 +263,7 @@
       if (wake_us < end_us && wake_us < next_us)
         {
           run.now_us = wake_us > run.now_us ? wake_us : run.now_us;
-          ask_next (&run);
+          handle_queued (&run);
           continue;
         }
       if (end_us <= next_us)
@@ -275,7 +279,7 @@
   run.result.seconds = (double)(c->end_us - c->onset_us) / 1e6;
   find_avoided (&run);
   free (run.requests);
-  free (run.flying);
+  free (run.in_flight);
   free (run.records);
   return run.result;
 }
--- a/bench/load_run.h
+++ b/bench/load_run.h
@@ -1,6 +1,6 @@
 /** @file
- * One run of the load benchmark: seeded arrivals, fakes of targets, events in
- * the order of a simulated clock.
+ * One run of the load benchmark: seeded arrivals and fake targets, simulated
+ * in virtual time.
  */
 #ifndef BENCH_LOAD_RUN_H
 #define BENCH_LOAD_RUN_H
@@ -13,11 +13,11 @@
 enum
 {
   LOAD_SLOTS = 5,
-  LOAD_SERVICE_US = 10000, /**< mean time of a good answer */
+  LOAD_SERVICE_US = 10000, /**< mean time of a good response */
   LOAD_DEADLINE_US = 300000,
 };
 
-/** What is wrong with target 0 from the onset on. */
+/** The fault of target 0 from the onset on. */
 enum gray_kind
 {
   GRAY_NONE,
@@ -25,12 +25,12 @@
   GRAY_FAILS_40,
   GRAY_SLOW_10,
   GRAY_TIMES_OUT_HALF,
-  GRAY_FLAPS, /**< fails all for 2 s, is well for 2 s, and so on */
-  ALL_SLOW_3, /**< not one but all: three times slower */
+  GRAY_FLAPS, /**< fails all for 2 s, is healthy for 2 s, repeatedly */
+  ALL_SLOW_3, /**< all targets are three times slower */
   GRAY_KINDS,
 };
 
-/** One case. */
+/** Parameters of a run. */
 struct load_case
 {
   uint32_t targets;
@@ -41,19 +41,20 @@
   uint64_t seed;
 };
 
-/** What came of it; requests that arrived before the onset don't count. */
+/** Results of a run, without the requests that arrived before the onset. */
 struct load_result
 {
   uint64_t requests;
-  uint64_t good; /**< answered well within the deadline */
+  uint64_t good; /**< good responses within the deadline */
   uint64_t refused;
-  uint64_t refused_after_waiting; /**< of them, after having waited */
+  uint64_t refused_after_waiting; /**< of the refused ones, after queueing */
   uint64_t failed;
-  uint64_t failed_unrepeatable; /**< of them, sent, with no second try */
+  uint64_t failed_unrepeatable; /**< of the failed ones, sent once */
   uint64_t attempts;
   uint64_t gray_attempts;
   double seconds;
-  int64_t avoided_requests; /**< until the gray target's share fell; -1 */
+  int64_t avoided_requests; /**< until the gray target's share fell below
+                                 a tenth of the fair one; -1 if it didn't */
   double avoided_ms;
 };
 
--- a/bench/placement_bench.c
+++ b/bench/placement_bench.c
@@ -1,6 +1,6 @@
 /** @file
- * What choosing the host set of one service costs at the size to design for.
- * A host that comes or goes makes every host choose for each service it knows.
+ * Cost of choosing the host set of one service at the design size.
+ * When a host joins or leaves, every host chooses for each service it knows.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -36,9 +36,9 @@
                        &choice);
       chosen += choice.count;
     }
-  const int64_t took_us = clock_now_us () - start_us;
+  const int64_t elapsed_us = clock_now_us () - start_us;
   printf ("figure host_set_choose_us_%zu_hosts %.1f us\n", count,
-          (double)took_us / SERVICES);
+          (double)elapsed_us / SERVICES);
   printf ("figure host_set_size_%zu_hosts %" PRIu64 " hosts\n", count,
           chosen / SERVICES);
 }
--- a/bench/proxy_bench.c
+++ b/bench/proxy_bench.c
@@ -1,10 +1,12 @@
-/* What a host adds to a request: the same requests go straight to a target
-   and through a jaystaird to it, in turn, in one run.
-
-   Paced: 500 requests/s on kept connections, in blocks of one second straight
-   and one second through.  Closed: as many as 16 callers get, to compare
-   rates.  Memory is read after that load, and again with many kept
-   connections. */
+/** @file
+ * Overhead of a host: the same requests go directly to a target and through
+ * a jaystaird to it, in alternating blocks of one run.
+ *
+ * Paced: 500 requests/s on persistent connections, in blocks of one second per
+ * route.  Closed loop: as many requests as 16 callers can send, to compare
+ * rates.  Memory is read after that load, and again with many idle
+ * connections.
+ */
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <stdbool.h>
@@ -27,20 +29,20 @@
   URL_SIZE = 128,
   PATH_SIZE = 256,
   REQUESTS_PER_SECOND = 500,
-  BLOCKS = 12, /* of a second, of each way */
+  BLOCKS = 12, /* of one second, per route */
   CLOSED_CALLERS = 16,
   CLOSED_BLOCKS = 4,
   SAMPLES_MAX = REQUESTS_PER_SECOND * (BLOCKS + 1),
   START_TRIES = 500,
   PERMILLE_MEDIAN = 500,
   PERMILLE_HIGH = 990,
-  KEPT_CALLERS = 900,
-  ANSWER_SIZE = 4096,
+  IDLE_CONNECTIONS = 900,
+  RESPONSE_SIZE = 4096,
   US_PER_SECOND = 1000000
 };
 
-/* One way to the target. */
-struct way
+/* A route to the target and its results. */
+struct route
 {
   char url[URL_SIZE];
   int64_t *latencies_us;
@@ -54,13 +56,13 @@
 {
   struct ev_loop *loop;
   struct curl_loop *curl;
-  struct way straight;
-  struct way through;
-  struct way *now;
+  struct route direct;
+  struct route proxied;
+  struct route *current_route;
   bool recording;
-  bool closed; /* each end starts the next request */
+  bool closed; /* closed loop: each end starts the next request */
   uint32_t running;
-  uint32_t left; /* of the block, when paced */
+  uint32_t remaining; /* requests of a paced block */
   ev_timer pace;
   pid_t target;
   pid_t host;
@@ -68,14 +70,14 @@
   char folder[PATH_SIZE];
 };
 
-struct shot
+struct request_state
 {
   struct bench *bench;
-  struct way *way;
+  struct route *route;
   int64_t started_us;
 };
 
-static void shoot (struct bench *bench, struct way *way);
+static void send_request (struct bench *bench, struct route *route);
 
 static size_t
 drop_body (char *data, size_t size, size_t count, void *owner)
@@ -84,46 +86,47 @@
 }
 
 static void
-on_shot_done (void *owner, CURLcode code, CURL *easy)
+on_request_done (void *owner, CURLcode code, CURL *easy)
 {
-  struct shot *shot = owner;
-  struct bench *bench = shot->bench;
-  struct way *way = shot->way;
+  struct request_state *request_state = owner;
+  struct bench *bench = request_state->bench;
+  struct route *route = request_state->route;
   long status = 0;
   curl_easy_getinfo (easy, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_cleanup (easy);
   bench->running--;
   if (code != CURLE_OK || status != 200)
-    way->failed++;
+    route->failed++;
   else if (bench->closed)
-    way->closed_done++;
-  else if (bench->recording && way->count < SAMPLES_MAX)
-    way->latencies_us[way->count++] = clock_now_us () - shot->started_us;
-  free (shot);
+    route->closed_done++;
+  else if (bench->recording && route->count < SAMPLES_MAX)
+    route->latencies_us[route->count++]
+        = clock_now_us () - request_state->started_us;
+  free (request_state);
   if (bench->closed && bench->recording)
-    shoot (bench, way);
+    send_request (bench, route);
 }
 
 static void
-shoot (struct bench *bench, struct way *way)
+send_request (struct bench *bench, struct route *route)
 {
-  struct shot *shot = xcalloc (1, sizeof *shot);
+  struct request_state *request_state = xcalloc (1, sizeof *request_state);
   CURL *easy = curl_loop_create_easy ();
-  shot->bench = bench;
-  shot->way = way;
-  shot->started_us = clock_now_us ();
-  curl_easy_setopt (easy, CURLOPT_URL, way->url);
+  request_state->bench = bench;
+  request_state->route = route;
+  request_state->started_us = clock_now_us ();
+  curl_easy_setopt (easy, CURLOPT_URL, route->url);
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, drop_body);
   bench->running++;
-  curl_loop_start (bench->curl, easy, on_shot_done, shot);
+  curl_loop_start (bench->curl, easy, on_request_done, request_state);
 }
 
 static void
 on_pace (struct ev_loop *loop, ev_timer *timer, int events)
 {
   struct bench *bench = timer->data;
-  shoot (bench, bench->now);
-  if (--bench->left == 0)
+  send_request (bench, bench->current_route);
+  if (--bench->remaining == 0)
     ev_timer_stop (loop, timer);
 }
 
@@ -135,33 +138,33 @@
 }
 
 static void
-paced_block (struct bench *bench, struct way *way, bool recording)
+paced_block (struct bench *bench, struct route *route, bool recording)
 {
-  bench->now = way;
+  bench->current_route = route;
   bench->recording = recording;
-  bench->left = REQUESTS_PER_SECOND;
+  bench->remaining = REQUESTS_PER_SECOND;
   ev_now_update (bench->loop);
   ev_timer_set (&bench->pace, 0., 1.0 / REQUESTS_PER_SECOND);
   ev_timer_start (bench->loop, &bench->pace);
-  while (bench->left > 0)
+  while (bench->remaining > 0)
     ev_run (bench->loop, EVRUN_ONCE);
   drain (bench);
 }
 
 static void
-closed_block (struct bench *bench, struct way *way)
+closed_block (struct bench *bench, struct route *route)
 {
   const int64_t start_us = clock_now_us ();
   bench->closed = true;
   bench->recording = true;
   for (int i = 0; i < CLOSED_CALLERS; i++)
-    shoot (bench, way);
+    send_request (bench, route);
   while (clock_now_us () - start_us < US_PER_SECOND)
     ev_run (bench->loop, EVRUN_ONCE);
   bench->recording = false;
   drain (bench);
   bench->closed = false;
-  way->closed_us += clock_now_us () - start_us;
+  route->closed_us += clock_now_us () - start_us;
 }
 
 static int
@@ -173,19 +176,20 @@
 }
 
 static double
-percentile_ms (struct way *way, size_t permille)
+percentile_ms (struct route *route, size_t permille)
 {
-  if (way->count == 0)
+  if (route->count == 0)
     return 0.;
-  qsort (way->latencies_us, way->count, sizeof *way->latencies_us, compare);
-  const size_t place = way->count * permille / 1000;
-  return (double)way->latencies_us[place] / 1000.;
+  qsort (route->latencies_us, route->count, sizeof *route->latencies_us,
+         compare);
+  const size_t index = route->count * permille / 1000;
+  return (double)route->latencies_us[index] / 1000.;
 }
 
 static double
-rate (const struct way *way)
+rate (const struct route *route)
 {
-  return (double)way->closed_done * US_PER_SECOND / (double)way->closed_us;
+  return (double)route->closed_done * US_PER_SECOND / (double)route->closed_us;
 }
 
 static void
@@ -228,21 +232,21 @@
 }
 
 static bool
-answers (struct bench *bench, struct way *way)
+responds (struct bench *bench, struct route *route)
 {
-  const size_t failed = way->failed;
+  const size_t failed = route->failed;
   bench->recording = false;
-  shoot (bench, way);
+  send_request (bench, route);
   drain (bench);
-  return way->failed == failed;
+  return route->failed == failed;
 }
 
 static void
-wait_for (struct bench *bench, struct way *way)
+wait_for (struct bench *bench, struct route *route)
 {
-  for (int i = 0; i < START_TRIES && !answers (bench, way); i++)
+  for (int i = 0; i < START_TRIES && !responds (bench, route); i++)
     usleep (10000);
-  way->failed = 0;
+  route->failed = 0;
 }
 
 static void
@@ -260,11 +264,11 @@
   const char *const host[] = { JAYSTAIRD, "--settings", settings, NULL };
   bench->target = bench_process_start (target);
   bench->host = bench_process_start (host);
-  snprintf (bench->straight.url, URL_SIZE, "http://%s/calendar", listen);
-  snprintf (bench->through.url, URL_SIZE, "http://127.0.0.1:%u/calendar",
+  snprintf (bench->direct.url, URL_SIZE, "http://%s/calendar", listen);
+  snprintf (bench->proxied.url, URL_SIZE, "http://127.0.0.1:%u/calendar",
             host_port);
-  wait_for (bench, &bench->straight);
-  wait_for (bench, &bench->through);
+  wait_for (bench, &bench->direct);
+  wait_for (bench, &bench->proxied);
   free (listen);
   free (settings);
 }
@@ -283,51 +287,51 @@
   rmdir (bench->folder);
 }
 
-/* One answered request on each of many kept connections. */
+/* Sends one request on each of many connections and keeps them open. */
 static void
-keep_callers (struct bench *bench)
+measure_idle_connections (struct bench *bench)
 {
   static const char request[] = "GET /calendar HTTP/1.1\r\nHost: a\r\n\r\n";
   struct sockaddr_in in = { .sin_family = AF_INET,
                             .sin_port = htons (bench->host_port),
                             .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
-  char answer[ANSWER_SIZE];
-  int kept[KEPT_CALLERS];
-  size_t answered = 0;
-  for (size_t i = 0; i < KEPT_CALLERS; i++)
+  char response[RESPONSE_SIZE];
+  int connections[IDLE_CONNECTIONS];
+  size_t responses = 0;
+  for (size_t i = 0; i < IDLE_CONNECTIONS; i++)
     {
-      kept[i] = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-      if (connect (kept[i], (struct sockaddr *)&in, sizeof in) == 0
-          && write (kept[i], request, sizeof request - 1) > 0
-          && read (kept[i], answer, sizeof answer) > 0)
-        answered++;
+      connections[i] = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+      if (connect (connections[i], (struct sockaddr *)&in, sizeof in) == 0
+          && write (connections[i], request, sizeof request - 1) > 0
+          && read (connections[i], response, sizeof response) > 0)
+        responses++;
     }
   printf ("figure host_rss_kept_callers_kb %llu KiB\n",
           (unsigned long long)bench_process_rss_kb (bench->host));
-  printf ("figure kept_callers %zu connections\n", answered);
-  for (size_t i = 0; i < KEPT_CALLERS; i++)
-    close (kept[i]);
+  printf ("figure kept_callers %zu connections\n", responses);
+  for (size_t i = 0; i < IDLE_CONNECTIONS; i++)
+    close (connections[i]);
 }
 
 static void
 report (struct bench *bench)
 {
-  struct way *straight = &bench->straight;
-  struct way *through = &bench->through;
-  const double straight_p50 = percentile_ms (straight, PERMILLE_MEDIAN);
-  const double straight_p99 = percentile_ms (straight, PERMILLE_HIGH);
-  const double through_p50 = percentile_ms (through, PERMILLE_MEDIAN);
-  const double through_p99 = percentile_ms (through, PERMILLE_HIGH);
-  printf ("figure straight_p50_ms %.3f ms\n", straight_p50);
-  printf ("figure straight_p99_ms %.3f ms\n", straight_p99);
-  printf ("figure added_p50_ms %.3f ms\n", through_p50 - straight_p50);
-  printf ("figure added_p99_ms %.3f ms\n", through_p99 - straight_p99);
-  printf ("figure straight_rps %.0f requests/s\n", rate (straight));
-  printf ("figure proxied_rps %.0f requests/s\n", rate (through));
+  struct route *direct = &bench->direct;
+  struct route *proxied = &bench->proxied;
+  const double direct_p50 = percentile_ms (direct, PERMILLE_MEDIAN);
+  const double direct_p99 = percentile_ms (direct, PERMILLE_HIGH);
+  const double proxied_p50 = percentile_ms (proxied, PERMILLE_MEDIAN);
+  const double proxied_p99 = percentile_ms (proxied, PERMILLE_HIGH);
+  printf ("figure straight_p50_ms %.3f ms\n", direct_p50);
+  printf ("figure straight_p99_ms %.3f ms\n", direct_p99);
+  printf ("figure added_p50_ms %.3f ms\n", proxied_p50 - direct_p50);
+  printf ("figure added_p99_ms %.3f ms\n", proxied_p99 - direct_p99);
+  printf ("figure straight_rps %.0f requests/s\n", rate (direct));
+  printf ("figure proxied_rps %.0f requests/s\n", rate (proxied));
   printf ("figure proxied_rps_ratio %.3f ratio\n",
-          rate (through) / rate (straight));
+          rate (proxied) / rate (direct));
   printf ("figure proxy_failed_requests %zu requests\n",
-          straight->failed + through->failed);
+          direct->failed + proxied->failed);
   printf ("figure host_rss_kb %llu KiB\n",
           (unsigned long long)bench_process_rss_kb (bench->host));
 }
@@ -338,27 +342,27 @@
   struct bench bench = { .loop = ev_default_loop (0) };
   const struct curl_loop_options options = { 0 };
   bench.curl = curl_loop_create (bench.loop, &options);
-  bench.straight.latencies_us = xcalloc (SAMPLES_MAX, sizeof (int64_t));
-  bench.through.latencies_us = xcalloc (SAMPLES_MAX, sizeof (int64_t));
+  bench.direct.latencies_us = xcalloc (SAMPLES_MAX, sizeof (int64_t));
+  bench.proxied.latencies_us = xcalloc (SAMPLES_MAX, sizeof (int64_t));
   ev_timer_init (&bench.pace, on_pace, 0., 0.);
   bench.pace.data = &bench;
   start (&bench);
   for (int i = 0; i <= BLOCKS; i++)
     {
-      paced_block (&bench, &bench.straight, i > 0);
-      paced_block (&bench, &bench.through, i > 0);
+      paced_block (&bench, &bench.direct, i > 0);
+      paced_block (&bench, &bench.proxied, i > 0);
     }
   for (int i = 0; i < CLOSED_BLOCKS; i++)
     {
-      closed_block (&bench, &bench.straight);
-      closed_block (&bench, &bench.through);
+      closed_block (&bench, &bench.direct);
+      closed_block (&bench, &bench.proxied);
     }
   report (&bench);
-  keep_callers (&bench);
-  const bool bad = bench.through.count == 0 || bench.straight.count == 0;
+  measure_idle_connections (&bench);
+  const bool has_failed = bench.proxied.count == 0 || bench.direct.count == 0;
   stop (&bench);
   curl_loop_destroy (bench.curl);
-  free (bench.straight.latencies_us);
-  free (bench.through.latencies_us);
-  return bad ? 1 : 0;
+  free (bench.direct.latencies_us);
+  free (bench.proxied.latencies_us);
+  return has_failed ? 1 : 0;
 }
