--- a/tests/fleet/cut_test.cc
+++ b/tests/fleet/cut_test.cc
@@ -120,7 +120,7 @@
         {
           const Record record
               = send_and_classify (fleet.caller_url (1 + number % 3, ""),
-                                   "read-" + std::to_string (number), false);
+                                   "page-" + std::to_string (number), false);
           EXPECT_EQ (record.outcome, RequestOutcome::ran)
               << number << ": " << record.detail;
         }
