--- a/policy/choice/latency_histogram.h
+++ b/policy/choice/latency_histogram.h
@@ -17,7 +17,8 @@
 enum
 {
   LATENCY_HISTOGRAM_BUCKETS_PER_OCTAVE
-  = 8, /**< a tenth wide, finer than the scatter of latencies */
+  = 8, /**< each a tenth wider than the one before, finer than the scatter of
+            latencies */
   LATENCY_HISTOGRAM_OCTAVES = 17, /**< 1 ms to two minutes */
   LATENCY_HISTOGRAM_BUCKETS
   = LATENCY_HISTOGRAM_BUCKETS_PER_OCTAVE * LATENCY_HISTOGRAM_OCTAVES,
--- a/policy/choice/placement.c
+++ b/policy/choice/placement.c
@@ -350,7 +350,7 @@
 }
 
 /* Prevents a service from using only a few targets that responded last and
-   finding no others when these fail too: without reports the others always
+   finding no others when these fail too: without outcomes the others always
    look worse.  The symptom is that most healthy targets are idle while one
    request in ten fails.  The best unused targets get requests in turn until
    the share that the operator configured is in use; so do those for which
@@ -397,7 +397,8 @@
   };
 }
 
-/* Queued requests may be held back from the free slots; R may not be. */
+/* Is a slot free that a new request might use?  The requests queued before it
+   may be held back from such a slot. */
 static bool
 has_healthy_slot (const struct service_policy *policy)
 {
--- a/policy/choice/retry_budget.c
+++ b/policy/choice/retry_budget.c
@@ -9,7 +9,7 @@
    window arrive in the next. */
 static const double usable_share = 0.9;
 
-/* Add a host's PART of what is left after each host has its first token.  A
+/* Add a host's PART of what remains after each host has its first token.  A
    host that is killed may consume all its tokens, and its initial ones
    after the restart. */
 static void
--- a/policy/choice/service_rate.c
+++ b/policy/choice/service_rate.c
@@ -3,9 +3,12 @@
 enum
 {
   RATE_MIN_SAMPLES = 8,
-  RATE_STALE_US = 5000000, /* older samples under load are useless */
+  /* Samples from before a gap of this length aren't used: they are from
+     another period of load. */
+  RATE_STALE_US = 5000000,
   DEFAULT_LATENCY_US = 10000,
-  STALL_GAPS = 8, /* a gap of so many means is hardly chance (e^-8) */
+  STALL_INTERVALS = 8, /* a gap of this many mean intervals is hardly chance
+                          (e^-8) */
 };
 
 static const double ewma_gain = 1.0 / 32;
@@ -42,7 +45,7 @@
 {
   const double since_us = (double)(now_us - rate->last_end_us);
   const bool stale = since_us >= RATE_STALE_US;
-  const double gap_us = rate->had_waiting ? since_us / STALL_GAPS : 0;
+  const double gap_us = rate->had_waiting ? since_us / STALL_INTERVALS : 0;
   if (rate->samples >= RATE_MIN_SAMPLES && !stale)
     return gap_us > rate->interval_us ? gap_us : rate->interval_us;
   const double known_us = latency_us > 0 ? latency_us : DEFAULT_LATENCY_US;
--- a/policy/choice/service_state.h
+++ b/policy/choice/service_state.h
@@ -31,7 +31,8 @@
 /** Mean time between two ends of attempts while requests wait. */
 double service_state_mean_interval_us (const struct service_policy *policy);
 
-/** Maximum number of targets that R may be sent to. */
+/** Maximum number of attempts of R, including the first; those of which no
+ * byte was sent don't count. */
 uint32_t service_state_attempts_max (const struct service_policy *policy,
                                      const struct policy_request *r);
 
--- a/policy/choice/slot_shares.c
+++ b/policy/choice/slot_shares.c
@@ -54,16 +54,16 @@
   const uint64_t spare = available > count ? available - count : 0;
   const bool equal = demand_sum (demand, count) == 0;
   const uint64_t sum = equal ? count : demand_sum (demand, count);
-  uint64_t left = spare;
+  uint64_t remaining = spare;
   for (size_t i = 0; i < count; i++)
     {
       const unsigned __int128 exact
           = (unsigned __int128)spare * demand_of (demand, i, equal);
       const uint32_t whole = (uint32_t)(exact / sum);
       shares[i] = 1 + whole;
-      left -= whole;
+      remaining -= whole;
     }
-  for (; left > 0; left--)
+  for (; remaining > 0; remaining--)
     shares[furthest_below (demand, count, equal, spare, sum, shares)]++;
 }
 
--- a/policy/choice/target_estimate.h
+++ b/policy/choice/target_estimate.h
@@ -23,8 +23,8 @@
   /** Time in which knowledge of a target's state decays to 1/e; matches
    * episodes, healthy or unhealthy, of some seconds. */
   ESTIMATE_STATE_DECAY_US = 6000000,
-  ESTIMATE_LATENCY_EWMA_SHIFT
-  = 4, /**< a sample has weight 1/16, for the long tail of latencies */
+  ESTIMATE_LATENCY_EWMA_SHIFT = 4, /**< a sample has weight 1/16; small, since
+                                      latencies have a long tail */
 };
 
 /** Share of requests that fail at a healthy and at an unhealthy target. */
--- a/policy/choice/target_outlier.c
+++ b/policy/choice/target_outlier.c
@@ -4,7 +4,8 @@
 
 enum
 {
-  /* Several episodes of one target, many of all targets. */
+  /* Covers several failure episodes of one target, and many over all
+     targets. */
   UNHEALTHY_SHARE_DECAY_US = 10000000,
   SLOW_MIN_SAMPLES = 4, /* one slow response says little about a target */
   SLOW_SLACK_US = 1000, /* smaller differences are network noise */
@@ -61,10 +62,10 @@
 }
 
 bool
-target_outlier_is_failing (double p_unhealthy, bool was, bool faster)
+target_outlier_is_failing (double p_unhealthy, bool was_failing, bool faster)
 {
   const double enter = faster ? failing_enter_faster : failing_enter;
-  return p_unhealthy > (was ? failing_leave : enter);
+  return p_unhealthy > (was_failing ? failing_leave : enter);
 }
 
 double
@@ -86,12 +87,12 @@
 
 bool
 target_outlier_is_slow (const struct target_estimate *e,
-                        const struct peer_baseline *baseline, bool was,
+                        const struct peer_baseline *baseline, bool was_slow,
                         uint32_t distance_us)
 {
   if (e->latency_samples < SLOW_MIN_SAMPLES || baseline->latency_us <= 0)
     return false;
   const double own_us = target_outlier_own_latency_us (e, distance_us);
-  const double ratio = was ? slow_leave : slow_enter;
+  const double ratio = was_slow ? slow_leave : slow_enter;
   return own_us > ratio * baseline->latency_us + SLOW_SLACK_US;
 }
--- a/policy/choice/target_outlier.h
+++ b/policy/choice/target_outlier.h
@@ -25,9 +25,11 @@
 /** The lower median of COUNT values, which are reordered; 0 when empty. */
 double target_outlier_median (double *values, uint32_t count);
 
-/** Is a target with P_UNHEALTHY more likely unhealthy than not?  WAS
- * provides hysteresis; FASTER lowers the threshold. */
-bool target_outlier_is_failing (double p_unhealthy, bool was, bool faster);
+/** Is a target with P_UNHEALTHY more likely unhealthy than not?
+ * WAS_FAILING, the previous result, provides hysteresis; FASTER lowers the
+ * threshold. */
+bool target_outlier_is_failing (double p_unhealthy, bool was_failing,
+                                bool faster);
 
 /** Update the share of time that targets are unhealthy, which is learned
  * over seconds, with SHARE, the mean of the current probabilities.
@@ -35,10 +37,11 @@
 double target_outlier_learn_unhealthy_share (double unhealthy_share,
                                              double share, int64_t elapsed_us);
 
-/** Is the latency, without the round trip of twice DISTANCE_US, an outlier? */
+/** Is the latency, without the round trip of twice DISTANCE_US, an outlier?
+ * WAS_SLOW, the previous result, provides hysteresis. */
 bool target_outlier_is_slow (const struct target_estimate *e,
-                             const struct peer_baseline *baseline, bool was,
-                             uint32_t distance_us);
+                             const struct peer_baseline *baseline,
+                             bool was_slow, uint32_t distance_us);
 
 /** Latency without the round trip to another dc. */
 double target_outlier_own_latency_us (const struct target_estimate *e,
--- a/policy/choice/target_set.c
+++ b/policy/choice/target_set.c
@@ -239,14 +239,14 @@
   struct target_state *t = &set->targets[number];
   if (t->ejected == ejected)
     return;
-  const uint32_t was = target_state_is_eligible (t);
+  const uint32_t was_eligible = target_state_is_eligible (t);
   t->ejected = ejected;
   if (!ejected)
     t->warm_up_start_us = now_us;
-  const uint32_t is = target_state_is_eligible (t);
-  set->eligible += is - was;
+  const uint32_t is_eligible = target_state_is_eligible (t);
+  set->eligible += is_eligible - was_eligible;
   if (target_state_is_suspect (t))
-    set->suspects += is - was;
+    set->suspects += is_eligible - was_eligible;
   update_tier (set, now_us, number);
 }
 
@@ -255,12 +255,12 @@
                   bool avoided)
 {
   struct target_state *t = &set->targets[number];
-  const uint32_t was
+  const uint32_t was_suspect
       = target_state_is_eligible (t) && target_state_is_suspect (t);
   t->avoided = avoided;
-  const uint32_t is
+  const uint32_t is_suspect
       = target_state_is_eligible (t) && target_state_is_suspect (t);
-  set->suspects += is - was;
+  set->suspects += is_suspect - was_suspect;
   update_tier (set, now_us, number);
 }
 
--- a/policy/choice/target_set.h
+++ b/policy/choice/target_set.h
@@ -21,7 +21,7 @@
 {
   TARGET_REFRESH_US = 100000,   /**< maximum time between two full refreshes */
   TARGET_REFRESH_OUTCOMES = 32, /**< or after this many outcomes, or one per
-                                     target */
+                                     target if that is more */
   TARGET_IDLE_US = 3000000,     /**< without use, although it has free slots */
 };
 
@@ -73,7 +73,8 @@
 void target_set_eject (struct target_set *set, int64_t now_us, uint32_t number,
                        bool ejected);
 
-/** Set or clear the suspicion that other hosts raised against the target. */
+/** Record whether other hosts report the path from here to the target as
+ * faulty. */
 void target_set_avoid (struct target_set *set, int64_t now_us, uint32_t number,
                        bool avoided);
 
--- a/policy/choice/target_state.h
+++ b/policy/choice/target_state.h
@@ -24,9 +24,9 @@
 /** List of an eligible target with a free slot. */
 enum target_tier
 {
-  TIER_HEALTHY, /**< not an outlier */
+  TIER_HEALTHY, /**< not a suspect */
   TIER_WARMING, /**< at its slow start limit, though it has slots */
-  TIER_SUSPECT, /**< an outlier among its peers */
+  TIER_SUSPECT, /**< an outlier among its peers, or its path is faulty */
   TIER_COUNT,
   TIER_NONE = TIER_COUNT, /**< not eligible, or no free slot */
 };
@@ -123,7 +123,7 @@
  * END, and responses take USUAL_US.  Attempts that hang are reported
  * seconds after they were sent; if their ends counted as use, T would seem
  * to be in use while nothing is sent to it.  The symptom is that targets
- * get no requests for longer than their turn while the ends of
+ * get no requests although it is their turn, while the ends of
  * old attempts arrive. */
 void target_state_note_remote_use (struct target_state *t, int64_t now_us,
                                    enum attempt_end end, int64_t usual_us);
--- a/policy/choice/unserved_share.c
+++ b/policy/choice/unserved_share.c
@@ -4,7 +4,8 @@
 
 enum
 {
-  DECAY_US = 1500000, /* some requests of a host with little traffic */
+  DECAY_US = 1500000, /* time for some requests at a host with little
+                          traffic */
   MIN_FINISHED = 5,
 };
 
--- a/policy/service_policy.c
+++ b/policy/service_policy.c
@@ -12,8 +12,14 @@
 
 enum
 {
-  POLL_US = 20000, /* outlier status and stalls change with time */
-  SKIPPED_MAX = 4, /* entries that are held back for another target */
+  /* Interval between two checks of the queue while no attempt ends: targets
+     become or cease to be outliers with time, and a stall shows with time. */
+  POLL_US = 20000,
+  /* Maximum number of entries of a lane tried at once; those held back for
+     another target are skipped. */
+  LANE_ATTEMPTS_MAX = 4,
+  /* Expected number of hosts that probe a target which another host can't
+     reach. */
   BACKUP_HOSTS = 2,
 };
 
@@ -182,7 +188,7 @@
   const int64_t goal_us = r->goal_us > 0 ? r->goal_us : r->deadline_us;
   if (target >= set->count)
     return ATTEMPT_NO_TIMEOUT;
-  const struct attempt_timeout_context outlook = {
+  const struct attempt_timeout_context context = {
     .remaining_us = r->deadline_us - now_us,
     .goal_us = goal_us - now_us,
     .p_hang
@@ -191,7 +197,7 @@
     = target_set_hang_probability (set, set->baseline.unhealthy_share / 2),
     .remaining_attempts = sent < max_attempts ? max_attempts - sent : 0,
   };
-  return attempt_timeout_us (&set->latencies, &outlook);
+  return attempt_timeout_us (&set->latencies, &context);
 }
 
 bool
@@ -256,7 +262,7 @@
     target_set_observe_remote (&policy->set, now_us, target, end);
 }
 
-/* Entry E of the queue can't be served: answer it now. */
+/* Entry E of the queue can't be served: refuse it now. */
 static struct policy_decision
 refuse_queued (struct service_policy *policy, uint32_t e,
                enum policy_reason reason)
@@ -274,7 +280,7 @@
           struct policy_decision *d)
 {
   uint32_t at = wait_queue_oldest (&policy->queue, lane);
-  for (int i = 0; i < SKIPPED_MAX && at != WAIT_QUEUE_NONE; i++)
+  for (int i = 0; i < LANE_ATTEMPTS_MAX && at != WAIT_QUEUE_NONE; i++)
     {
       const struct wait_entry *e = &policy->queue.entries[at];
       if (placement_send_queued (policy, e, d))
--- a/policy/service_policy.h
+++ b/policy/service_policy.h
@@ -91,7 +91,7 @@
 /** Reason of a decision, also logged by name. */
 enum policy_reason
 {
-  POLICY_REASON_BEST_OF_TWO,
+  POLICY_REASON_BEST_OF_TWO, /**< lowest cost of the compared targets */
   POLICY_REASON_ONLY_CHOICE,
   POLICY_REASON_TRICKLE, /**< probe of a target that would get no requests */
   POLICY_REASON_NO_FREE_SLOT,
