--- a/policy/choice/tests/reference_checker.h
+++ b/policy/choice/tests/reference_checker.h
@@ -23,7 +23,7 @@
     targets[d.target].in_flight++;
     if (targets[d.target].open.size () < 8)
       targets[d.target].open.push_back (now);
-    targets[d.target].tiered = now;
+    targets[d.target].tier_updated = now;
     targets[d.target].last_used = now;
     return "";
   }
@@ -278,7 +278,7 @@
       latency_histogram_add (&histogram, o.latency_us);
     outcomes++;
     evaluate (t);
-    t.tiered = now;
+    t.tier_updated = now;
     refresh ();
     const double elapsed = now - last_end;
     if (elapsed >= 5000000)
@@ -294,8 +294,8 @@
   {
     if (targets[i].ejected && !ejected)
       targets[i].warm_up_start = now;
-    targets[i].tiered
-        = targets[i].ejected == ejected ? targets[i].tiered : now;
+    targets[i].tier_updated
+        = targets[i].ejected == ejected ? targets[i].tier_updated : now;
     targets[i].ejected = ejected;
   }
   void
--- a/policy/choice/tests/reference_model.h
+++ b/policy/choice/tests/reference_model.h
@@ -35,7 +35,7 @@
   uint32_t latency_samples = 0, samples = 0;
   int64_t updated = 0;
   int64_t warm_up_start = INT64_MIN;
-  int64_t tiered = 0; /* when its tier was last determined */
+  int64_t tier_updated = 0; /* when its tier was last determined */
   int64_t last_used = 0;
 
   bool
@@ -233,7 +233,7 @@
     for (auto &t : targets)
       {
         evaluate (t);
-        t.tiered = now;
+        t.tier_updated = now;
       }
     idle_count = idle_targets ().size ();
   }
@@ -245,7 +245,7 @@
       {
         const reference_target &t = targets[i];
         const double slots
-            = std::ceil (t.config.slots * t.warm_up_factor (t.tiered));
+            = std::ceil (t.config.slots * t.warm_up_factor (t.tier_updated));
         const bool may_be_chosen
             = t.suspect () ? !avoids () : t.in_flight < (uint32_t)slots;
         if (t.has_free_slot () && may_be_chosen && !t.config.is_backup
@@ -268,7 +268,7 @@
     if (t.suspect ())
       return avoids () ? SUSPECT : HEALTHY;
     const double slots
-        = std::ceil (t.config.slots * t.warm_up_factor (t.tiered));
+        = std::ceil (t.config.slots * t.warm_up_factor (t.tier_updated));
     return t.in_flight >= (uint32_t)slots ? WARMING : HEALTHY;
   }
   std::vector<uint32_t>
--- a/policy/choice/tests/service_policy_differential_test.cc
+++ b/policy/choice/tests/service_policy_differential_test.cc
@@ -214,7 +214,7 @@
     return admit (r);
   }
   std::string
-  forget ()
+  cancel_queued ()
   {
     if (waiting.empty ())
       return "";
@@ -278,7 +278,7 @@
     else if (roll < 95)
       wrong = finish ();
     else if (roll < 96)
-      wrong = forget ();
+      wrong = cancel_queued ();
     else
       wrong = roll < 99 ? change () : drain_queue ();
     return wrong.empty () ? invariants () : wrong;
--- a/policy/choice/tests/slot_shares_test.cc
+++ b/policy/choice/tests/slot_shares_test.cc
@@ -14,9 +14,10 @@
 {
 
 std::vector<uint32_t>
-divide (uint32_t total, uint32_t over, std::vector<uint64_t> demand)
+divide (uint32_t total, uint32_t overcommit_percent,
+        std::vector<uint64_t> demand)
 {
-  const slot_shares_options options = { total, over };
+  const slot_shares_options options = { total, overcommit_percent };
   std::vector<uint32_t> shares (demand.size ());
   slot_shares_divide (&options, demand.data (), demand.size (),
                       shares.data ());
@@ -42,9 +43,9 @@
       for (uint64_t &d : demand)
         d = rng_below (&rng, 4) == 0 ? 0 : rng_next (&rng) >> 8;
       const auto total = (uint32_t)rng_below (&rng, 400);
-      const auto over = (uint32_t)rng_below (&rng, 30);
-      const auto shares = divide (total, over, demand);
-      const uint64_t given = (uint64_t)total * (100 + over) / 100;
+      const auto overcommit = (uint32_t)rng_below (&rng, 30);
+      const auto shares = divide (total, overcommit, demand);
+      const uint64_t given = (uint64_t)total * (100 + overcommit) / 100;
       const uint64_t sum
           = std::accumulate (shares.begin (), shares.end (), (uint64_t)0);
       ASSERT_EQ (sum, std::max<uint64_t> (given, demand.size ()))
--- a/policy/choice/tests/subset_load_test.cc
+++ b/policy/choice/tests/subset_load_test.cc
@@ -41,9 +41,9 @@
 {
   uint64_t requests = 0;
   uint64_t shed = 0;
-  uint64_t new_contacts = 0; /* between a host and a target without contact for
-                            5 s */
-  double least_used = 1;     /* share of the targets in any span of 2 s */
+  uint64_t new_connections = 0; /* between a host and a target without contact
+                            for 5 s */
+  double least_used = 1;        /* share of the targets in any span of 2 s */
 };
 
 class simulation
@@ -58,8 +58,8 @@
       policies.push_back (make_policy (h, divided, used_percent));
     busy.resize (TARGETS);
     used_us.resize (TARGETS, 0);
-    contacted_us.assign (HOSTS,
-                         std::vector<int64_t> (TARGETS, -100 * SECOND_US));
+    last_contact_us.assign (HOSTS,
+                            std::vector<int64_t> (TARGETS, -100 * SECOND_US));
   }
   ~simulation ()
   {
@@ -127,9 +127,9 @@
         = service_policy_admit (policies[host], now_us, &r);
     if (d.verdict != POLICY_SEND)
       return;
-    totals.new_contacts
-        += now_us - contacted_us[host][d.target] > 5 * SECOND_US;
-    contacted_us[host][d.target] = used_us[d.target] = now_us;
+    totals.new_connections
+        += now_us - last_contact_us[host][d.target] > 5 * SECOND_US;
+    last_contact_us[host][d.target] = used_us[d.target] = now_us;
     const bool shed = busy[d.target] >= SLOTS;
     totals.shed += shed;
     busy[d.target] += !shed;
@@ -168,7 +168,7 @@
   std::vector<service_policy *> policies;
   std::vector<uint32_t> busy;
   std::vector<int64_t> used_us;
-  std::vector<std::vector<int64_t>> contacted_us;
+  std::vector<std::vector<int64_t>> last_contact_us;
   std::priority_queue<attempt, std::vector<attempt>, std::greater<attempt>>
       in_flight;
   result totals;
@@ -187,7 +187,7 @@
   RecordProperty ("shed_divided", (int)divided.shed);
   EXPECT_GT (all.shed * 100, all.requests);
   EXPECT_LT (divided.shed * 1000, divided.requests);
-  EXPECT_LT (divided.new_contacts * 4, all.new_contacts);
+  EXPECT_LT (divided.new_connections * 4, all.new_connections);
 }
 
 /* All hosts lose power, so requests in flight fail and only targets that
