--- a/policy/detection/baseline.c
+++ b/policy/detection/baseline.c
@@ -3,11 +3,11 @@
 #include <math.h>
 #include <stdlib.h>
 
+#define SHORT_TIME_CONSTANT_US 10e6
+#define LONG_TIME_CONSTANT_US 120e6
 /* The prior counts as evidence before any was received: a new owner starts
    with a high share of failures and learns downwards, so that no target is
    evaluated as bad against a baseline that is too low. */
-#define SHORT_TIME_CONSTANT_US 10e6
-#define LONG_TIME_CONSTANT_US 120e6
 #define PRIOR_FAILURE_SHARE 0.05
 #define PRIOR_REQUESTS 100.0
 #define LONG_TERM_WEIGHT_REQUESTS 1000.0 /* in the short-term share */
@@ -23,7 +23,7 @@
 
 enum
 {
-  TARGET_REQUESTS_MIN = 5, /* fewer give no reference */
+  TARGET_REQUESTS_MIN = 5, /* targets with fewer are left out */
   INCLUDE_ROUNDS = 2,
   SLOW_BUCKETS_OVER_MEDIAN = 3 /* slow is at least 2.8 times the median */
 };
@@ -232,10 +232,10 @@
   size_t ranked = rank (targets, count, m, order);
   /* Three quarters of the targets, not half: where some targets are
      permanently slower, their latencies are normal. */
-  size_t quick = ranked < 2 ? ranked : ranked * 3 / 4;
+  size_t faster = ranked < 2 ? ranked : ranked * 3 / 4;
   double latency[DETECTION_LATENCY_BUCKETS] = { 0 };
   double total = 0;
-  for (size_t t = 0; t < quick; t++)
+  for (size_t t = 0; t < faster; t++)
     for (uint32_t i = 0; i < DETECTION_LATENCY_BUCKETS; i++)
       {
         latency[i] += targets[order[t].target]->long_term.latency[i];
--- a/policy/detection/detector.h
+++ b/policy/detection/detector.h
@@ -36,8 +36,8 @@
 };
 
 /** Response of a health or load endpoint.  Endpoints lag and mislead, so a
- * hint only makes the owner evaluate the target sooner; it neither ejects nor
- * readmits. */
+ * hint other than HEALTHY only lowers the threshold of the target a little for
+ * some seconds; alone it neither ejects nor readmits. */
 enum detection_hint
 {
   DETECTION_HINT_HEALTHY,
@@ -51,7 +51,7 @@
   uint64_t target_key;
   enum detection_reason reason;
   double score;     /**< log-likelihood ratio */
-  double threshold; /**< the score reached it */
+  double threshold; /**< the score reached it, or almost after a hint */
 };
 
 /** A reduced share of the traffic, for a trial or a slow start, to apply at
--- a/policy/detection/evaluation.c
+++ b/policy/detection/evaluation.c
@@ -6,7 +6,8 @@
 {
   OBSERVER_ACTIVE_US = 30000000,   /* maximum age of the latest evidence */
   CORROBORATION_WAIT_US = 5000000, /* for other observers */
-  HINT_VALID_US = 5000000,         /* how long a bad hint applies */
+  /* How long a hint other than HEALTHY applies. */
+  HINT_VALID_US = 5000000,
   EXCLUSION_MIN_US = 10000000,
   EXCLUSION_SILENT_MAX_US = 60000000 /* then the path is used again */
 };
@@ -14,7 +15,7 @@
 #define RESIDUAL_THRESHOLD_SHARE 0.1 /* reached by one or two failures */
 #define ELEVATED_THRESHOLD_SHARE 0.25
 #define CORROBORATION_THRESHOLD_SHARE 0.35 /* of the other observers */
-#define HINT_THRESHOLD_DISCOUNT 0.1        /* by a bad hint */
+#define HINT_THRESHOLD_DISCOUNT 0.1        /* by such a hint */
 #define OTHERS_HEALTHY_RATIO (-3.0)        /* log-likelihood ratio: 20 to 1 */
 
 /* Whether the observers agree by one test. */
--- a/policy/detection/explanation.h
+++ b/policy/detection/explanation.h
@@ -69,7 +69,8 @@
   double baseline_slow;   /**< normal share of slow requests of the service */
   uint64_t path_dc_key;   /**< with DETECTION_PATH_FAULT */
   uint64_t path_host_key; /**< 0: the whole dc */
-  uint32_t hints_bad;     /**< consecutive unhealthy hints; never decisive */
+  /** Consecutive hints other than HEALTHY; never decisive. */
+  uint32_t hints_bad;
   uint32_t flaps;  /**< recent ejections, decaying with time in service */
   int64_t next_us; /**< when the state may change next; 0: unknown */
   uint32_t share_permille; /**< of an even share of the traffic */
--- a/policy/detection/target.h
+++ b/policy/detection/target.h
@@ -19,7 +19,8 @@
 enum
 {
   DETECTION_HOSTS_MAX = 32,        /**< further ones share entries */
-  DETECTION_REFERENCE_REQUESTS = 8 /**< needed for a recent reference */
+  DETECTION_REFERENCE_REQUESTS = 8 /**< needed to count a target as
+                                       recently reported */
 };
 
 /** The service's current tests. */
@@ -48,7 +49,7 @@
   int64_t cold_until_us; /**< slowness is ignored until then */
   int64_t crossed_us; /**< when a score reached the threshold; 0: none has */
   int64_t hint_us;    /**< latest hint other than HEALTHY */
-  uint32_t hints_bad; /**< consecutive */
+  uint32_t hints_bad; /**< consecutive ones other than HEALTHY */
   enum detection_verdict verdict;
   enum detection_reason reason; /**< of the highest score or the ejection */
   double score;                 /**< at the last evaluation */
