--- a/policy/floor/floor_claims.c
+++ b/policy/floor/floor_claims.c
@@ -51,9 +51,10 @@
   return slack_after (owner, false);
 }
 
-/* Half of the capacity above the floor, but at least one target if that fits:
-   with all of it a single unreachable owner would block every ejection for its
-   hold time, and with none every ejection would wait for the platform. */
+/* Half of the capacity above the floor, but at least that of the largest
+   target if it fits: with all of it a single unreachable owner would block
+   every ejection for its hold time, and with none every ejection would wait
+   for the platform. */
 uint64_t
 floor_claims_reserve (const struct floor_owner *owner)
 {
--- a/policy/floor/floor_owner.h
+++ b/policy/floor/floor_owner.h
@@ -102,7 +102,7 @@
   FLOOR_EJECT_SETTINGS_BEHIND, /**< the record has newer settings */
 };
 
-const char *floor_eject_result_name (enum floor_eject_result verdict);
+const char *floor_eject_result_name (enum floor_eject_result result);
 
 struct floor_owner;
 
@@ -191,8 +191,8 @@
 /** Capacity that may be ejected now without a write to the platform. */
 uint64_t floor_owner_reserve_left (const struct floor_owner *owner);
 
-/** Returns the epoch of this owner that was found replaced, to be announced as
- * stopped, or 0.  The call clears it. */
+/** Returns the epoch whose ownership this host lost to another one, to be
+ * announced as stopped, or 0.  The call clears it. */
 uint64_t floor_owner_take_stopped_epoch (struct floor_owner *owner);
 
 #endif
--- a/policy/floor/floor_owner_call.c
+++ b/policy/floor/floor_owner_call.c
@@ -287,7 +287,7 @@
   else
     {
       assert (newest != NULL);
-      newest->in_doubt = true;
+      newest->outcome_unknown = true;
       owner->read_needed = true;
     }
   if (status != FLOOR_REPLY_CONFLICT)
--- a/policy/floor/floor_record.h
+++ b/policy/floor/floor_record.h
@@ -83,8 +83,9 @@
 uint64_t floor_record_claimed_capacity (const struct floor_record *record,
                                         const struct floor_spec *spec);
 
-/** Returns whether owner, settings, amounts and claims (target, state, manual)
- * are the same; ignores write ids, scores and times. */
+/** Returns whether owner, settings, amounts and claims (target, manual, and
+ * whether they are releasing) are the same; ignores write ids, scores and
+ * times. */
 bool floor_record_equivalent (const struct floor_record *a,
                               const struct floor_record *b);
 
--- a/policy/floor/floor_stored.c
+++ b/policy/floor/floor_stored.c
@@ -62,7 +62,7 @@
     {
       struct floor_pending *to = &stored->pending[i];
       floor_record_assign (&to->record, &stored->pending[i + 1].record);
-      to->in_doubt = stored->pending[i + 1].in_doubt;
+      to->outcome_unknown = stored->pending[i + 1].outcome_unknown;
     }
   stored->pending_count--;
 }
@@ -76,7 +76,7 @@
   struct floor_pending *pending = &stored->pending[stored->pending_count];
   stored->pending_count++;
   floor_record_assign (&pending->record, record);
-  pending->in_doubt = false;
+  pending->outcome_unknown = false;
   return &pending->record;
 }
 
@@ -84,7 +84,7 @@
 floor_stored_drop_unsent (struct floor_stored *stored)
 {
   const struct floor_pending *newest = floor_stored_newest (stored);
-  if (newest != NULL && !newest->in_doubt)
+  if (newest != NULL && !newest->outcome_unknown)
     stored->pending_count--;
 }
 
--- a/policy/floor/floor_stored.h
+++ b/policy/floor/floor_stored.h
@@ -23,7 +23,7 @@
 struct floor_pending
 {
   struct floor_record record;
-  bool in_doubt; /**< without a result: may take effect at any time */
+  bool outcome_unknown; /**< without a result: may take effect at any time */
 };
 
 struct floor_stored
--- a/policy/floor/floor_view.c
+++ b/policy/floor/floor_view.c
@@ -10,7 +10,7 @@
   uint64_t known_epoch; /* highest one reported; lower ones are ignored */
   uint64_t epoch;       /* of the current decision */
   uint64_t sequence;
-  int64_t until_ms; /* INT64_MIN: nothing is in force */
+  int64_t expires_ms; /* INT64_MIN: nothing is in force */
   char (*targets)[FLOOR_NAME_SIZE];
   size_t count;
 };
@@ -19,7 +19,7 @@
 floor_view_create (void)
 {
   struct floor_view *view = xcalloc (1, sizeof *view);
-  view->until_ms = INT64_MIN;
+  view->expires_ms = INT64_MIN;
   return view;
 }
 
@@ -37,7 +37,7 @@
 {
   const bool changed = view->count > 0;
   view->count = 0;
-  view->until_ms = INT64_MIN;
+  view->expires_ms = INT64_MIN;
   return changed;
 }
 
@@ -90,16 +90,16 @@
     return expired;
   const bool known
       = decision->epoch == view->epoch && decision->sequence == view->sequence;
-  const int64_t until_ms = poll_ms + decision->enforce_ms;
+  const int64_t expires_ms = poll_ms + decision->enforce_ms;
   view->known_epoch = decision->epoch;
   view->epoch = decision->epoch;
   view->sequence = decision->sequence;
   /* The time of a decision starts at the poll, so an answer that was delayed
      beyond it ejects nothing. */
-  if (until_ms <= now_ms)
+  if (expires_ms <= now_ms)
     return known ? expired : expire (view) || expired;
-  if (!known || until_ms > view->until_ms)
-    view->until_ms = until_ms;
+  if (!known || expires_ms > view->expires_ms)
+    view->expires_ms = expires_ms;
   return set_targets (view, decision) || expired;
 }
 
@@ -113,14 +113,14 @@
 bool
 floor_view_tick (struct floor_view *view, int64_t now_ms)
 {
-  return view->until_ms <= now_ms && expire (view);
+  return view->expires_ms <= now_ms && expire (view);
 }
 
 bool
 floor_view_ejected (const struct floor_view *view, int64_t now_ms,
                     const char *target)
 {
-  if (view->until_ms <= now_ms)
+  if (view->expires_ms <= now_ms)
     return false;
   for (size_t i = 0; i < view->count; i++)
     if (strcmp (view->targets[i], target) == 0)
@@ -143,7 +143,7 @@
 }
 
 int64_t
-floor_view_until_ms (const struct floor_view *view)
+floor_view_expires_ms (const struct floor_view *view)
 {
-  return view->until_ms;
+  return view->expires_ms;
 }
--- a/policy/floor/floor_view.h
+++ b/policy/floor/floor_view.h
@@ -47,6 +47,6 @@
 
 /** Returns when enforcement expires unless renewed; INT64_MIN if nothing is in
  * force. */
-int64_t floor_view_until_ms (const struct floor_view *view);
+int64_t floor_view_expires_ms (const struct floor_view *view);
 
 #endif
--- a/policy/floor/tests/floor_model_test.cc
+++ b/policy/floor/tests/floor_model_test.cc
@@ -55,14 +55,14 @@
   printf ("events %lu ejected %lu freed %lu takeovers %lu lost-writes %lu "
           "two-owners %lu tight %lu outage-ejections %lu\n",
           counts.events, counts.ejected, counts.freed, counts.takeovers,
-          counts.lost, counts.two_owners, counts.tight,
+          counts.lost_writes, counts.two_owners, counts.at_floor,
           counts.outage_ejections);
   // The model must have covered the critical cases.
   EXPECT_GT (counts.ejected, events / 2000);
   EXPECT_GT (counts.takeovers, events / 2000);
-  EXPECT_GT (counts.lost, events / 5000);
+  EXPECT_GT (counts.lost_writes, events / 5000);
   EXPECT_GT (counts.two_owners, events / 100);
-  EXPECT_GT (counts.tight, events / 1000);
+  EXPECT_GT (counts.at_floor, events / 1000);
   EXPECT_GT (counts.outage_ejections, events / 20000);
 }
 }
--- a/policy/floor/tests/floor_simulation.h
+++ b/policy/floor/tests/floor_simulation.h
@@ -266,7 +266,7 @@
       status = FLOOR_REPLY_NOT_FOUND;
     if (hosts_[i].platform_in || chance (60))
       {
-        counts_->lost += write && status == FLOOR_REPLY_OK;
+        counts_->lost_writes += write && status == FLOOR_REPLY_OK;
         return;
       }
     const uint64_t version = version_;
@@ -470,7 +470,7 @@
     bool counted = false;
     for (const auto &name : ejected)
       counted |= min_capacity[name] > 0;
-    counts_->tight += counted && slack == 0;
+    counts_->at_floor += counted && slack == 0;
     if (slack < 0 && counted)
       violation_ = "floor short by " + std::to_string (-slack) + " with "
                    + std::to_string (ejected.size ()) + " targets ejected";
--- a/policy/floor/tests/floor_simulation_types.h
+++ b/policy/floor/tests/floor_simulation_types.h
@@ -82,8 +82,8 @@
 
 struct counters
 {
-  uint64_t events, ejected, takeovers, lost, two_owners, tight, freed,
-      outage_ejections;
+  uint64_t events, ejected, takeovers, lost_writes, two_owners, at_floor,
+      freed, outage_ejections;
 };
 
 std::string
--- a/policy/floor/tests/floor_view_test.cc
+++ b/policy/floor/tests/floor_view_test.cc
@@ -111,6 +111,6 @@
   EXPECT_EQ (floor_view_targets (view, &targets), 2U);
   EXPECT_FALSE (ejected (1030, "a"));
   EXPECT_TRUE (ejected (1030, "c"));
-  EXPECT_EQ (floor_view_until_ms (view), 1115);
+  EXPECT_EQ (floor_view_expires_ms (view), 1115);
 }
 }
--- a/policy/floor/ticket.h
+++ b/policy/floor/ticket.h
@@ -1,11 +1,11 @@
 /** @file
  * A request ticket: the right to run one unrepeatable request at most once.
  *
- * A ticket names the host that issued it, that host's incarnation (random at
- * start), a sequence number and its expiry.  Only the named incarnation ever
- * runs it, so no coordination is needed.  (An identity with an epoch and a
- * sequence number to detect duplicates is also used by Kafka's idempotent
- * producer.)
+ * A ticket names the host that issued it, that host's incarnation (different
+ * for each start), a sequence number and its expiry.  Only the named
+ * incarnation ever runs it, so no coordination is needed.  (An identity with
+ * an epoch and a sequence number to detect duplicates is also used by Kafka's
+ * idempotent producer.)
  */
 #ifndef POLICY_FLOOR_TICKET_H
 #define POLICY_FLOOR_TICKET_H
--- a/policy/floor/ticket_table.h
+++ b/policy/floor/ticket_table.h
@@ -27,7 +27,7 @@
 struct ticket_table_options
 {
   const char *host;     /**< this host's name */
-  uint64_t incarnation; /**< random at start */
+  uint64_t incarnation; /**< different for each start of the host */
   uint32_t capacity;    /**< maximum number of claims */
   uint32_t lifetime_ms; /**< of a ticket, from its issue */
   ticket_mac *mac;
