--- a/policy/choice/tests/attempt_timeout_policy_test.cc
+++ b/policy/choice/tests/attempt_timeout_policy_test.cc
@@ -43,7 +43,8 @@
 
 /* Responses take 0.55 s (median) and rarely more than 1.2 s, from targets
    that hang in episodes.  A timeout of ten times the usual time exceeds the
-   2.5 s that the caller waits, so each hanging request took all of them. */
+   2.5 s that the caller waits, so each hanging request would take all of
+   that time. */
 TEST (AttemptTimeout, HangingRequestLeavesTimeForAnotherAttempt)
 {
   const latency_histogram latencies = log_normal_latencies (550000, 0.3);
--- a/policy/choice/tests/chooser_test.cc
+++ b/policy/choice/tests/chooser_test.cc
@@ -86,8 +86,8 @@
 }
 
 /* Traffic between data centres costs money.  The network path takes 1.5 ms
-   of half a second, so by latency alone two thirds of all requests would
-   use the other dc. */
+   of a response time of half a second, so by latency alone two thirds of all
+   requests would use the other dc. */
 TEST_F (chooser_test, subset_targets_are_preferred_unless_worse)
 {
   start (3);
--- a/policy/choice/tests/open_attempts_test.cc
+++ b/policy/choice/tests/open_attempts_test.cc
@@ -107,7 +107,7 @@
    three seconds, and sends no responses.  Fifty unrepeatable requests a
    second wait four seconds each.  If the policy learned only from timeouts,
    a hanging target would get requests until its slots are full: 23 of 100
-   of all. */
+   requests. */
 class EpisodeSimulation
 {
 public:
--- a/policy/choice/tests/path_fault_test.cc
+++ b/policy/choice/tests/path_fault_test.cc
@@ -35,11 +35,11 @@
     service_policy_destroy (policy);
   }
   policy_decision
-  admit (bool repeatable, int64_t left_us = 1000000)
+  admit (bool repeatable, int64_t remaining_us = 1000000)
   {
     policy_request r = {};
     r.id = next_id++;
-    r.deadline_us = now + left_us;
+    r.deadline_us = now + remaining_us;
     r.repeatable = repeatable;
     r.attempt = 1;
     return service_policy_admit (policy, now, &r);
--- a/policy/choice/tests/service_policy_fixture.h
+++ b/policy/choice/tests/service_policy_fixture.h
@@ -40,12 +40,12 @@
   }
 
   policy_decision
-  admit (bool repeatable, int64_t left_us = 1000000,
+  admit (bool repeatable, int64_t remaining_us = 1000000,
          std::vector<uint32_t> tried = {})
   {
     policy_request r = {};
     r.id = next_id++;
-    r.deadline_us = now + left_us;
+    r.deadline_us = now + remaining_us;
     r.repeatable = repeatable;
     r.attempt = 1 + (uint32_t)tried.size ();
     for (uint32_t t : tried)
@@ -53,9 +53,9 @@
     return service_policy_admit (policy, now, &r);
   }
   void
-  end_attempt (uint32_t target, attempt_end how, int64_t latency_us = 10000)
+  end_attempt (uint32_t target, attempt_end end, int64_t latency_us = 10000)
   {
-    const policy_outcome o = { target, how, latency_us, true };
+    const policy_outcome o = { target, end, latency_us, true };
     service_policy_outcome (policy, now, &o);
   }
   /* Sends waves of ten concurrent requests, all of which fail at FAILING.
