--- a/policy/floor/floor_owner.c
+++ b/policy/floor/floor_owner.c
@@ -276,12 +276,12 @@
 {
   if (owner->role != FLOOR_ROLE_OWNER)
     return 0;
-  const int64_t left = floor_stored_min_reserve_left (
+  const int64_t remaining = floor_stored_min_reserve_left (
       &owner->stored, &owner->claims, &owner->spec, true);
   const uint64_t slack = floor_owner_slack (owner);
-  if (left <= 0)
+  if (remaining <= 0)
     return 0;
-  return (uint64_t)left < slack ? (uint64_t)left : slack;
+  return (uint64_t)remaining < slack ? (uint64_t)remaining : slack;
 }
 
 uint64_t
--- a/policy/floor/floor_stored.c
+++ b/policy/floor/floor_stored.c
@@ -102,7 +102,7 @@
               const struct floor_record *claims, const struct floor_spec *spec,
               bool count_releasing)
 {
-  int64_t left = (int64_t)record->reserve;
+  int64_t remaining = (int64_t)record->reserve;
   for (size_t i = 0; i < claims->claim_count; i++)
     {
       const struct floor_claim *claim = &claims->claims[i];
@@ -110,9 +110,9 @@
           || (claim->state == FLOOR_CLAIM_RELEASING && !count_releasing))
         continue;
       if (floor_record_find (record, claim->target) == NULL)
-        left -= floor_spec_capacity_of (spec, claim->target);
+        remaining -= floor_spec_capacity_of (spec, claim->target);
     }
-  return left;
+  return remaining;
 }
 
 /* While the outcome of a write is unknown, the record with the claim, the one
@@ -129,10 +129,10 @@
   int64_t min = reserve_left (&stored->known, claims, spec, count_releasing);
   for (size_t i = 0; i < stored->pending_count; i++)
     {
-      const int64_t left = reserve_left (&stored->pending[i].record, claims,
-                                         spec, count_releasing);
-      if (left < min)
-        min = left;
+      const int64_t remaining = reserve_left (&stored->pending[i].record,
+                                              claims, spec, count_releasing);
+      if (remaining < min)
+        min = remaining;
     }
   return min;
 }
--- a/policy/floor/tests/floor_simulation.h
+++ b/policy/floor/tests/floor_simulation.h
@@ -207,10 +207,10 @@
     const std::string t = target_name (below (targets_count));
     if (chance (500))
       {
-        const auto v = floor_owner_eject (h.owner, now_ms, t.c_str (),
-                                          below (100), chance (100));
-        counts_->ejected += v == FLOOR_EJECT_EJECTED;
-        counts_->outage_ejections += v == FLOOR_EJECT_EJECTED && outage_;
+        const auto result = floor_owner_eject (h.owner, now_ms, t.c_str (),
+                                               below (100), chance (100));
+        counts_->ejected += result == FLOOR_EJECT_EJECTED;
+        counts_->outage_ejections += result == FLOOR_EJECT_EJECTED && outage_;
       }
     else if (chance (500))
       counts_->freed
@@ -437,16 +437,16 @@
   check_floor ()
   {
     std::set<std::string> ejected;
-    int deciding = 0;
+    int owners = 0;
     for (int i = 0; i < hosts_count; i++)
       {
         for (int k = 0; k < targets_count; k++)
           if (floor_view_ejected (hosts_[i].view, clock_ms (i),
                                   target_name (k).c_str ()))
             ejected.insert (target_name (k));
-        deciding += floor_owner_role (hosts_[i].owner) == FLOOR_ROLE_OWNER;
+        owners += floor_owner_role (hosts_[i].owner) == FLOOR_ROLE_OWNER;
       }
-    counts_->two_owners += deciding > 1;
+    counts_->two_owners += owners > 1;
     int64_t lowest_floor = INT64_MAX;
     std::map<std::string, int64_t> max_capacity, min_capacity;
     for (auto s = specs_.rbegin ();
