--- a/node/caller/address_answer.c
+++ b/node/caller/address_answer.c
@@ -66,7 +66,7 @@
 {
   const struct host_settings *settings = context->settings;
   struct address_entry entries[ADDRESSES_MAX];
-  const struct bus_host_entry *chosen[ADDRESSES_MAX];
+  const struct bus_host_entry *selected[ADDRESSES_MAX];
   struct address_selection_options options
       = { .caller_dc = caller_dc,
           .rotation = context->address_answer_count++ };
@@ -76,11 +76,11 @@
   struct address_list list
       = { .service = service->name,
           .entries = entries,
-          .count = address_selection_fill (&options, chosen, ADDRESSES_MAX),
+          .count = address_selection_fill (&options, selected, ADDRESSES_MAX),
           .keep_ms = host_settings_keep_answer_ms (settings) };
   for (size_t i = 0; i < list.count; i++)
-    entries[i]
-        = (struct address_entry){ chosen[i]->caller_address, chosen[i]->dc };
+    entries[i] = (struct address_entry){ selected[i]->caller_address,
+                                         selected[i]->dc };
   if (service->host_count == 0 && !context->leaving)
     entries[list.count++]
         = (struct address_entry){ context->own_address, settings->dc };
--- a/node/caller/caller_service.c
+++ b/node/caller/caller_service.c
@@ -53,10 +53,11 @@
   const int64_t wake_us = service_policy_wake_us (service->policy);
   if (wake_us == INT64_MAX)
     return;
-  const int64_t left_us = wake_us - clock_now_us ();
-  const double left = left_us > 0 ? (double)left_us / US_PER_SECOND : 0.;
+  const int64_t remaining_us = wake_us - clock_now_us ();
+  const double remaining_s
+      = remaining_us > 0 ? (double)remaining_us / US_PER_SECOND : 0.;
   ev_now_update (service->loop);
-  ev_timer_set (&service->wake_timer, left, 0.);
+  ev_timer_set (&service->wake_timer, remaining_s, 0.);
   ev_timer_start (service->loop, &service->wake_timer);
 }
 
@@ -170,14 +171,14 @@
     {
       const struct target_spec *target = &service->spec->targets[i];
       const struct caller_target *state = &service->targets[i];
-      const bool near = strcmp (target->dc, own_dc) == 0;
+      const bool is_local = strcmp (target->dc, own_dc) == 0;
       const bool is_withheld
           = state->limit.rate_millis > 0
             && caller_share_rate_millis (service, target, state) == 0;
       targets[i] = (struct policy_target){
         .key = state->key,
         .slots = caller_share_slots (service, state->key, target),
-        .distance_us = near ? 0 : DC_DISTANCE_US,
+        .distance_us = is_local ? 0 : DC_DISTANCE_US,
         .is_backup = caller_share_is_backup (service, target),
         .accepts_work = target->state == TARGET_STATE_ACTIVE && !state->leaving
                         && !is_withheld,
--- a/node/caller/crash_check.c
+++ b/node/caller/crash_check.c
@@ -145,9 +145,9 @@
   DL_SEARCH_SCALAR (checks->list, check, key, x->attempt.key);
   if (check != NULL)
     return check;
-  const uint32_t number
+  const uint32_t index
       = caller_service_find_target (x->service, x->attempt.key);
-  if (number == POLICY_NO_TARGET || checks->count == CONCURRENT_CHECKS_MAX)
+  if (index == POLICY_NO_TARGET || checks->count == CONCURRENT_CHECKS_MAX)
     return NULL;
   check = xcalloc (1, sizeof *check);
   check->checks = checks;
@@ -158,7 +158,7 @@
   DL_APPEND (checks->list, check);
   checks->count++;
   snprintf (check->address, sizeof check->address, "%s",
-            x->service->spec->targets[number].address);
+            x->service->spec->targets[index].address);
   ev_timer_init (&check->probe_timer, on_probe_timer,
                  PROBE_DELAY_MS / MS_PER_SECOND, 0.);
   check->probe_timer.data = check;
--- a/node/caller/exchange_access.h
+++ b/node/caller/exchange_access.h
@@ -13,10 +13,15 @@
  * 3. The key: one digest and one table lookup, the cheapest way to handle a
  * flood of bad keys.
  *
- * 4. Limits that need no other host.
+ * 4. The size limits and the check for poison requests, which need no other
+ * host.
  *
- * 5. The quota, last, so that a request that is refused for another reason
- * costs the workspace nothing.
+ * 5. The quota, after these, so that a request that is refused for another
+ * reason costs the workspace nothing.  If the request is refused later and has
+ * certainly not run, its token is returned.
+ *
+ * 6. The ticket of an unrepeatable request, which may be relayed to the host
+ * that issued it.
  */
 #ifndef NODE_CALLER_EXCHANGE_ACCESS_H
 #define NODE_CALLER_EXCHANGE_ACCESS_H
--- a/node/caller/exchange_attempt.c
+++ b/node/caller/exchange_attempt.c
@@ -279,7 +279,7 @@
 }
 
 static void
-refuse (struct exchange *x, const struct policy_decision *decision)
+refuse_by_policy (struct exchange *x, const struct policy_decision *decision)
 {
   struct local_response response
       = { .status = MHD_HTTP_SERVICE_UNAVAILABLE,
@@ -327,7 +327,7 @@
       x->state = EXCHANGE_WAITING;
       break;
     case POLICY_REFUSE:
-      refuse (x, decision);
+      refuse_by_policy (x, decision);
       break;
     }
 }
@@ -380,7 +380,7 @@
    another target can be tried or the caller can get an error response instead
    of a truncated one. */
 static bool
-buffers_whole_response (const struct exchange *x)
+should_buffer_response (const struct exchange *x)
 {
   const struct exchange_attempt *attempt = &x->attempt;
   const uint32_t max_bytes = x->context->settings->limits.hold_answer_bytes;
@@ -427,7 +427,7 @@
                                          : "the target gave no whole answer");
       return;
     }
-  if (buffers_whole_response (x))
+  if (should_buffer_response (x))
     return;
   target_limits_update_from_answer (x);
   if (is_server_error (x) && retry_server_error (x))
--- a/node/caller/exchange_poison.c
+++ b/node/caller/exchange_poison.c
@@ -14,9 +14,9 @@
 static bool
 may_be_poison (const struct exchange *x)
 {
-  const struct poison_filter *desk = x->context->poison;
-  return !poison_filter_is_empty (desk)
-         && poison_filter_has_head (desk, exchange_head_hash (x));
+  const struct poison_filter *filter = x->context->poison;
+  return !poison_filter_is_empty (filter)
+         && poison_filter_has_head (filter, exchange_head_hash (x));
 }
 
 static bool
--- a/node/caller/exchange_send.c
+++ b/node/caller/exchange_send.c
@@ -156,9 +156,9 @@
 }
 
 void
-exchange_send (struct exchange *x, uint32_t number)
+exchange_send (struct exchange *x, uint32_t index)
 {
-  const struct target_spec *target = &x->service->spec->targets[number];
+  const struct target_spec *target = &x->service->spec->targets[index];
   struct exchange_attempt *attempt = &x->attempt;
   char deadline[DEADLINE_FIELD_SIZE];
   char intended_target[NAME_FIELD_SIZE];
@@ -179,9 +179,8 @@
                 x->workspace);
       extra[extra_count++] = workspace;
     }
-  attempt->key = x->service->targets[number].key;
-  attempt->reuse_idle_max_ms
-      = reuse_idle_max (x, &x->service->targets[number]);
+  attempt->key = x->service->targets[index].key;
+  attempt->reuse_idle_max_ms = reuse_idle_max (x, &x->service->targets[index]);
   attempt->is_relay = false;
   snprintf (attempt->target, sizeof attempt->target, "%s", target->name);
   if (x->tried_count < POLICY_TRIED_MAX)
--- a/node/caller/exchange_send.h
+++ b/node/caller/exchange_send.h
@@ -7,8 +7,8 @@
 
 #include "node/caller/exchange.h"
 
-/** Start an attempt at target NUMBER of the service's settings. */
-void exchange_send (struct exchange *x, uint32_t number);
+/** Start an attempt at target INDEX of the service's settings. */
+void exchange_send (struct exchange *x, uint32_t index);
 
 /** Relay X to the host at ADDRESS, which issued its ticket. */
 void exchange_relay (struct exchange *x, const char *host,
--- a/node/caller/exchange_start.c
+++ b/node/caller/exchange_start.c
@@ -149,8 +149,8 @@
   return false;
 }
 
-/* Callers with an old address answer still send requests while this host
-   leaves.  A request that arrives too late to be finished would end in a
+/* Callers that received this host's address earlier still send requests while
+   it leaves.  A request that arrives too late to be finished would end in a
    closed connection without a response when the process exits.  From the
    second half of the shutdown time on, requests are therefore refused at once,
    so that they go to other hosts. */
--- a/node/caller/exchange_ticket.c
+++ b/node/caller/exchange_ticket.c
@@ -11,8 +11,9 @@
   TICKET_RUNNING_RETRY_AFTER_MS = 1000
 };
 
-/* A ticket that isn't run here and now may have run before.  Only "unknown" is
-   correct then, whatever this host did. */
+/* A ticket that isn't run now may have run before, here or at another host.
+   "unknown" is then the only correct outcome, even if this host sent nothing
+   to a target. */
 static void
 respond_unknown (struct exchange *x, uint32_t status, const char *reason,
                  const char *message)
--- a/node/caller/exchange_ticket.h
+++ b/node/caller/exchange_ticket.h
@@ -1,6 +1,6 @@
 /** @file
  * The ticket of an unrepeatable request: claimed before the first attempt, and
- * released with the outcome of the request.
+ * finished with the outcome of the request.
  */
 #ifndef NODE_CALLER_EXCHANGE_TICKET_H
 #define NODE_CALLER_EXCHANGE_TICKET_H
--- a/node/caller/exchange_timeout.c
+++ b/node/caller/exchange_timeout.c
@@ -76,8 +76,8 @@
 }
 
 /* No retry is allowed now, or no other target is available.  The check is
-   repeated, since one may be a moment later; otherwise the attempt would hang
-   until its deadline. */
+   repeated, since a retry may become possible shortly; otherwise the attempt
+   would hang until the request's deadline. */
 static void
 extend_timeout (struct exchange *x)
 {
--- a/node/caller/hangup_watch.h
+++ b/node/caller/hangup_watch.h
@@ -3,8 +3,9 @@
  *
  * libmicrohttpd doesn't poll a suspended connection, so a caller that
  * disconnects would be noticed only when its response is written, and the
- * target would work for nobody.  An epoll set that requests only EPOLLRDHUP
- * reports it at once, even behind unread bytes, and is never woken by those.
+ * target would work on a response that nobody receives.  An epoll set that
+ * requests only EPOLLRDHUP reports it at once, even behind unread bytes, and
+ * is never woken by those.
  */
 #ifndef NODE_CALLER_HANGUP_WATCH_H
 #define NODE_CALLER_HANGUP_WATCH_H
--- a/node/caller/host_directory.h
+++ b/node/caller/host_directory.h
@@ -1,6 +1,6 @@
 /** @file
- * The last known caller addresses of the other hosts, for passing a ticket to
- * the host that issued it.
+ * The last known caller addresses of the other hosts, for relaying requests
+ * with a ticket to the host that issued it.
  */
 #ifndef NODE_CALLER_HOST_DIRECTORY_H
 #define NODE_CALLER_HOST_DIRECTORY_H
--- a/node/caller/outcome_report.c
+++ b/node/caller/outcome_report.c
@@ -6,7 +6,7 @@
 enum
 {
   /* A success of a target whose estimated failure rate is at least this is
-     always reported.  Other successes are repeated at an interval, since the
+     always reported.  Other successes are reported at an interval, since the
      weight of a success as evidence falls with its age. */
   SUSPECT_FAILURE_PERMILLE = 100,
   SUCCESS_REPORT_INTERVAL_US = 500000,
--- a/node/caller/poison_filter.c
+++ b/node/caller/poison_filter.c
@@ -29,9 +29,9 @@
 };
 
 static void
-announce (const struct poison_filter *filter, const char *service,
-          const struct poison_row *rows, size_t count,
-          enum poison_recipients to, bool is_stored)
+announce_rows (const struct poison_filter *filter, const char *service,
+               const struct poison_row *rows, size_t count,
+               enum poison_recipients to, bool is_stored)
 {
   struct bus_message message
       = { .topic = BUS_POISON_ANNOUNCED,
@@ -65,10 +65,10 @@
   const size_t count
       = poison_table_export (filter->table, now_ms, rows, REFRESH_ROWS_MAX);
   if (count > 0)
-    announce (filter, "", rows, count,
-              has_recent_crash (rows, count) ? POISON_TO_RANDOM_FEW
-                                             : POISON_TO_RANDOM_ONE,
-              false);
+    announce_rows (filter, "", rows, count,
+                   has_recent_crash (rows, count) ? POISON_TO_RANDOM_FEW
+                                                  : POISON_TO_RANDOM_ONE,
+                   false);
   if (poison_table_is_empty (filter->table))
     ev_timer_stop (loop, timer);
 }
@@ -129,11 +129,12 @@
 enum poison_verdict
 poison_filter_check (struct poison_filter *filter,
                      const struct caller_service *service,
-                     const struct fingerprint *fingerprint, uint32_t *left_ms)
+                     const struct fingerprint *fingerprint,
+                     uint32_t *remaining_ms)
 {
-  const enum poison_verdict verdict
-      = poison_table_check (filter->table, clock_now_ms (), fingerprint,
-                            is_trial_owner (service, fingerprint), left_ms);
+  const enum poison_verdict verdict = poison_table_check (
+      filter->table, clock_now_ms (), fingerprint,
+      is_trial_owner (service, fingerprint), remaining_ms);
   if (verdict == POISON_TRIAL)
     {
       char text[FINGERPRINT_TEXT_SIZE];
@@ -186,7 +187,7 @@
     return;
   log_change ("poison-blocked", service, &row->fingerprint, &block, source);
   caller_counters_add (filter->context->counters.poison_blocks, source, NULL);
-  announce (filter, service, &block, 1, POISON_TO_RANDOM_FEW, is_counted);
+  announce_rows (filter, service, &block, 1, POISON_TO_RANDOM_FEW, is_counted);
   exchange_poison_cancel_all (filter->context, &row->fingerprint,
                               block.left_ms);
 }
@@ -201,7 +202,7 @@
   if (!poison_table_add_crash (filter->table, clock_now_ms (), crash, &row))
     return;
   log_change ("poison-suspected", service, &crash->fingerprint, &row, "own");
-  announce (filter, service, &row, 1, POISON_TO_SET, false);
+  announce_rows (filter, service, &row, 1, POISON_TO_SET, false);
   announce_block (filter, service, &row, before, true);
 }
 
@@ -216,8 +217,8 @@
   if (!poison_table_clear (filter->table, clock_now_ms (), fingerprint, &row))
     return false;
   log_change ("poison-cleared", service, fingerprint, &row, source);
-  announce (filter, service, &row, 1, POISON_TO_SET, was_blocked);
-  announce (filter, service, &row, 1, POISON_TO_RANDOM_FEW, false);
+  announce_rows (filter, service, &row, 1, POISON_TO_SET, was_blocked);
+  announce_rows (filter, service, &row, 1, POISON_TO_RANDOM_FEW, false);
   return true;
 }
 
@@ -247,7 +248,7 @@
   else if (row->strikes == 0)
     {
       log_change ("poison-cleared", service, &row->fingerprint, row, "heard");
-      announce (filter, service, row, 1, POISON_TO_RANDOM_FEW, false);
+      announce_rows (filter, service, row, 1, POISON_TO_RANDOM_FEW, false);
     }
   announce_block (filter, service, row, before, row->target != 0);
 }
--- a/node/caller/poison_filter.h
+++ b/node/caller/poison_filter.h
@@ -22,7 +22,7 @@
 enum poison_verdict poison_filter_check (struct poison_filter *filter,
                                          const struct caller_service *service,
                                          const struct fingerprint *fingerprint,
-                                         uint32_t *left_ms);
+                                         uint32_t *remaining_ms);
 
 /** Return whether a request whose head has this hash is known.  Others need no
  * poison_filter_check(). */
--- a/node/caller/quota_client.c
+++ b/node/caller/quota_client.c
@@ -69,7 +69,7 @@
 }
 
 static struct workspace_cache *
-find (const struct quota_client *client, uint64_t workspace)
+find_cache (const struct quota_client *client, uint64_t workspace)
 {
   struct workspace_cache *entry;
   HASH_FIND (hh, client->caches, &workspace, sizeof workspace, entry);
@@ -77,9 +77,10 @@
 }
 
 static struct workspace_cache *
-get_or_create (struct quota_client *client, uint64_t workspace, int64_t now_ms)
+get_or_create_cache (struct quota_client *client, uint64_t workspace,
+                     int64_t now_ms)
 {
-  struct workspace_cache *entry = find (client, workspace);
+  struct workspace_cache *entry = find_cache (client, workspace);
   if (entry == NULL)
     {
       if (HASH_COUNT (client->caches) >= CACHES_BEFORE_EVICTION)
@@ -112,7 +113,8 @@
                    int64_t *expires_ms)
 {
   const int64_t now_ms = clock_now_ms ();
-  struct workspace_cache *entry = get_or_create (client, workspace, now_ms);
+  struct workspace_cache *entry
+      = get_or_create_cache (client, workspace, now_ms);
   *expires_ms = quota_cache_next_expiry_ms (&entry->cache, now_ms);
   const enum quota_verdict verdict
       = again ? quota_cache_retry (&entry->cache, now_ms)
@@ -126,7 +128,7 @@
 void
 quota_client_cancel_wait (struct quota_client *client, uint64_t workspace)
 {
-  struct workspace_cache *entry = find (client, workspace);
+  struct workspace_cache *entry = find_cache (client, workspace);
   if (entry != NULL)
     quota_cache_remove_waiter (&entry->cache);
 }
@@ -136,7 +138,7 @@
                      int64_t expires_ms)
 {
   const int64_t now_ms = clock_now_ms ();
-  quota_cache_return (&get_or_create (client, workspace, now_ms)->cache,
+  quota_cache_return (&get_or_create_cache (client, workspace, now_ms)->cache,
                       now_ms, expires_ms);
 }
 
@@ -144,7 +146,7 @@
 quota_client_next_token_ms (const struct quota_client *client,
                             uint64_t workspace)
 {
-  const struct workspace_cache *entry = find (client, workspace);
+  const struct workspace_cache *entry = find_cache (client, workspace);
   return entry != NULL
              ? quota_cache_retry_after_ms (&entry->cache, clock_now_ms ())
              : 1;
@@ -154,7 +156,7 @@
 quota_client_max_wait_ms (const struct quota_client *client,
                           uint64_t workspace)
 {
-  const struct workspace_cache *entry = find (client, workspace);
+  const struct workspace_cache *entry = find_cache (client, workspace);
   return entry != NULL ? quota_cache_hold_ms (&entry->cache, clock_now_ms ())
                        : 0;
 }
@@ -163,7 +165,7 @@
 quota_client_receive_grant (struct quota_client *client, uint64_t workspace,
                             const struct quota_answer *answer)
 {
-  struct workspace_cache *entry = find (client, workspace);
+  struct workspace_cache *entry = find_cache (client, workspace);
   if (entry != NULL)
     quota_cache_note_answer (&entry->cache, clock_now_ms (), answer);
 }
--- a/node/caller/target_call.c
+++ b/node/caller/target_call.c
@@ -10,7 +10,7 @@
 {
   URL_SIZE = 96,
   STATUS_FINAL_MIN = 200,
-  FIELD_SIZE = 1024,
+  FIELD_LINE_SIZE = 1024,
   MS_PER_SECOND = 1000
 };
 
@@ -197,15 +197,15 @@
 static void
 add_header (struct target_call *call, const char *name, const char *value)
 {
-  char stack[FIELD_SIZE];
+  char buffer[FIELD_LINE_SIZE];
   const size_t size = strlen (name) + strlen (value) + 3;
-  char *line = size <= sizeof stack ? stack : xmalloc (size);
+  char *line = size <= sizeof buffer ? buffer : xmalloc (size);
   if (value[0] == '\0')
     snprintf (line, size, "%s;", name);
   else
     snprintf (line, size, "%s: %s", name, value);
   add_line (call, line);
-  if (line != stack)
+  if (line != buffer)
     free (line);
 }
 
