--- a/node/caller/tests/access_test.cc
+++ b/node/caller/tests/access_test.cc
@@ -178,7 +178,7 @@
     bus_subscribe (
         the_bus, BUS_FRESHNESS_REQUESTED,
         [] (void *owner, const bus_message *) {
-          static_cast<FreshnessTest *> (owner)->wanted++;
+          static_cast<FreshnessTest *> (owner)->proof_requests++;
         },
         this);
   }
@@ -201,7 +201,7 @@
 
   const std::string valid_key = "Authorization: Bearer key-june";
   const std::string unknown_key = "Authorization: Bearer other";
-  int wanted = 0;
+  int proof_requests = 0;
 };
 
 /* Without a proof a key is neither accepted nor rejected: an unknown key may
@@ -224,7 +224,7 @@
   auto call = make ("GET", "/x", "r1");
   call->fields.push_back (valid_key);
   begin (call.get ());
-  ASSERT_TRUE (run_until ([this] { return wanted > 0; }));
+  ASSERT_TRUE (run_until ([this] { return proof_requests > 0; }));
   prove (version, 0);
   ASSERT_TRUE (run_until ([&call] { return call->done; }));
   EXPECT_EQ (call->status, 200);
@@ -238,7 +238,7 @@
   call->body = std::string (300000, 'b');
   call->fields.push_back (valid_key);
   begin (call.get ());
-  ASSERT_TRUE (run_until ([this] { return wanted > 0; }));
+  ASSERT_TRUE (run_until ([this] { return proof_requests > 0; }));
   prove (version, 0);
   ASSERT_TRUE (run_until ([&call] { return call->done; }));
   EXPECT_EQ (call->status, 200);
@@ -290,7 +290,7 @@
         the_bus, BUS_QUOTA_REQUESTED,
         [] (void *owner, const bus_message *message) {
           auto *self = static_cast<QuotaTest *> (owner);
-          self->wanted += message->quota.answer.requested;
+          self->requested_tokens += message->quota.answer.requested;
           self->answer (message->quota);
         },
         this);
@@ -305,20 +305,20 @@
   }
 
   void
-  answer (const bus_quota &asked)
+  answer (const bus_quota &request)
   {
     if (is_silent)
       return;
-    const uint32_t requested = asked.answer.requested;
+    const uint32_t requested = request.answer.requested;
     bus_message message = {};
     message.topic = BUS_QUOTA_GRANTED;
-    message.quota.workspace = asked.workspace;
+    message.quota.workspace = request.workspace;
     message.quota.answer.requested_ms = clock_now_ms ();
     message.quota.answer.requested = requested;
     message.quota.answer.tokens
         = requested < remaining_tokens ? requested : remaining_tokens;
     message.quota.answer.term_ms = 400;
-    message.quota.answer.next_token_ms = due_ms;
+    message.quota.answer.next_token_ms = next_token_ms;
     remaining_tokens -= message.quota.answer.tokens;
     bus_post (the_bus, &message);
   }
@@ -329,9 +329,9 @@
     return send ("/x", { "Authorization: Bearer key-june" });
   }
 
-  uint32_t wanted = 0;
+  uint32_t requested_tokens = 0;
   uint32_t remaining_tokens = 0; /**< tokens of the coordinator */
-  uint32_t due_ms = 1500;
+  uint32_t next_token_ms = 1500;
   bool is_silent = false;
 };
 
@@ -341,7 +341,7 @@
   for (int i = 0; i < 3; i++)
     EXPECT_EQ (send_june ()->status, 200);
   EXPECT_EQ (remaining_tokens, 0u);
-  EXPECT_EQ (wanted, 3u);
+  EXPECT_EQ (requested_tokens, 3u);
 }
 
 TEST_F (QuotaTest, RequestOverQuotaGetsRetryTime)
@@ -380,11 +380,11 @@
 
 TEST_F (QuotaTest, RequestWaitsForTokenDueSoon)
 {
-  due_ms = 50;
+  next_token_ms = 50;
   auto call = make ("GET", "/x", "r1");
   call->fields.push_back ("Authorization: Bearer key-june");
   begin (call.get ());
-  ASSERT_TRUE (run_until ([this] { return wanted > 0; }));
+  ASSERT_TRUE (run_until ([this] { return requested_tokens > 0; }));
   remaining_tokens = 1;
   ASSERT_TRUE (run_until ([&call] { return call->done; }));
   EXPECT_EQ (call->status, 200);
@@ -411,11 +411,11 @@
 /* A key is revoked while its request waits for a token. */
 TEST_F (QuotaTest, KeyRevokedDuringWaitIsRefused)
 {
-  due_ms = 50;
+  next_token_ms = 50;
   auto call = make ("GET", "/x", "r1");
   call->fields.push_back ("Authorization: Bearer key-june");
   begin (call.get ());
-  ASSERT_TRUE (run_until ([this] { return wanted > 0; }));
+  ASSERT_TRUE (run_until ([this] { return requested_tokens > 0; }));
   put_config (", 'workspaces': [" + workspace ("june", "key-june-2") + "]");
   remaining_tokens = 1;
   ASSERT_TRUE (run_until ([&call] { return call->done; }));
--- a/node/caller/tests/at_most_once_test.cc
+++ b/node/caller/tests/at_most_once_test.cc
@@ -66,7 +66,8 @@
 }
 
 /* libcurl's own resend of a repeatable request would be a retry that no retry
-   budget counts; it must come as a counted one. */
+   budget counts.  Only retries that are counted as attempts may happen, so
+   with a limit of one attempt the request runs once. */
 TEST_F (AtMostOnceTest, ResendOfGetIsACountedRetry)
 {
   target_server *target = add_target ("t1");
--- a/node/caller/tests/caller_fixture.cc
+++ b/node/caller/tests/caller_fixture.cc
@@ -256,11 +256,11 @@
 on_send (char *data, size_t size, size_t count, void *owner)
 {
   auto *call = static_cast<Call *> (owner);
-  const size_t left = call->body.size () - call->sent;
-  const size_t taken = left < size * count ? left : size * count;
-  memcpy (data, call->body.data () + call->sent, taken);
-  call->sent += taken;
-  return taken;
+  const size_t remaining = call->body.size () - call->sent;
+  const size_t sent = remaining < size * count ? remaining : size * count;
+  memcpy (data, call->body.data () + call->sent, sent);
+  call->sent += sent;
+  return sent;
 }
 
 static void
--- a/node/caller/tests/caller_task_test.cc
+++ b/node/caller/tests/caller_task_test.cc
@@ -280,7 +280,8 @@
   EXPECT_EQ (get ("/calendar")->status, 404);
 }
 
-/* A caller with an old address answer sends a request four seconds after the
+/* A caller that received the host's address earlier sends a request in the
+   second half of the host's shutdown time, for example four seconds after the
    host began to leave.  If it were forwarded, the process could exit before
    the target responds, and the caller would get a broken connection. */
 TEST_F (CallerTaskTest, LateRequestAtLeavingHostIsRefused)
@@ -288,12 +289,13 @@
   settings.times.shutdown_ms = 400;
   put_service (usual_routes);
   EXPECT_EQ (get ("/calendar", "before")->status, 200);
-  bool is_over = false;
+  bool has_left = false;
   caller_task_begin_leaving (
-      task, [] (void *over) { *static_cast<bool *> (over) = true; }, &is_over);
+      task, [] (void *owner) { *static_cast<bool *> (owner) = true; },
+      &has_left);
   EXPECT_EQ (get ("/calendar", "early")->status, 200);
-  const double half_over = ev_now (loop) + 0.25;
-  ASSERT_TRUE (run_until ([&] { return ev_now (loop) >= half_over; }));
+  const double second_half_s = ev_now (loop) + 0.25;
+  ASSERT_TRUE (run_until ([&] { return ev_now (loop) >= second_half_s; }));
   const auto late = get ("/calendar", "late");
   EXPECT_EQ (late->status, 503);
   EXPECT_EQ (late->field ("jaystair-outcome"), "not-run");
--- a/node/caller/tests/chaos_test.cc
+++ b/node/caller/tests/chaos_test.cc
@@ -30,7 +30,7 @@
   }
 
   void
-  add_bad_targets ()
+  add_faulty_targets ()
   {
     for (const char *name : { "t1", "t2", "t3", "t4" })
       {
@@ -99,7 +99,7 @@
 
 TEST_F (ChaosTest, ReportedOutcomesAreCorrect)
 {
-  add_bad_targets ();
+  add_faulty_targets ();
   target_options = ", 'slots': 4";
   start ();
   put_service (usual_routes, ", 'limits': { 'timeout_ms': 200,"
@@ -121,11 +121,11 @@
                                           "Content-Length: 6\r\n\r\nhalf");
         }
       ASSERT_TRUE (run_until ([&] {
-        size_t still = 0;
+        size_t still_open = 0;
         for (const auto &call : calls)
-          still += !call->done;
-        const bool changed = still < open;
-        open = still;
+          still_open += !call->done;
+        const bool changed = still_open < open;
+        open = still_open;
         return changed;
       }));
       if (!aborted_callers.empty () && random () % 4 == 0)
@@ -149,7 +149,7 @@
    outcome "ran". */
 TEST_F (ChaosTest, RepeatedTicketRunsOnce)
 {
-  add_bad_targets ();
+  add_faulty_targets ();
   target_options = ", 'slots': 4";
   start ();
   put_service (usual_routes, ", 'limits': { 'timeout_ms': 200 }");
--- a/node/caller/tests/fault_test.cc
+++ b/node/caller/tests/fault_test.cc
@@ -4,7 +4,7 @@
 {
 protected:
   void
-  add_two ()
+  add_two_targets ()
   {
     first = add_target ("t1");
     second = add_target ("t2");
@@ -46,7 +46,7 @@
    one. */
 TEST_F (FaultTest, FailedGetIsTriedAtAnotherTarget)
 {
-  add_two ();
+  add_two_targets ();
   target_server_faults (first)->fail = 100;
   start ();
   put_service (usual_routes, ", 'limits': { 'retry_percent': 100 }");
@@ -80,7 +80,7 @@
 
 TEST_F (FaultTest, FailedPostIsForwardedAndNotRetried)
 {
-  add_two ();
+  add_two_targets ();
   target_server_faults (first)->fail = 100;
   target_server_faults (second)->fail = 100;
   start ();
@@ -96,7 +96,7 @@
    unrepeatable request may be sent to another target. */
 TEST_F (FaultTest, ShedPostRunsOnceAtOtherTarget)
 {
-  add_two ();
+  add_two_targets ();
   target_server_faults (first)->shed = 100;
   start ();
   put_service (usual_routes, ", 'limits': { 'retry_percent': 100 }");
@@ -113,7 +113,7 @@
 
 TEST_F (FaultTest, ShedByAllIsNotRunAndHasRetryTime)
 {
-  add_two ();
+  add_two_targets ();
   target_server_faults (first)->shed = 100;
   target_server_faults (second)->shed = 100;
   start ();
@@ -131,7 +131,7 @@
    all of the body, not only the rest. */
 TEST_F (FaultTest, BodyOfARetryIsSentFromItsStart)
 {
-  add_two ();
+  add_two_targets ();
   start ();
   put_service (usual_routes, ", 'limits': { 'retry_percent': 100 }");
   for (const bool chunked : { false, true })
@@ -153,7 +153,7 @@
 /* A body that is larger than the host's buffer can't be sent again. */
 TEST_F (FaultTest, LongBodyIsNotRetried)
 {
-  add_two ();
+  add_two_targets ();
   target_server_faults (first)->close = 100;
   target_server_faults (second)->close = 100;
   start ();
@@ -170,7 +170,7 @@
    sent. */
 TEST_F (FaultTest, RefusalDuringUploadIsNotRunAndDoesNotHang)
 {
-  add_two ();
+  add_two_targets ();
   target_server_faults (first)->early = 100;
   target_server_faults (second)->early = 100;
   start ();
@@ -196,7 +196,7 @@
 TEST_F (FaultTest, BodyIsCompleteWhenReceivedBetweenAttempts)
 {
   target_options = ", 'slots': 1";
-  add_two ();
+  add_two_targets ();
   target_server_faults (first)->early = 100;
   target_server_faults (second)->hang = 100;
   start ();
@@ -238,7 +238,7 @@
 
 TEST_F (FaultTest, UnreachableTargetIsNotRun)
 {
-  add_two ();
+  add_two_targets ();
   start ();
   put_service (usual_routes);
   ev_run (loop, EVRUN_NOWAIT);
@@ -255,7 +255,7 @@
    passes, and must not state that the request was not run. */
 TEST_F (FaultTest, HangingRequestIsUnknownAtDeadline)
 {
-  add_two ();
+  add_two_targets ();
   target_server_faults (first)->hang = 100;
   target_server_faults (second)->hang = 100;
   start ();
@@ -275,7 +275,7 @@
 
 TEST_F (FaultTest, NoTimeLeftIsNotRun)
 {
-  add_two ();
+  add_two_targets ();
   start ();
   put_service (usual_routes);
   auto call = make ("GET", "/", "r1");
@@ -290,7 +290,7 @@
    libmicrohttpd accepts no response before the whole body is read. */
 TEST_F (FaultTest, StalledUploadGetsResponseAtDeadline)
 {
-  add_two ();
+  add_two_targets ();
   start ();
   put_service (usual_routes);
   auto raw = connect_raw ();
@@ -457,7 +457,7 @@
    been restarted in place. */
 TEST_F (FaultTest, LeavingTargetGetsNoRequestsUntilActive)
 {
-  add_two ();
+  add_two_targets ();
   start ();
   put_service (usual_routes, ", 'limits': { 'retry_percent': 100 }");
   target_server_faults (first)->leave = 1;
@@ -479,7 +479,7 @@
 
 TEST_F (FaultTest, EjectedTargetsGetNoRequests)
 {
-  add_two ();
+  add_two_targets ();
   start ();
   put_service (usual_routes);
   bus_message message = {};
--- a/node/caller/tests/proxy_test.cc
+++ b/node/caller/tests/proxy_test.cc
@@ -97,13 +97,15 @@
                    "Host: venue.example:8080" };
   finish (call.get ());
   EXPECT_EQ (call->status, 200);
-  const std::string &seen = call->answer;
-  for (const char *gone : { "X-Secret", "TE:", "Keep-Alive",
-                            "Jaystair-Outcome", "Jaystair-Relayed" })
-    EXPECT_EQ (seen.find (gone), std::string::npos) << gone << "\n" << seen;
-  EXPECT_NE (seen.find ("X-Kept: two words\n"), std::string::npos) << seen;
-  EXPECT_NE (seen.find ("Host: venue.example:8080\n"), std::string::npos);
-  EXPECT_NE (seen.find ("Jaystair-Deadline-Ms: "), std::string::npos);
+  const std::string &received = call->answer;
+  for (const char *removed : { "X-Secret", "TE:", "Keep-Alive",
+                               "Jaystair-Outcome", "Jaystair-Relayed" })
+    EXPECT_EQ (received.find (removed), std::string::npos) << removed << "\n"
+                                                           << received;
+  EXPECT_NE (received.find ("X-Kept: two words\n"), std::string::npos)
+      << received;
+  EXPECT_NE (received.find ("Host: venue.example:8080\n"), std::string::npos);
+  EXPECT_NE (received.find ("Jaystair-Deadline-Ms: "), std::string::npos);
 }
 
 TEST_F (ProxyTest, DeadlineIsForwardedAsRemainingTime)
@@ -111,9 +113,9 @@
   auto call = make ("GET", "/", "r1");
   call->fields.push_back ("Jaystair-Deadline-Ms: 5000");
   finish (call.get ());
-  const long left = std::stol (call->field ("x-seen-deadline"));
-  EXPECT_LE (left, 5000);
-  EXPECT_GT (left, 0);
+  const long remaining_ms = std::stol (call->field ("x-seen-deadline"));
+  EXPECT_LE (remaining_ms, 5000);
+  EXPECT_GT (remaining_ms, 0);
 }
 
 /* Many concurrent responses arrive in another order than their requests: each
--- a/node/caller/tests/target_limits_test.cc
+++ b/node/caller/tests/target_limits_test.cc
@@ -155,8 +155,8 @@
   EXPECT_EQ (announced.size (), 1u);
 }
 
-/* Responses without the field must withdraw a limit, but not the first one
-   already. */
+/* Responses without the field must withdraw a limit, but only after
+   LIMIT_WITHDRAWAL_DELAY_US, not already the first of them. */
 TEST_F (TargetLimitsTest, ChangedAndWithdrawnLimitsTakeEffect)
 {
   start_with_two_targets ();
