--- a/node/caller/address_answer.c
+++ b/node/caller/address_answer.c
@@ -13,7 +13,7 @@
 enum
 {
   TICKETS_PER_RESPONSE = 8,
-  ADDRESSES_MAX = 64, /* more cost bytes and don't help a caller */
+  ADDRESSES_MAX = 64, /* more only make the response larger */
   NO_HOST_RETRY_AFTER_MS = 1000
 };
 
--- a/node/caller/exchange_access.c
+++ b/node/caller/exchange_access.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  /** The relays and the platform are queried again sooner than this. */
+  /** By then this host has queried the relays and the platform again. */
   STALE_RETRY_AFTER_MS = 500,
   FRESHNESS_WAIT_MAX_US = 250 * 1000,
 };
--- a/node/caller/exchange_caller.c
+++ b/node/caller/exchange_caller.c
@@ -15,7 +15,7 @@
 };
 
 static void
-suspend (struct exchange *x)
+suspend_connection (struct exchange *x)
 {
   if (!x->hangup_watched)
     hangup_watch_add (x->context->hangup, x->fd, x);
@@ -93,7 +93,7 @@
     }
   if (x->response_body.is_complete)
     return MHD_CONTENT_READER_END_OF_STREAM;
-  suspend (x);
+  suspend_connection (x);
   return 0;
 }
 
@@ -223,7 +223,7 @@
   *size -= accepted;
   exchange_schedule_run (x);
   if (*size > 0)
-    suspend (x);
+    suspend_connection (x);
   return MHD_YES;
 }
 
@@ -245,7 +245,7 @@
     return MHD_NO;
   if (has_response (x))
     return queue_response (x);
-  suspend (x);
+  suspend_connection (x);
   return MHD_YES;
 }
 
--- a/node/caller/exchange_poison.c
+++ b/node/caller/exchange_poison.c
@@ -48,18 +48,18 @@
 {
   const enum request_outcome outcome = exchange_outcome (x);
   const bool unknown = outcome == REQUEST_OUTCOME_UNKNOWN;
-  struct local_response local
+  struct local_response response
       = { .status
           = unknown ? MHD_HTTP_BAD_GATEWAY : MHD_HTTP_SERVICE_UNAVAILABLE,
           .outcome = outcome,
           .reason = "poison-request",
           .retry_after_ms = unknown ? 0 : remaining_ms };
-  snprintf (local.message, sizeof local.message, "%s",
+  snprintf (response.message, sizeof response.message, "%s",
             unknown ? "targets crashed while they ran this request: find out "
                       "whether it has run, and don't send it again unchanged"
                     : "targets crashed while they ran this request: change "
                       "it, or come back after the time given");
-  exchange_respond_locally (x, &local);
+  exchange_respond_locally (x, &response);
 }
 
 static void
@@ -122,13 +122,13 @@
 {
   struct exchange *x;
   struct exchange *next;
-  struct fingerprint local;
+  struct fingerprint candidate;
   DL_FOREACH_SAFE (context->exchanges, x, next)
   {
     if (x->service == NULL || !is_unanswered (x)
         || exchange_head_hash (x) != fingerprint->head_hash
-        || !exchange_fingerprint (x, &local)
-        || !fingerprint_equal (&local, fingerprint))
+        || !exchange_fingerprint (x, &candidate)
+        || !fingerprint_equal (&candidate, fingerprint))
       continue;
     exchange_cancel_attempt (x, ATTEMPT_CANCELLED);
     exchange_poison_refuse (x, remaining_ms);
--- a/node/caller/host_directory.c
+++ b/node/caller/host_directory.c
@@ -12,7 +12,7 @@
   HOSTS_MAX = 8192
 };
 
-struct entry
+struct directory_entry
 {
   struct bus_host_entry host;
   UT_hash_handle hh;
@@ -20,7 +20,8 @@
 
 struct host_directory
 {
-  struct entry *entries; /* by name, the least recently updated first */
+  /* By name, the least recently updated first. */
+  struct directory_entry *entries;
 };
 
 struct host_directory *
@@ -34,11 +35,11 @@
 {
   if (directory == NULL)
     return;
-  struct entry *entry = directory->entries;
+  struct directory_entry *entry = directory->entries;
   HASH_CLEAR (hh, directory->entries);
   while (entry != NULL)
     {
-      struct entry *next = entry->hh.next;
+      struct directory_entry *next = entry->hh.next;
       free (entry);
       entry = next;
     }
@@ -49,7 +50,7 @@
 update_host (struct host_directory *directory,
              const struct bus_host_entry *host)
 {
-  struct entry *entry;
+  struct directory_entry *entry;
   HASH_FIND_STR (directory->entries, host->name, entry);
   if (entry == NULL && HASH_COUNT (directory->entries) >= HOSTS_MAX)
     entry = directory->entries;
@@ -72,7 +73,7 @@
 const char *
 host_directory_find (const struct host_directory *directory, const char *name)
 {
-  const struct entry *entry;
+  const struct directory_entry *entry;
   HASH_FIND_STR (directory->entries, name, entry);
   return entry != NULL ? entry->host.caller_address : NULL;
 }
--- a/node/caller/leaving_probe.c
+++ b/node/caller/leaving_probe.c
@@ -50,7 +50,7 @@
 }
 
 static void
-finish (struct pending_probe *pending)
+finish_probe (struct pending_probe *pending)
 {
   struct caller_service *service = pending->service;
   const uint32_t target = caller_service_find_target (service, pending->key);
@@ -67,7 +67,7 @@
   struct pending_probe *pending = owner;
   if (end == TARGET_CALL_COMPLETE && !pending->leaving)
     caller_service_set_leaving (pending->service, pending->key, false);
-  finish (pending);
+  finish_probe (pending);
 }
 
 static void
@@ -106,7 +106,7 @@
   DL_FOREACH_SAFE (probe->pending, pending, next)
   {
     target_call_cancel (pending->call);
-    finish (pending);
+    finish_probe (pending);
   }
 }
 
--- a/node/caller/request_head.h
+++ b/node/caller/request_head.h
@@ -40,7 +40,7 @@
 {
   char method[REQUEST_METHOD_SIZE];
   char host[SERVICE_NAME_SIZE];     /**< lower case, without port */
-  char path[SERVICE_PATH_SIZE * 4]; /**< normalised, for route matching */
+  char path[SERVICE_PATH_SIZE * 4]; /**< normalized, for route matching */
   char id[REQUEST_ID_SIZE];         /**< as sent by the caller, truncated */
   char ticket[REQUEST_TICKET_SIZE]; /**< "": none */
   struct request_key key;
