--- a/policy/fleet/member.h
+++ b/policy/fleet/member.h
@@ -37,7 +37,7 @@
   int64_t last_indirect_answer_ms;
   uint32_t sends_remaining;
   bool is_queued;
-  bool is_listed_not_live;
+  bool is_listed_not_live; /**< in member_set.not_live */
   bool is_changed;
   struct member *queued_prev, *queued_next;
   struct member *not_live_prev, *not_live_next;
@@ -55,13 +55,13 @@
 bool member_is_monitored (const struct member *member);
 
 /** Return whether a MEMBER monitored in return hasn't requested it for so
- * long that its state is decided. */
+ * long that its state is decided (live, dead or leaving). */
 bool member_return_is_over (const struct member *member,
                             const struct membership_options *options,
                             int64_t now_ms);
 
-/** The timeout for the first answer starts with the monitoring, not at
- * boot. */
+/** Start the timeout for the first answer of MEMBER at NOW_MS; otherwise it
+ * would count from boot.  No effect if MEMBER is monitored already or gone. */
 void member_start_monitoring (struct member *member, int64_t now_ms);
 
 /** Return whether UPDATE is newer than what is known of MEMBER. */
--- a/policy/fleet/member_set.h
+++ b/policy/fleet/member_set.h
@@ -32,8 +32,8 @@
 /** Remove MEMBER and free it. */
 void member_set_remove (struct member_set *set, struct member *member);
 
-/** Note that the host has restarted: updates about its previous start are
- * void. */
+/** Note that MEMBER has restarted with INCARNATION: updates about its earlier
+ * incarnations are obsolete. */
 void member_set_restart (struct member_set *set, struct member *member,
                          uint64_t incarnation);
 
--- a/policy/fleet/membership.c
+++ b/policy/fleet/membership.c
@@ -98,7 +98,7 @@
 }
 
 /* Returns the member that sent a message with INCARNATION, or NULL if the
-   sender is a previous start of a host that was restarted. */
+   message is from an earlier incarnation of a host that has restarted. */
 static struct member *
 find_sender (struct membership *membership, uint64_t key, uint64_t incarnation)
 {
@@ -204,12 +204,13 @@
 {
   if (member->state == MEMBER_LEAVING)
     return;
-  const bool was_vouched = member->has_indirect_answer;
+  const bool had_indirect_answer = member->has_indirect_answer;
   member->has_indirect_answer = now_ms - member->last_indirect_answer_ms
                                 < membership->options.dead_after_ms;
   const enum member_state state
       = member_evaluate (member, &membership->options, now_ms);
-  if (was_vouched != member->has_indirect_answer && state != MEMBER_LIVE)
+  if (had_indirect_answer != member->has_indirect_answer
+      && state != MEMBER_LIVE)
     member_set_note_change (&membership->set, member);
   member_set_change_state (&membership->set, member, state);
   if (state == MEMBER_LIVE || state == MEMBER_DEAD)
--- a/policy/fleet/settings_index.c
+++ b/policy/fleet/settings_index.c
@@ -21,8 +21,8 @@
 {
   struct entry *entries;
   struct entry *buckets[SETTINGS_BUCKETS];
-  uint64_t hashes[SETTINGS_BUCKETS];
-  uint64_t total;
+  uint64_t bucket_hashes[SETTINGS_BUCKETS];
+  uint64_t total_hash;
 };
 
 struct settings_index *
@@ -72,8 +72,8 @@
 toggle_hash (struct settings_index *index, const struct entry *entry)
 {
   const uint64_t hash = hash_pair (entry->key, entry->version);
-  index->hashes[settings_bucket (entry->key)] ^= hash;
-  index->total ^= hash;
+  index->bucket_hashes[settings_bucket (entry->key)] ^= hash;
+  index->total_hash ^= hash;
 }
 
 static struct entry *
@@ -97,8 +97,8 @@
                        uint64_t version)
 {
   struct entry *entry = find_entry (index, key);
-  const uint64_t held = entry == NULL ? 0 : entry->version;
-  if (version <= held)
+  const uint64_t current = entry == NULL ? 0 : entry->version;
+  if (version <= current)
     return false;
   if (entry == NULL)
     entry = add_entry (index, key);
@@ -150,14 +150,14 @@
 uint64_t
 settings_index_hash (const struct settings_index *index)
 {
-  return index->total;
+  return index->total_hash;
 }
 
 uint64_t
 settings_index_bucket_hash (const struct settings_index *index,
                             uint32_t bucket)
 {
-  return index->hashes[bucket % SETTINGS_BUCKETS];
+  return index->bucket_hashes[bucket % SETTINGS_BUCKETS];
 }
 
 size_t
