--- a/policy/quota/quota_cache.c
+++ b/policy/quota/quota_cache.c
@@ -14,7 +14,8 @@
   PREFETCH_MIN = 2,
   /** Timeout of a request to the coordinator, after which it is repeated. */
   ANSWER_TIMEOUT_MS = 60,
-  /** Failed coordinators are replaced, and starting hosts have leased their
+  /** Maximum time for which requests wait while no coordinator answers.
+   * Failed coordinators are replaced, and starting hosts have leased their
    * shares, in less time. */
   HOLD_MAX_MS = 2000,
   /** Minimum time before a coordinator without tokens is asked again. */
@@ -23,8 +24,9 @@
   REQUEST_DELAY_MAX_MS = 100,
   /** Maximum retry delay reported to callers that are refused. */
   RETRY_MAX_MS = 2000,
-  /** A token that is due sooner is waited for.  Less than callers notice,
-   * and more than needed for requests that coincide by chance. */
+  /** Requests wait for a token that is due within this time.  Less than
+   * callers notice, and more than needed for requests that coincide by
+   * chance. */
   WAIT_MAX_MS = 300,
 };
 
--- a/policy/quota/quota_cache.h
+++ b/policy/quota/quota_cache.h
@@ -89,8 +89,9 @@
 void quota_cache_note_answer (struct quota_cache *cache, int64_t now_ms,
                               const struct quota_answer *answer);
 
-/** Return for how much longer a request may wait after QUOTA_WAIT.  It is 0
- * once the first requests have waited in vain. */
+/** Return for how much longer a request may wait after QUOTA_WAIT.  The time
+ * counts from the first request that waited since the last answer of a
+ * coordinator, so it is 0 if no coordinator has answered for too long. */
 uint32_t quota_cache_hold_ms (const struct quota_cache *cache, int64_t now_ms);
 
 /** Return the time until there is a token for the request that was last
--- a/policy/quota/quota_pool.c
+++ b/policy/quota/quota_pool.c
@@ -23,8 +23,8 @@
   /** Time constant of the backlog: holders that were granted less than they
    * requested ask again after about this time. */
   BACKLOG_DECAY_MS = 100,
-  /** Tokens in the pool should last this long before other coordinators are
-   * asked. */
+  /** Other coordinators are asked for tokens if those in the pool won't last
+   * this long. */
   LOOKAHEAD_MS = 2 * QUOTA_RENEWAL_INTERVAL_MS,
 };
 
@@ -207,7 +207,7 @@
 }
 
 /* Adds UNMET requested tokens to the backlog.
-   @return the backlog of other holders before */
+   @return the previous backlog, that of other holders */
 static double
 add_backlog (struct quota_bucket *bucket, int64_t now_ms, uint32_t unmet)
 {
@@ -246,8 +246,9 @@
 }
 
 static struct quota_grant
-grant (struct quota_pool *pool, struct quota_bucket *bucket, int64_t now_ms,
-       const struct quota_limit *limit, double available, uint32_t requested)
+grant_tokens (struct quota_pool *pool, struct quota_bucket *bucket,
+              int64_t now_ms, const struct quota_limit *limit,
+              double available, uint32_t requested)
 {
   const double capacity = total_capacity (pool, now_ms, limit);
   struct quota_grant granted
@@ -277,7 +278,7 @@
   add_demand (bucket, now_ms, requested);
   const double available
       = requested < bucket->level ? requested : bucket->level;
-  return grant (pool, bucket, now_ms, limit, available, requested);
+  return grant_tokens (pool, bucket, now_ms, limit, available, requested);
 }
 
 /* Transferred tokens don't count as outstanding here: the other coordinator
--- a/policy/quota/quota_shares.c
+++ b/policy/quota/quota_shares.c
@@ -10,18 +10,20 @@
 {
   HOST_COUNT_RETENTION_MS = 60 * 1000,
   INITIAL_LEASE_CAPACITY = 16,
-  /** Hosts that start together, or whose coordinator has failed, lease their
+  /** Time after the last large growth until the fraction counts as stable.
+   * Hosts that start together, or whose coordinator has failed, lease their
    * shares within a third of this time; the rest is for the requests that
    * callers sent in the meantime. */
   STABILIZATION_MS = 2000,
 };
 
 static const double MS_PER_SECOND = 1000.0;
-static const double large_growth_factor = 1.25;
+/* Growth of the fraction by more than this factor is large. */
+static const double LARGE_GROWTH_FACTOR = 1.25;
 
 struct share_lease
 {
-  uint64_t lender;
+  uint64_t lessor;
   int64_t expires_ms;
 };
 
@@ -73,7 +75,7 @@
 
 /* Advances the integral to NOW_MS and removes the leases that have ended. */
 static void
-advance (struct quota_shares *shares, int64_t now_ms)
+advance_integral (struct quota_shares *shares, int64_t now_ms)
 {
   size_t kept = 0;
   if (now_ms <= shares->counted_until_ms)
@@ -97,7 +99,7 @@
 quota_shares_note_host_count (struct quota_shares *shares, int64_t now_ms,
                               uint32_t hosts)
 {
-  advance (shares, now_ms);
+  advance_integral (shares, now_ms);
   if (hosts >= shares->hosts)
     {
       shares->hosts = hosts;
@@ -124,15 +126,15 @@
 quota_shares_set_own_from (struct quota_shares *shares, int64_t now_ms,
                            int64_t from_ms)
 {
-  advance (shares, now_ms);
+  advance_integral (shares, now_ms);
   shares->own_from_ms = from_ms;
 }
 
 static struct share_lease *
-find_or_add_lease (struct quota_shares *shares, uint64_t lender)
+find_or_add_lease (struct quota_shares *shares, uint64_t lessor)
 {
   for (size_t i = 0; i < shares->lease_count; i++)
-    if (shares->leases[i].lender == lender)
+    if (shares->leases[i].lessor == lessor)
       return &shares->leases[i];
   if (shares->lease_count == shares->lease_capacity)
     {
@@ -143,20 +145,20 @@
                                       sizeof *shares->leases);
     }
   struct share_lease *lease = &shares->leases[shares->lease_count++];
-  *lease = (struct share_lease){ .lender = lender };
+  *lease = (struct share_lease){ .lessor = lessor };
   return lease;
 }
 
 void
 quota_shares_add_lease (struct quota_shares *shares, int64_t now_ms,
-                        uint64_t lender, int64_t after_ms)
+                        uint64_t lessor, int64_t after_ms)
 {
   const int64_t expires_ms
       = after_ms + quota_term_less_drift_ms (QUOTA_LEASE_MS);
-  advance (shares, now_ms);
+  advance_integral (shares, now_ms);
   if (expires_ms <= now_ms)
     return;
-  struct share_lease *lease = find_or_add_lease (shares, lender);
+  struct share_lease *lease = find_or_add_lease (shares, lessor);
   if (expires_ms > lease->expires_ms)
     lease->expires_ms = expires_ms;
 }
@@ -164,9 +166,9 @@
 static void
 update_growth (struct quota_shares *shares, int64_t now_ms, double fraction)
 {
-  if (fraction > shares->fraction * large_growth_factor)
+  if (fraction > shares->fraction * LARGE_GROWTH_FACTOR)
     shares->growth_ms = now_ms;
-  if (fraction > shares->fraction * large_growth_factor
+  if (fraction > shares->fraction * LARGE_GROWTH_FACTOR
       || fraction < shares->fraction)
     shares->fraction = fraction;
 }
@@ -174,7 +176,7 @@
 double
 quota_shares_fraction (struct quota_shares *shares, int64_t now_ms)
 {
-  advance (shares, now_ms);
+  advance_integral (shares, now_ms);
   if (shares->hosts == 0)
     return 0;
   const bool has_own = now_ms >= shares->own_from_ms;
@@ -195,6 +197,6 @@
 double
 quota_shares_integral_s (struct quota_shares *shares, int64_t now_ms)
 {
-  advance (shares, now_ms);
+  advance_integral (shares, now_ms);
   return shares->integral_s;
 }
--- a/policy/quota/quota_shares.h
+++ b/policy/quota/quota_shares.h
@@ -29,12 +29,12 @@
 void quota_shares_set_own_from (struct quota_shares *shares, int64_t now_ms,
                                 int64_t from_ms);
 
-/** Note that host LENDER has leased its share to this host at AFTER_MS on
+/** Note that host LESSOR has leased its share to this host at AFTER_MS on
  * this host's clock or later, the time of the stamp that its message
  * echoes.  The time of arrival can't be used: the message may have been
  * delayed for longer than the lease term. */
 void quota_shares_add_lease (struct quota_shares *shares, int64_t now_ms,
-                             uint64_t lender, int64_t after_ms);
+                             uint64_t lessor, int64_t after_ms);
 
 /** Return the fraction of all quotas that is usable at NOW_MS, from 0 to 1. */
 double quota_shares_fraction (struct quota_shares *shares, int64_t now_ms);
