--- a/policy/poison/poison_table.c
+++ b/policy/poison/poison_table.c
@@ -32,7 +32,7 @@
   uint32_t crash_count;
   uint32_t epoch;
   uint32_t strikes;
-  int64_t blocked_until_ms; /* end of the block, with strikes */
+  int64_t blocked_until_ms; /* end of the block; valid if strikes > 0 */
   int64_t trial_until_ms;   /* 0: no trial in progress */
   int64_t changed_ms;
   UT_hash_handle hh;
@@ -277,11 +277,11 @@
   if (counted == NULL)
     return NULL;
   entry->changed_ms = now_ms;
-  const bool is_due
+  const bool must_block
       = entry->strikes > 0
             ? crash->crashed_ms >= entry->blocked_until_ms
             : sequential_crashes (entry) >= table->options.crashes;
-  if (is_due)
+  if (must_block)
     block_entry (table, entry, now_ms);
   return counted;
 }
