--- a/node/quota/quota_internal.h
+++ b/node/quota/quota_internal.h
@@ -86,9 +86,9 @@
                                          int64_t now_ms);
 /** Handle a response of coordinator FROM. */
 void quota_requester_receive (struct quota_task *task, const char *from,
-                              const struct quota_report *answer);
+                              const struct quota_report *response);
 
-/* quota_coordinator.c: the part of this host as a coordinator */
+/* quota_coordinator.c: this host's role as a coordinator */
 /** Grant up to REQUESTED tokens of ENTRY. */
 struct quota_row quota_coordinator_grant (struct quota_task *task,
                                           struct quota_entry *entry,
@@ -98,7 +98,7 @@
                                 const struct quota_report *request);
 /** Add the tokens that another coordinator transferred. */
 void quota_coordinator_add (struct quota_task *task,
-                            const struct quota_report *answer);
+                            const struct quota_report *response);
 /** Request tokens from the other coordinators for workspaces with a deficit
  * here. */
 void quota_coordinator_rebalance (struct quota_task *task, int64_t now_ms);
