--- a/node/ejection/ejection_command.c
+++ b/node/ejection/ejection_command.c
@@ -48,8 +48,8 @@
 };
 
 static void
-finish (struct ejection_task *task, struct ejection_command *command,
-        enum status status, enum ejection_reason reason)
+finish_command (struct ejection_task *task, struct ejection_command *command,
+                enum status status, enum ejection_reason reason)
 {
   const struct ejection_service *service
       = ejection_find_service (task, command->command.service);
@@ -87,8 +87,8 @@
 }
 
 static enum ejection_reason
-apply (struct ejection_service *service,
-       const struct operator_command *command)
+apply_command (struct ejection_service *service,
+               const struct operator_command *command)
 {
   const int64_t now_ms = ejection_now_ms (service->task);
   service->why = "operator";
@@ -110,13 +110,15 @@
   if (command->command.version != OPERATOR_ANY_VERSION
       && command->command.version != version)
     {
-      finish (task, command, STATUS_REFUSED, EJECTION_REASON_VERSION_CHANGED);
+      finish_command (task, command, STATUS_REFUSED,
+                      EJECTION_REASON_VERSION_CHANGED);
       return;
     }
-  const enum ejection_reason reason = apply (service, &command->command);
+  const enum ejection_reason reason
+      = apply_command (service, &command->command);
   if (reason != EJECTION_REASON_NONE)
     {
-      finish (task, command, STATUS_REFUSED, reason);
+      finish_command (task, command, STATUS_REFUSED, reason);
       return;
     }
   command->is_started = true;
@@ -124,7 +126,8 @@
 }
 
 static void
-forward (struct ejection_service *service, struct ejection_command *command)
+forward_command (struct ejection_service *service,
+                 struct ejection_command *command)
 {
   struct ejection_task *task = service->task;
   const struct ejection_command_message message
@@ -141,7 +144,8 @@
       || ejection_send_command_message (task->options.transport,
                                         command->forwarded_to, &message)
              != STATUS_OK)
-    finish (task, command, STATUS_UNREACHABLE, EJECTION_REASON_NOT_OWNER);
+    finish_command (task, command, STATUS_UNREACHABLE,
+                    EJECTION_REASON_NOT_OWNER);
 }
 
 static void
@@ -150,15 +154,16 @@
   struct ejection_service *service
       = ejection_find_service (task, command->command.service);
   if (task->command_count > EJECTION_COMMANDS_MAX)
-    finish (task, command, STATUS_LIMIT, EJECTION_REASON_BUSY);
+    finish_command (task, command, STATUS_LIMIT, EJECTION_REASON_BUSY);
   else if (service == NULL || service->spec == NULL)
-    finish (task, command, STATUS_NOT_FOUND, EJECTION_REASON_NO_SUCH_SERVICE);
+    finish_command (task, command, STATUS_NOT_FOUND,
+                    EJECTION_REASON_NO_SUCH_SERVICE);
   else if (service->role == FLOOR_ROLE_OWNER)
     start_locally (service, command);
   else if (command->done != NULL)
-    forward (service, command);
+    forward_command (service, command);
   else
-    finish (task, command, STATUS_REFUSED, EJECTION_REASON_NOT_OWNER);
+    finish_command (task, command, STATUS_REFUSED, EJECTION_REASON_NOT_OWNER);
 }
 
 static struct ejection_command *
@@ -251,8 +256,8 @@
         || message->reason < 0 || message->reason >= EJECTION_REASON_COUNT)
       return;
     command->version = message->version;
-    finish (task, command, (enum status)message->status,
-            (enum ejection_reason)message->reason);
+    finish_command (task, command, (enum status)message->status,
+                    (enum ejection_reason)message->reason);
     return;
   }
 }
@@ -289,16 +294,19 @@
       if (is_ejected (floor_owner_known_record (service->owner),
                       &command->command)
           == should_be_ejected)
-        finish (task, command, STATUS_OK, EJECTION_REASON_NONE);
+        finish_command (task, command, STATUS_OK, EJECTION_REASON_NONE);
       else if (is_ejected (floor_owner_claims (service->owner),
                            &command->command)
                != should_be_ejected)
-        finish (task, command, STATUS_REFUSED, EJECTION_REASON_BELOW_FLOOR);
+        finish_command (task, command, STATUS_REFUSED,
+                        EJECTION_REASON_BELOW_FLOOR);
     }
   else if (command->is_started)
-    finish (task, command, STATUS_LOST_ANSWER, EJECTION_REASON_UNCONFIRMED);
+    finish_command (task, command, STATUS_LOST_ANSWER,
+                    EJECTION_REASON_UNCONFIRMED);
   if (!command->is_ended && ejection_now_ms (task) >= command->expires_ms)
-    finish (task, command, STATUS_LOST_ANSWER, EJECTION_REASON_UNCONFIRMED);
+    finish_command (task, command, STATUS_LOST_ANSWER,
+                    EJECTION_REASON_UNCONFIRMED);
 }
 
 void
@@ -313,7 +321,7 @@
 }
 
 static void
-call_back (const struct ejection_command *command)
+call_done (const struct ejection_command *command)
 {
   char text[MESSAGE_SIZE];
   char changed[MESSAGE_SIZE];
@@ -374,7 +382,7 @@
   while (remove_ended (task, &ended))
     {
       if (ended.done != NULL)
-        call_back (&ended);
+        call_done (&ended);
       else
         send_result (task, &ended);
     }
--- a/node/ejection/ejection_detect.c
+++ b/node/ejection/ejection_detect.c
@@ -20,8 +20,8 @@
 }
 
 static const char *
-explain (const struct ejection_service *service, const char *target,
-         char text[EXPLANATION_SIZE])
+explain_target (const struct ejection_service *service, const char *target,
+                char text[EXPLANATION_SIZE])
 {
   struct detection_explanation explanation;
   text[0] = '\0';
@@ -54,7 +54,7 @@
             const char *target)
 {
   char text[EXPLANATION_SIZE];
-  const char *evidence = explain (service, target, text);
+  const char *evidence = explain_target (service, target, text);
   LOG_INFO (
       event, LOG_STR ("service", service->name), LOG_STR ("target", target),
       LOG_STR ("why", service->why),
@@ -109,8 +109,8 @@
 }
 
 static void
-eject (struct ejection_service *service,
-       const struct detection_ejection *ejection)
+eject_target (struct ejection_service *service,
+              const struct detection_ejection *ejection)
 {
   const char *target = ejection_target_name (service, ejection->target_key);
   if (target == NULL)
@@ -130,7 +130,7 @@
 }
 
 static void
-reinstate (struct ejection_service *service, uint64_t key)
+reinstate_target (struct ejection_service *service, uint64_t key)
 {
   const char *target = ejection_target_name (service, key);
   service->why = "trial passed";
@@ -185,9 +185,9 @@
       = detection_detector_step (service->detector, now_us (service));
   ejection_paths_set (service, decisions.paths, decisions.path_count);
   for (size_t i = 0; i < decisions.eject_count; i++)
-    eject (service, &decisions.eject[i]);
+    eject_target (service, &decisions.eject[i]);
   for (size_t i = 0; i < decisions.reinstate_count; i++)
-    reinstate (service, decisions.reinstate[i]);
+    reinstate_target (service, decisions.reinstate[i]);
   for (size_t i = 0; i < decisions.probe_count; i++)
     start_probe (service, decisions.probe[i]);
 }
--- a/node/ejection/ejection_internal.h
+++ b/node/ejection/ejection_internal.h
@@ -210,7 +210,7 @@
 uint64_t ejection_target_key (const struct ejection_service *service,
                               const char *name);
 
-/* ejection_owner.c: the part of the owner */
+/* ejection_owner.c: the role of the owner */
 /* Carry out what the floor authority requires: platform calls, and changes of
    role and decision. */
 void ejection_owner_update (struct ejection_service *service);
@@ -243,10 +243,10 @@
 struct slot_share
 ejection_shares_grant (const struct ejection_service *service,
                        const struct ejection_poller *poller);
-/* Apply the share received with a decision; expire it when its time is over.
- */
+/* Apply the share and the targets to avoid that a decision contains. */
 void ejection_shares_receive (struct ejection_service *service,
                               const struct ejection_notice *notice);
+/* Discard the share and the targets to avoid once they have expired. */
 void ejection_shares_tick (struct ejection_service *service, int64_t now_ms);
 
 /* ejection_paths.c: targets that fail for some hosts only */
--- a/node/ejection/ejection_owner.c
+++ b/node/ejection/ejection_owner.c
@@ -105,8 +105,8 @@
   ejection_owner_clear (service);
 }
 
-/* Another host won a race for ownership.  Give it the usual time until it is
-   seen. */
+/* Another host won a race for ownership.  It has the usual time to announce
+   itself before this host tries to replace it. */
 static void
 wait_for_owner (struct ejection_service *service)
 {
@@ -233,8 +233,10 @@
   service->is_updating = false;
 }
 
+/* Replaces the poller that has been silent for longest if there are too
+   many. */
 static struct ejection_poller *
-find_poller (struct ejection_service *service, const char *from)
+find_or_add_poller (struct ejection_service *service, const char *from)
 {
   struct ejection_poller *oldest = NULL;
   for (size_t i = 0; i < service->poller_count; i++)
@@ -282,7 +284,7 @@
 handle_report (struct ejection_service *service, const char *from,
                const struct ejection_report *report)
 {
-  struct ejection_poller *poller = find_poller (service, from);
+  struct ejection_poller *poller = find_or_add_poller (service, from);
   const int64_t now_ms = ejection_now_ms (service->task);
   const bool is_new = poller->incarnation != report->incarnation
                       || report->poll_ms > poller->poll_ms;
--- a/node/ejection/ejection_service.c
+++ b/node/ejection/ejection_service.c
@@ -16,8 +16,8 @@
   /* Delay between failed platform calls; doubles up to the maximum. */
   PLATFORM_RETRY_MS = 100,
   PLATFORM_RETRY_MAX_MS = 5000,
-  /* Number of owner leases for which an owner isn't replaced that only other
-     hosts receive from. */
+  /* Number of owner leases for which an owner that only other hosts receive
+     from isn't replaced. */
   REPORTED_OWNER_LEASES = 4,
   /* Polls without outcomes in the enforcement time of a decision. */
   POLLS_PER_ENFORCEMENT = 4,
@@ -175,8 +175,8 @@
   if (service->rank >= 0
       || now_ms < service->last_outcome_ms + OUTSIDER_ACTIVE_MS)
     return service->host_count > 0;
-  const bool begins = collect_evidence (service) > 0;
-  return begins && service->host_count > 0;
+  const bool has_begun = collect_evidence (service) > 0;
+  return has_begun && service->host_count > 0;
 }
 
 /* A decrease to less than half is reported at once, a smaller one with the
