--- a/policy/fleet/tests/membership_fleet_test.cc
+++ b/policy/fleet/tests/membership_fleet_test.cc
@@ -179,9 +179,9 @@
 };
 }
 
-/* Guards against hosts that are considered dead because of packet loss, and
-   so not handed out to callers: with one message in ten lost, there must be
-   none in some 100,000 messages. */
+/* Guards against hosts that are considered dead because of packet loss, so
+   that they aren't handed out to callers: with one message in ten lost, no
+   host is considered dead within 150,000 messages. */
 TEST (MembershipFleet, MessageLossAloneMarksNoHostDead)
 {
   fleet f (41);
--- a/policy/fleet/tests/membership_test.cc
+++ b/policy/fleet/tests/membership_test.cc
@@ -35,9 +35,9 @@
 {
   int64_t at_ms;
   event_kind kind;
-  member_state observed;  /* for a tick */
-  member_state evaluated; /* for a tick */
-  bool announced_one_way; /* for a tick */
+  member_state observed;  /* set for ticks only */
+  member_state evaluated; /* set for ticks only */
+  bool announced_one_way; /* set for ticks only */
 };
 
 /* Reference model: all events of one host, evaluated from the start each
@@ -343,8 +343,9 @@
   membership_destroy (m);
 }
 
-/* Guards against neighbours that only accumulate: a host that chose this
-   one chooses others after newer hosts have started, and still answers. */
+/* Guards against monitored hosts that accumulate: a host that had chosen this
+   one as a neighbour chooses others after newer hosts have started.  It still
+   answers, but no longer requests monitoring in return. */
 TEST (Membership, MonitoringInReturnEndsWhenNotRequested)
 {
   membership *m = make_membership ();
@@ -387,8 +388,8 @@
 }
 
 /* Guards against a dead host that isn't sent heartbeats after a partition
-   because its own are sent only in return: only its answer revives it, so
-   it must be monitored as long as it is dead here. */
+   because its own heartbeats don't request monitoring in return.  Only its
+   answer revives it, so it must be monitored as long as it is dead here. */
 TEST (Membership, DeadHostIsMonitoredWithAnyHeartbeat)
 {
   membership *m = make_membership ();
--- a/policy/fleet/tests/settings_index_test.cc
+++ b/policy/fleet/tests/settings_index_test.cc
@@ -105,7 +105,7 @@
 
 /* Guards against tombstones of replaced hosts that are exchanged for ever
    because two hosts drop them at different times and their hashes differ.
-   While it is held, a tombstone must still reject the old record. */
+   While it is kept, a tombstone must still reject the old record. */
 TEST (SettingsIndex, RetiredEntryRejectsOldVersionsButIsNotHashed)
 {
   settings_index *index = settings_index_create ();
