--- a/policy/poison/tests/poison_table_test.cc
+++ b/policy/poison/tests/poison_table_test.cc
@@ -15,11 +15,11 @@
 class PoisonTable : public testing::Test
 {
 protected:
-  poison_table *table = make ();
+  poison_table *table = make_table ();
   int64_t now = 1000000;
 
   static poison_table *
-  make ()
+  make_table ()
   {
     const poison_options options = { 3, block_ms, block_max_ms };
     return poison_table_create (&options);
@@ -41,9 +41,9 @@
   crash (uint64_t number, uint64_t target, poison_row *row = nullptr)
   {
     poison_row unused;
-    const poison_crash seen = { request (number), target, now, now + 80 };
+    const poison_crash observed = { request (number), target, now, now + 80 };
     now += 100;
-    return poison_table_add_crash (table, now, &seen,
+    return poison_table_add_crash (table, now, &observed,
                                    row != nullptr ? row : &unused);
   }
 
@@ -91,9 +91,9 @@
 {
   for (int host = 0; host < 5; host++)
     {
-      const poison_row seen
+      const poison_row observed
           = { request (1), 11, 0, 0, 0, 200, (uint32_t)(20 + host) };
-      EXPECT_EQ (poison_table_merge (table, now + host, &seen), host == 0);
+      EXPECT_EQ (poison_table_merge (table, now + host, &observed), host == 0);
     }
   EXPECT_EQ (check (1), POISON_PASS);
 }
@@ -105,9 +105,9 @@
   for (uint64_t target = 1; target <= 10; target++)
     {
       poison_row row;
-      const poison_crash seen
+      const poison_crash observed
           = { request (1), target, now - 50, now + (int64_t)target };
-      poison_table_add_crash (table, now + 20, &seen, &row);
+      poison_table_add_crash (table, now + 20, &observed, &row);
     }
   EXPECT_EQ (check (1), POISON_PASS);
 }
@@ -190,7 +190,7 @@
 {
   poison_row rows[8];
   block (1);
-  poison_table *other = make ();
+  poison_table *other = make_table ();
   for (int i = 0; i < 100; i++)
     {
       size_t count = poison_table_export (table, now, rows, 8);
--- a/policy/quota/tests/quota_cache_test.cc
+++ b/policy/quota/tests/quota_cache_test.cc
@@ -134,8 +134,8 @@
   EXPECT_EQ (take (&cache, 2500), QUOTA_WAIT);
 }
 
-/* A busy workspace doesn't send a request to the coordinator for each of
-   its own, and a quiet one caches little. */
+/* Guards against a message to the coordinator for each request of a busy
+   workspace, and against many cached tokens of a quiet one. */
 TEST (QuotaCache, PrefetchesByDemand)
 {
   quota_cache busy = {};
--- a/policy/quota/tests/quota_model_test.cc
+++ b/policy/quota/tests/quota_model_test.cc
@@ -72,11 +72,11 @@
 class Fleet
 {
 public:
-  Fleet (uint64_t seed, size_t hosts, const quota_limit &of,
-         const Faults &with, double demand,
-         const quota_tolerance &of_tolerance = usual_tolerance)
-      : tolerance (of_tolerance), limit (of), faults (with),
-        demand_per_s (demand), fleet (hosts)
+  Fleet (uint64_t seed, size_t hosts, const quota_limit &workspace_limit,
+         const Faults &injected_faults, double demand,
+         const quota_tolerance &allowed_tolerance = usual_tolerance)
+      : tolerance (allowed_tolerance), limit (workspace_limit),
+        faults (injected_faults), demand_per_s (demand), fleet (hosts)
   {
     rng_seed (&random, seed);
     for (size_t i = 0; i < hosts; i++)
@@ -188,7 +188,7 @@
       host.coordinator = rng_below (&random, fleet.size ());
     if (happens (faults.suspend_steps))
       host.suspended_until_ms = now_ms + (int64_t)rng_below (&random, 4000);
-    /* The overshoot covers one start in a window. */
+    /* The overshoot covers one start of each host in a window. */
     if (happens (faults.kill_steps) && host.shares != nullptr
         && now_ms - host.killed_ms > tolerance.window_ms + 1000)
       {
@@ -271,7 +271,7 @@
   }
 
   void
-  count (quota_verdict verdict, Host &host, int64_t since_ms)
+  count_verdict (quota_verdict verdict, Host &host, int64_t since_ms)
   {
     if (verdict == QUOTA_TAKEN)
       executed_ms.push_back (now_ms);
@@ -296,8 +296,8 @@
         if (now_ms - since_ms >= 1000)
           refused++;
         else
-          count (quota_cache_retry (&host.cache, clock_now_ms (host)), host,
-                 since_ms);
+          count_verdict (quota_cache_retry (&host.cache, clock_now_ms (host)),
+                         host, since_ms);
       }
   }
 
@@ -355,7 +355,7 @@
         = demand_per_s * step_ms / 1000 / (double)fleet.size ();
     if (rng_unit (&random) >= expected)
       return;
-    count (quota_cache_take (&host.cache, clock_ms), host, now_ms);
+    count_verdict (quota_cache_take (&host.cache, clock_ms), host, now_ms);
     const uint32_t needed = quota_cache_tokens_needed (&host.cache, clock_ms);
     if (needed > 0)
       request_tokens (number, needed);
@@ -428,8 +428,8 @@
 }
 
 /* Hosts are killed constantly, at most once in a window each, and restart
-   at once.  A host that has just leased its share doesn't know of the lease
-   after its restart, and considers another host the coordinator. */
+   within a second.  A host that has just leased its share doesn't know of the
+   lease after its restart, and considers another host the coordinator. */
 TEST (QuotaModel, BoundHoldsWhenAllHostsAreKilled)
 {
   for (uint64_t seed = 1; seed <= 30; seed++)
--- a/policy/quota/tests/quota_shares_test.cc
+++ b/policy/quota/tests/quota_shares_test.cc
@@ -50,7 +50,7 @@
 }
 
 /* Guards against a lease that arrives seconds late, as at a suspended
-   coordinator: the lender uses its share again by then. */
+   coordinator: the lessor uses its share again by then. */
 TEST (QuotaShares, LateLeaseHasEnded)
 {
   const auto shares = make_shares (INT64_MAX, 2);
@@ -59,9 +59,9 @@
   EXPECT_DOUBLE_EQ (quota_shares_integral_s (shares.get (), 9000), 0);
 }
 
-/* Guards against counting renewals of one lender as several shares, also if
+/* Guards against counting renewals of one lessor as several shares, also if
    an old one arrives late. */
-TEST (QuotaShares, RenewalsOfOneLenderAreOneShare)
+TEST (QuotaShares, RenewalsOfOneLessorAreOneShare)
 {
   const auto shares = make_shares (INT64_MAX, 2);
   quota_shares_add_lease (shares.get (), 0, 7, 0);
