--- a/node/ejection/ejection_messages.h
+++ b/node/ejection/ejection_messages.h
@@ -91,7 +91,7 @@
                                const char *to,
                                const struct ejection_command_message *command);
 
-/** The kind of REPORT; 0 if it is unknown. */
+/** The kind of REPORT; 0 if it is unknown or REPORT is malformed. */
 enum ejection_kind ejection_message_kind (const struct peer_report *report);
 
 /** Parse a message of known kind.  Pointers refer to MESSAGE, except for
--- a/node/ejection/ejection_shares.c
+++ b/node/ejection/ejection_shares.c
@@ -95,6 +95,8 @@
   return count;
 }
 
+/* Replace each demand by the weight of the host: the mean demand plus
+   DEMAND_WEIGHT times its own, both multiplied by COUNT; never 0. */
 static void
 apply_weights (uint64_t *demand, size_t count)
 {
--- a/node/ejection/tests/ejection_fleet.h
+++ b/node/ejection/tests/ejection_fleet.h
@@ -68,10 +68,10 @@
   if (found != p->objects.end ())
     object = { name.c_str (), found->second.version,
                found->second.value.c_str () };
-  const bool has = object.value != nullptr
-                   && (code == STATUS_OK || code == STATUS_REFUSED);
-  const platform_reply reply
-      = { code, "simulated result", 0, has ? &object : nullptr, has };
+  const bool has_object = object.value != nullptr
+                          && (code == STATUS_OK || code == STATUS_REFUSED);
+  const platform_reply reply = { code, "simulated result", 0,
+                                 has_object ? &object : nullptr, has_object };
   done (owner, &reply);
 }
 
@@ -428,7 +428,8 @@
         ms, [] { return false; }, failing);
   }
 
-  int max_ejected_capacity = 0; // maximum capacity ejected at any host
+  int max_ejected_capacity = 0; // maximum capacity of the targets that are
+                                // ejected at one host or more
 
   void
   update_max_ejected ()
--- a/node/quota/quota_transport.h
+++ b/node/quota/quota_transport.h
@@ -13,7 +13,7 @@
 
 enum
 {
-  /** One in each data centre. */
+  /** Maximum number of coordinators; there is one in each data centre. */
   QUOTA_COORDINATORS_MAX = 16,
 };
 
