--- a/node/ejection/ejection_owner.c
+++ b/node/ejection/ejection_owner.c
@@ -12,7 +12,7 @@
 #include "node/ejection/target_probe.h"
 
 static bool
-has_repeatable (const struct service_spec *spec)
+has_repeatable_route (const struct service_spec *spec)
 {
   for (size_t i = 0; i < spec->route_count; i++)
     if (spec->routes[i].repeatable)
@@ -28,7 +28,7 @@
   const int64_t now_us = ejection_now_ms (service->task) * 1000;
   const struct detection_detector_options options = {
     .prefer_faster_detection = spec->prefer == SERVICE_PREFER_FASTER_DETECTION,
-    .has_repeatable_routes = has_repeatable (spec),
+    .has_repeatable_routes = has_repeatable_route (spec),
   };
   if (service->detector == NULL)
     service->detector = detection_detector_create (&options);
--- a/node/ejection/ejection_shares.c
+++ b/node/ejection/ejection_shares.c
@@ -13,8 +13,8 @@
   /* A host without demand keeps about a ninth of an equal share, so that its
      next requests needn't wait for a grant. */
   DEMAND_WEIGHT = 8,
-  /* Demand is exact up to this, and rounded up to a multiple of a power of two
-     above, with at most this many steps. */
+  /* Demand is exact up to this.  Above, it is rounded up to a multiple of the
+     smallest power of two that it contains at most this many times. */
   DEMAND_STEPS = 8,
 };
 
--- a/policy/fleet/membership.h
+++ b/policy/fleet/membership.h
@@ -46,7 +46,7 @@
 
 /** Note a heartbeat from KEY, which shows that it can reach this host.  If
  * RETURN_REQUESTED is set, or if KEY was dead, it is monitored in return
- * until dead_after_ms after the last such heartbeat, or while undecided,
+ * until dead_after_ms after the last such heartbeat; if it is undecided then,
  * until it is found live or dead. */
 void membership_note_heartbeat (struct membership *membership, int64_t now_ms,
                                 uint64_t key, uint64_t incarnation,
