--- a/base/tests/fingerprint_test.cc
+++ b/base/tests/fingerprint_test.cc
@@ -17,8 +17,9 @@
                          body.size (), body_bytes);
 }
 
-/* Guards against collisions between different requests: a byte moved from the
-   body to the head, or bodies of different lengths with the same prefix. */
+/* Different requests must not collide, such as after a byte is moved from the
+   body to the head, or with bodies of different lengths and the same prefix.
+ */
 TEST (Fingerprint, DiffersWithHeadBodyAndLength)
 {
   const fingerprint one = make_fingerprint ("GET\na", "b", 1);
@@ -30,8 +31,8 @@
     EXPECT_FALSE (fingerprint_equal (&one, &other));
 }
 
-/* Guards against a change of the algorithm, which would make fingerprints
-   differ between hosts that run different versions. */
+/* If the algorithm changed, fingerprints would differ between hosts that run
+   different versions. */
 TEST (Fingerprint, ValueIsStable)
 {
   const fingerprint one = make_fingerprint ("GET\na", "b", 1);
--- a/ctl/request_cause.c
+++ b/ctl/request_cause.c
@@ -160,9 +160,9 @@
   return NULL;
 }
 
-/* The log of a host that is killed or loses power end_meanings without a
-   further line: the request has a routing decision but no end, and the host's
-   next line is that of its restart. */
+/* The log of a host that is killed or loses power ends without a further
+   line: the request has a routing decision but no end, and the host's next
+   line is that of its restart. */
 static void
 print_missing_end (FILE *out, const struct log_line *own, size_t count,
                    const struct log_line *context, size_t context_count)
--- a/node/control/control_hosts.c
+++ b/node/control/control_hosts.c
@@ -97,7 +97,8 @@
   free (host);
 }
 
-/* Neither the platform nor any host reports it any more. */
+/* Whether HOST can be removed: neither the platform nor any other host reports
+   it any more. */
 static bool
 is_removable (const struct control_task *task, const struct control_host *host)
 {
--- a/node/control/control_internal.h
+++ b/node/control/control_internal.h
@@ -219,8 +219,8 @@
 /* control_removals.c */
 /** Defer the removal of a target if it may be a result of a platform outage.
  * @return whether it was deferred */
-bool control_removals_hold (struct control_task *task, const char *name,
-                            uint64_t version, int64_t recovered_ms);
+bool control_removals_defer (struct control_task *task, const char *name,
+                             uint64_t version, int64_t recovered_ms);
 void control_removals_start (struct control_task *task);
 void control_removals_stop (struct control_task *task);
 
@@ -228,8 +228,8 @@
 /** Start reporting the outcomes of attempts here to the hosts of a service's
  * set. */
 void control_outcomes_start (struct control_task *task);
-/** Process REPORT.  Its sender is sent the failed targets if it is outside
- * the set and this host is in it. */
+/** Process REPORT.  If its sender is outside the set and this host is the one
+ * of the set that responds to it, send it the failed targets. */
 void control_outcomes_receive (struct control_task *task,
                                const struct control_source *source,
                                const struct peer_report *report);
--- a/node/control/control_members.c
+++ b/node/control/control_members.c
@@ -35,41 +35,40 @@
    only. */
 static void
 add_description (const struct control_task *task,
-                 struct peer_member_update *verdict)
+                 struct peer_member_update *entry)
 {
-  const struct control_host *host
-      = control_hosts_find (task, verdict->host_key);
+  const struct control_host *host = control_hosts_find (task, entry->host_key);
   if (host == NULL || host->is_listed)
     return;
   const struct host_record *record = &host->record;
-  memcpy (verdict->name, record->name, sizeof verdict->name);
-  memcpy (verdict->dc, record->dc, sizeof verdict->dc);
-  memcpy (verdict->peer_address, record->peer_address,
-          sizeof verdict->peer_address);
-  memcpy (verdict->caller_address, record->caller_address,
-          sizeof verdict->caller_address);
+  memcpy (entry->name, record->name, sizeof entry->name);
+  memcpy (entry->dc, record->dc, sizeof entry->dc);
+  memcpy (entry->peer_address, record->peer_address,
+          sizeof entry->peer_address);
+  memcpy (entry->caller_address, record->caller_address,
+          sizeof entry->caller_address);
 }
 
 static void
 send_gossip (struct control_task *task, struct control_host *host)
 {
   struct member_update updates[CONTROL_GOSSIP_UPDATES_MAX];
-  struct peer_member_update verdicts[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
+  struct peer_member_update entries[CONTROL_GOSSIP_UPDATES_MAX] = { 0 };
   const size_t count = membership_gossip (task->membership, updates,
                                           CONTROL_GOSSIP_UPDATES_MAX);
   if (count == 0)
     return;
   for (size_t i = 0; i < count; i++)
     {
-      verdicts[i].host_key = updates[i].key;
-      verdicts[i].incarnation = updates[i].incarnation;
-      verdicts[i].counter = updates[i].counter;
-      verdicts[i].state = (uint8_t)updates[i].state;
-      add_description (task, &verdicts[i]);
+      entries[i].host_key = updates[i].key;
+      entries[i].incarnation = updates[i].incarnation;
+      entries[i].counter = updates[i].counter;
+      entries[i].state = (uint8_t)updates[i].state;
+      add_description (task, &entries[i]);
     }
   const struct peer_message message
       = { .type = PEER_MEMBERS,
-          .members = { .updates = verdicts, .count = count } };
+          .members = { .updates = entries, .count = count } };
   control_hosts_send (task, host, &message);
 }
 
@@ -259,12 +258,13 @@
           task->indirect_checks[kept++] = check;
           continue;
         }
-      struct control_host *asker = control_hosts_find (task, check.requester);
+      struct control_host *requester
+          = control_hosts_find (task, check.requester);
       const struct peer_message message
           = { .type = PEER_INDIRECT_RESULT,
               .indirect = { .host_key = subject, .reachable = true } };
-      if (asker != NULL)
-        control_hosts_send (task, asker, &message);
+      if (requester != NULL)
+        control_hosts_send (task, requester, &message);
     }
   task->indirect_check_count = kept;
 }
@@ -317,30 +317,29 @@
 
 static void
 handle_update (struct control_task *task,
-               const struct peer_member_update *verdict, int64_t now_ms)
+               const struct peer_member_update *entry, int64_t now_ms)
 {
-  if (verdict->state > MEMBER_LEAVING
-      || (verdict->state >= MEMBER_DEAD
-          && was_removed (task, verdict->host_key)))
+  if (entry->state > MEMBER_LEAVING
+      || (entry->state >= MEMBER_DEAD && was_removed (task, entry->host_key)))
     return;
-  struct host_record record = { .incarnation = verdict->incarnation };
-  memcpy (record.name, verdict->name, sizeof record.name);
-  memcpy (record.dc, verdict->dc, sizeof record.dc);
-  memcpy (record.peer_address, verdict->peer_address,
+  struct host_record record = { .incarnation = entry->incarnation };
+  memcpy (record.name, entry->name, sizeof record.name);
+  memcpy (record.dc, entry->dc, sizeof record.dc);
+  memcpy (record.peer_address, entry->peer_address,
           sizeof record.peer_address);
-  memcpy (record.caller_address, verdict->caller_address,
+  memcpy (record.caller_address, entry->caller_address,
           sizeof record.caller_address);
   if (record.name[0] != '\0' && record.peer_address[0] != '\0'
-      && hash_string (record.name) == verdict->host_key
-      && verdict->host_key != task->self->key)
+      && hash_string (record.name) == entry->host_key
+      && entry->host_key != task->self->key)
     control_hosts_update (task, &record);
-  if (control_hosts_find (task, verdict->host_key) == NULL)
+  if (control_hosts_find (task, entry->host_key) == NULL)
     return;
   const struct member_update update
-      = { .key = verdict->host_key,
-          .incarnation = verdict->incarnation,
-          .counter = verdict->counter,
-          .state = (enum member_state)verdict->state };
+      = { .key = entry->host_key,
+          .incarnation = entry->incarnation,
+          .counter = entry->counter,
+          .state = (enum member_state)entry->state };
   membership_merge (task->membership, now_ms, &update);
 }
 
--- a/node/control/control_platform.c
+++ b/node/control/control_platform.c
@@ -43,7 +43,7 @@
 feed_succeeded (struct control_feed *feed)
 {
   const int64_t now_ms = clock_now_ms ();
-  if (feed->age == PLATFORM_READ_LATEST)
+  if (feed->read_mode == PLATFORM_READ_LATEST)
     feed->last_current_reply_ms = now_ms;
   if (feed->backoff_ms > 0)
     {
@@ -61,7 +61,7 @@
 {
   struct control_task *task = feed->task;
   if (value == NULL && strcmp (feed->kind, PLATFORM_KIND_TARGET) == 0
-      && control_removals_hold (task, name, version, feed->recovered_ms))
+      && control_removals_defer (task, name, version, feed->recovered_ms))
     return;
   control_settings_apply (task, feed->kind, name, version, value);
 }
@@ -112,7 +112,7 @@
 note_freshness (const struct control_feed *feed,
                 const struct platform_reply *reply)
 {
-  if (feed->age != PLATFORM_READ_LATEST
+  if (feed->read_mode != PLATFORM_READ_LATEST
       || strcmp (feed->kind, PLATFORM_KIND_CONFIG) != 0)
     return;
   if (!feed->is_listed || reply->count == 0)
@@ -232,13 +232,13 @@
    from its revision.  After a refused watch it may not: the platform could
    have forgotten the revision of an old list, too. */
 static enum platform_read_mode
-list_age (const struct control_feed *feed)
+list_read_mode (const struct control_feed *feed)
 {
   return feed->was_refused ? PLATFORM_READ_LATEST : PLATFORM_READ_STALE;
 }
 
 static enum platform_read_mode
-watch_age (const struct control_feed *feed)
+watch_read_mode (const struct control_feed *feed)
 {
   return reads_newest (feed->task) ? PLATFORM_READ_LATEST
                                    : PLATFORM_READ_STALE;
@@ -292,10 +292,10 @@
     {
       feed->is_pending = true;
       feed->revision = 0;
-      feed->age = list_age (feed);
+      feed->read_mode = list_read_mode (feed);
       feed->requested_ms = clock_now_ms ();
-      platform_list (task->options.platform, feed->kind, feed->age, list_done,
-                     feed);
+      platform_list (task->options.platform, feed->kind, feed->read_mode,
+                     list_done, feed);
       return;
     }
   /* A stale host watches the platform itself to recover. */
@@ -303,10 +303,10 @@
     return;
   feed->is_pending = true;
   feed->watch_timeout_ms = watch_ms (feed);
-  feed->age = watch_age (feed);
+  feed->read_mode = watch_read_mode (feed);
   feed->requested_ms = clock_now_ms ();
   platform_watch (task->options.platform, feed->kind, feed->revision,
-                  feed->watch_timeout_ms, feed->age, watch_done, feed);
+                  feed->watch_timeout_ms, feed->read_mode, watch_done, feed);
 }
 
 static void
--- a/node/control/control_poison_store.c
+++ b/node/control/control_poison_store.c
@@ -35,7 +35,7 @@
   UT_hash_handle hh;
 };
 
-static void next_write (struct control_task *task);
+static void start_next_write (struct control_task *task);
 
 static void
 drop_write (struct control_task *task)
@@ -71,7 +71,7 @@
     }
   store->backoff_ms = 0;
   drop_write (task);
-  next_write (task);
+  start_next_write (task);
 }
 
 /* The current object provides the version for a conditional write. */
@@ -93,7 +93,7 @@
   else if (is_done)
     {
       drop_write (task);
-      next_write (task);
+      start_next_write (task);
     }
   else
     {
@@ -105,7 +105,7 @@
 }
 
 static void
-next_write (struct control_task *task)
+start_next_write (struct control_task *task)
 {
   struct control_poison_store *store = &task->poison;
   if (store->is_pending || store->writes == NULL
@@ -133,7 +133,7 @@
   write->value = value;
   DL_APPEND (store->writes, write);
   store->write_count++;
-  next_write (task);
+  start_next_write (task);
 }
 
 static void
@@ -255,7 +255,7 @@
 static void
 retry_cb (struct ev_loop *loop, struct ev_timer *timer, int events)
 {
-  next_write (timer->data);
+  start_next_write (timer->data);
 }
 
 void
--- a/node/control/control_pulls.c
+++ b/node/control/control_pulls.c
@@ -67,7 +67,7 @@
 }
 
 static void
-schedule (struct control_task *task, int64_t due_ms, int64_t now_ms)
+schedule_timer (struct control_task *task, int64_t due_ms, int64_t now_ms)
 {
   if (ev_is_active (&task->pull_timer))
     return;
@@ -93,7 +93,7 @@
         next_ms = pull->due_ms;
     }
   if (next_ms != INT64_MAX)
-    schedule (task, next_ms, now_ms);
+    schedule_timer (task, next_ms, now_ms);
 }
 
 static struct control_pull *
@@ -140,7 +140,7 @@
   if (!is_delayed)
     return true;
   pull->due_ms += (int64_t)rng_below (&task->random, REMOTE_DELAY_MAX_MS);
-  schedule (task, pull->due_ms, now_ms);
+  schedule_timer (task, pull->due_ms, now_ms);
   return false;
 }
 
--- a/node/control/control_records.h
+++ b/node/control/control_records.h
@@ -85,9 +85,8 @@
   bool is_watched_by_all;    /**< every host watches, not only relays */
   int64_t requested_ms;      /**< when the call in flight was made */
   bool was_refused;          /**< the platform no longer knew the revision */
-  enum platform_read_mode
-      age; /**< maximum age that the call in flight allows */
-  int64_t last_current_reply_ms; /**< time of the last newest state */
+  enum platform_read_mode read_mode; /**< of the call in flight */
+  int64_t last_current_reply_ms;     /**< of the last read of newest state */
   int64_t recovered_ms; /**< when a call succeeded after one had failed */
   uint32_t backoff_ms;
   struct ev_timer retry;
--- a/node/control/control_registration.c
+++ b/node/control/control_registration.c
@@ -49,8 +49,8 @@
 static void registration_next (struct control_registration *registration);
 
 static void
-registered (struct control_registration *registration, uint64_t version,
-            const char *value)
+complete_registration (struct control_registration *registration,
+                       uint64_t version, const char *value)
 {
   struct control_task *task = registration->task;
   registration->is_registered = true;
@@ -95,7 +95,7 @@
   if (object->value == NULL)
     write_record (registration, PLATFORM_VERSION_NONE);
   else if (is_own_record (registration->task, object->value))
-    registered (registration, object->version, object->value);
+    complete_registration (registration, object->version, object->value);
   else
     write_record (registration, object->version);
 }
@@ -116,7 +116,7 @@
   if (reply->status == STATUS_OK && reply->count == 1)
     {
       char *value = format_own_record (registration->task);
-      registered (registration, reply->objects[0].version, value);
+      complete_registration (registration, reply->objects[0].version, value);
       free (value);
       return;
     }
--- a/node/control/control_removals.c
+++ b/node/control/control_removals.c
@@ -18,7 +18,7 @@
 };
 
 static void
-schedule (struct control_task *task)
+schedule_timer (struct control_task *task)
 {
   const struct control_removal *first = task->removals;
   ev_timer_stop (task->options.loop, &task->removal_timer);
@@ -46,7 +46,7 @@
                             removal->version, NULL);
     free (removal);
   }
-  schedule (task);
+  schedule_timer (task);
 }
 
 void
@@ -76,8 +76,8 @@
    removal then has no effect.  The removal of a drained target is applied at
    once. */
 bool
-control_removals_hold (struct control_task *task, const char *name,
-                       uint64_t version, int64_t recovered_ms)
+control_removals_defer (struct control_task *task, const char *name,
+                        uint64_t version, int64_t recovered_ms)
 {
   const int64_t due_ms = recovered_ms + REREGISTER_TIMEOUT_MS;
   if (recovered_ms == 0 || clock_now_ms () >= due_ms
@@ -92,6 +92,6 @@
             LOG_INT ("version", version),
             LOG_INT ("for_ms", due_ms - clock_now_ms ()),
             LOG_STR ("why", "the platform was unavailable"));
-  schedule (task);
+  schedule_timer (task);
   return true;
 }
--- a/node/control/control_sets.c
+++ b/node/control/control_sets.c
@@ -29,10 +29,10 @@
 static struct fleet_host
 make_fleet_host (const struct control_host *host)
 {
-  const uint32_t strength = host->record.capacity;
+  const uint32_t capacity = host->record.capacity;
   return (struct fleet_host){ .key = host->key,
                               .dc = hash_string (host->record.dc),
-                              .weight = strength > 0 ? strength
+                              .weight = capacity > 0 ? capacity
                                                      : HOST_CAPACITY_UNKNOWN };
 }
 
--- a/node/control/control_settings.c
+++ b/node/control/control_settings.c
@@ -168,17 +168,18 @@
 }
 
 static struct peer_message
-digest_message (const struct control_task *task, bool answer_wanted,
+digest_message (const struct control_task *task, bool answer_requested,
                 uint64_t buckets[SETTINGS_BUCKETS])
 {
   for (uint32_t i = 0; i < SETTINGS_BUCKETS; i++)
     buckets[i] = settings_index_bucket_hash (task->index, i);
-  return (struct peer_message){ .type = PEER_SETTINGS_DIGEST,
-                                .digest = { .answer_requested = answer_wanted,
-                                            .total_hash = settings_index_hash (
-                                                task->index),
-                                            .bucket_hashes = buckets,
-                                            .count = SETTINGS_BUCKETS } };
+  return (struct peer_message){
+    .type = PEER_SETTINGS_DIGEST,
+    .digest = { .answer_requested = answer_requested,
+                .total_hash = settings_index_hash (task->index),
+                .bucket_hashes = buckets,
+                .count = SETTINGS_BUCKETS }
+  };
 }
 
 /* Settings that differ right after a change are mostly being offered already.
@@ -188,14 +189,14 @@
                           const struct control_source *source, uint64_t hash)
 {
   const int64_t now_ms = clock_now_ms ();
-  const uint32_t pause_ms = task->options.settings->times.heartbeat_ms;
+  const uint32_t min_interval_ms = task->options.settings->times.heartbeat_ms;
   if (hash == settings_index_hash (task->index))
     {
       if (hash != 0)
         task->has_settings = true;
       return;
     }
-  if (task->has_settings && now_ms - task->last_compared_ms < pause_ms)
+  if (task->has_settings && now_ms - task->last_compared_ms < min_interval_ms)
     return;
   task->last_compared_ms = now_ms;
   uint64_t buckets[SETTINGS_BUCKETS];
@@ -301,13 +302,13 @@
 
 static void
 handle_pull (struct control_task *task, const struct control_source *source,
-             const struct peer_settings_entries *wanted)
+             const struct peer_settings_entries *requested)
 {
-  for (size_t i = 0; i < wanted->count; i++)
+  for (size_t i = 0; i < requested->count; i++)
     {
       const struct control_object *object
-          = find_object (task, wanted->entries[i].key);
-      if (object == NULL || object->version <= wanted->entries[i].version)
+          = find_object (task, requested->entries[i].key);
+      if (object == NULL || object->version <= requested->entries[i].version)
         continue;
       struct peer_message message
           = { .type = PEER_SETTINGS_PUSH,
--- a/node/control/poison_message.c
+++ b/node/control/poison_message.c
@@ -13,7 +13,7 @@
   ROW_EPOCH,
   ROW_STRIKES,
   ROW_LEFT_MS,
-  ROW_BEGAN_AGO_MS,
+  ROW_SENT_AGO_MS,
   ROW_CRASHED_AGO_MS,
   ROW_COLUMNS,
 };
@@ -28,7 +28,7 @@
   to[ROW_EPOCH] = row->epoch;
   to[ROW_STRIKES] = row->strikes;
   to[ROW_LEFT_MS] = row->left_ms;
-  to[ROW_BEGAN_AGO_MS] = row->sent_ago_ms;
+  to[ROW_SENT_AGO_MS] = row->sent_ago_ms;
   to[ROW_CRASHED_AGO_MS] = row->crashed_ago_ms;
 }
 
@@ -69,7 +69,7 @@
     .epoch = clamp_uint32 (from[ROW_EPOCH]),
     .strikes = clamp_uint32 (from[ROW_STRIKES]),
     .left_ms = clamp_uint32 (from[ROW_LEFT_MS]),
-    .sent_ago_ms = clamp_uint32 (from[ROW_BEGAN_AGO_MS]),
+    .sent_ago_ms = clamp_uint32 (from[ROW_SENT_AGO_MS]),
     .crashed_ago_ms = clamp_uint32 (from[ROW_CRASHED_AGO_MS]),
   };
 }
--- a/node/control/tests/control_cleanup_test.cc
+++ b/node/control/tests/control_cleanup_test.cc
@@ -209,7 +209,7 @@
   EXPECT_EQ (nodes[0]->platform.gets + nodes[2]->platform.gets, gets);
 }
 
-/* The platform doesn't answer.  No removal may be attempted on the strength
+/* The platform doesn't answer.  No removal may be attempted because
    of an old response to the watch. */
 TEST_F (ControlCleanup, NoRemovalDuringAPlatformOutage)
 {
@@ -341,22 +341,22 @@
 TEST_F (ControlCleanup, GossipOfADeadHostAddsNoHost)
 {
   start_quick (0, 2);
-  peer_member_update verdict = {};
-  strcpy (verdict.name, "old");
-  strcpy (verdict.dc, "d0");
-  strcpy (verdict.peer_address, "127.0.0.1:1");
-  verdict.host_key = hash_string ("old");
-  verdict.incarnation = 1;
-  verdict.state = MEMBER_DEAD;
+  peer_member_update update = {};
+  strcpy (update.name, "old");
+  strcpy (update.dc, "d0");
+  strcpy (update.peer_address, "127.0.0.1:1");
+  update.host_key = hash_string ("old");
+  update.incarnation = 1;
+  update.state = MEMBER_DEAD;
   peer_message message = {};
   message.type = PEER_MEMBERS;
-  message.members.updates = &verdict;
+  message.members.updates = &update;
   message.members.count = 1;
   const control_source source
       = { control_hosts_by_name (nodes[0]->task, "h1"), nullptr, nullptr };
   control_receive (nodes[0]->task, &source, &message);
   EXPECT_FALSE (knows (*nodes[0], "old"));
-  verdict.state = MEMBER_LIVE;
+  update.state = MEMBER_LIVE;
   control_receive (nodes[0]->task, &source, &message);
   EXPECT_TRUE (knows (*nodes[0], "old"));
 }
@@ -401,18 +401,18 @@
   }));
   const uint64_t version = store.sequence;
   control_settings_apply (task, "host", "r0", version + 1, nullptr);
-  peer_member_update verdict = {};
-  verdict.host_key = key;
-  verdict.incarnation = 2;
+  peer_member_update update = {};
+  update.host_key = key;
+  update.incarnation = 2;
   peer_message message = {};
   message.type = PEER_MEMBERS;
-  message.members.updates = &verdict;
+  message.members.updates = &update;
   message.members.count = 1;
   const control_source source
       = { control_hosts_by_name (task, "h1"), nullptr, nullptr };
   control_receive (task, &source, &message);
-  verdict.state = MEMBER_DEAD;
-  verdict.counter = 1;
+  update.state = MEMBER_DEAD;
+  update.counter = 1;
   control_receive (task, &source, &message);
   EXPECT_TRUE (until ([&] { return !knows (*nodes[0], "r0"); }));
   member_update updates[CONTROL_GOSSIP_UPDATES_MAX];
--- a/node/control/tests/control_registry_test.cc
+++ b/node/control/tests/control_registry_test.cc
@@ -82,12 +82,12 @@
       }
   }
 
-  /* The number of hosts that now watch the configuration with AGE. */
+  /* The number of hosts that now watch the configuration in MODE. */
   long
-  watching_count (platform_read_mode age) const
+  watching_count (platform_read_mode mode) const
   {
     return std::count_if (nodes.begin (), nodes.end (), [&] (const auto &n) {
-      return n->platform.has_call ("watch", "config", age);
+      return n->platform.has_call ("watch", "config", mode);
     });
   }
 
--- a/node/daemon/backend.c
+++ b/node/daemon/backend.c
@@ -12,36 +12,36 @@
 struct backend;
 
 /** A pending change of a service. */
-struct change
+struct pending_change
 {
   struct backend *backend;
   struct service_command *command;
   operator_result_done *done;
   void *owner;
-  struct change *prev, *next;
+  struct pending_change *prev, *next;
 };
 
 /** A pending query to the hosts of a set. */
-struct query
+struct pending_query
 {
   struct backend *backend;
   operator_in_force_done *done;
   void *owner;
-  struct query *prev, *next;
+  struct pending_query *prev, *next;
 };
 
 struct backend
 {
   struct operator_backend base; /* first */
   struct backend_options options;
-  struct change *changes;
-  struct query *queries;
+  struct pending_change *changes;
+  struct pending_query *queries;
 };
 
 static void
 on_change_done (void *owner, const struct operator_result *result)
 {
-  struct change *change = owner;
+  struct pending_change *change = owner;
   DL_DELETE (change->backend->changes, change);
   change->done (change->owner, result);
   free (change);
@@ -66,7 +66,7 @@
       done (owner, &refused);
       return;
     }
-  struct change *change = xcalloc (1, sizeof *change);
+  struct pending_change *change = xcalloc (1, sizeof *change);
   change->backend = backend;
   change->done = done;
   change->owner = owner;
@@ -105,7 +105,7 @@
 static void
 on_query_done (void *owner, const struct control_in_force *result)
 {
-  struct query *query = owner;
+  struct pending_query *query = owner;
   const struct operator_in_force report = {
     .in_force = (uint32_t)result->in_force,
     .hosts = (uint32_t)result->queried,
@@ -118,12 +118,12 @@
 }
 
 static void
-ask_in_force (struct operator_backend *base,
-              const struct operator_command *command, uint64_t version,
-              uint32_t within_ms, operator_in_force_done *done, void *owner)
+query_in_force (struct operator_backend *base,
+                const struct operator_command *command, uint64_t version,
+                uint32_t within_ms, operator_in_force_done *done, void *owner)
 {
   struct backend *backend = (struct backend *)base;
-  struct query *query = xcalloc (1, sizeof *query);
+  struct pending_query *query = xcalloc (1, sizeof *query);
   query->backend = backend;
   query->done = done;
   query->owner = owner;
@@ -133,7 +133,7 @@
 }
 
 static int64_t
-news_age_ms (struct operator_backend *base)
+contact_age_ms (struct operator_backend *base)
 {
   const struct backend *backend = (struct backend *)base;
   return control_contact_age_ms (backend->options.control);
@@ -147,7 +147,7 @@
 }
 
 static void
-cancel_change (struct backend *backend, struct change *change)
+cancel_change (struct backend *backend, struct pending_change *change)
 {
   DL_DELETE (backend->changes, change);
   service_command_cancel (change->command);
@@ -155,7 +155,7 @@
 }
 
 static void
-cancel_query (struct backend *backend, struct query *query)
+cancel_query (struct backend *backend, struct pending_query *query)
 {
   DL_DELETE (backend->queries, query);
   control_cancel_queries (backend->options.control, query);
@@ -166,15 +166,15 @@
 cancel (struct operator_backend *base, void *owner)
 {
   struct backend *backend = (struct backend *)base;
-  struct change *change;
-  struct change *next_change;
+  struct pending_change *change;
+  struct pending_change *next_change;
   DL_FOREACH_SAFE (backend->changes, change, next_change)
   {
     if (change->owner == owner)
       cancel_change (backend, change);
   }
-  struct query *query;
-  struct query *next_query;
+  struct pending_query *query;
+  struct pending_query *next_query;
   DL_FOREACH_SAFE (backend->queries, query, next_query)
   {
     if (query->owner == owner)
@@ -191,8 +191,8 @@
     .change_service = change_service,
     .change_ejection = change_ejection,
     .clear_poison = clear_poison,
-    .query_in_force = ask_in_force,
-    .contact_age_ms = news_age_ms,
+    .query_in_force = query_in_force,
+    .contact_age_ms = contact_age_ms,
     .not_heard_from = not_heard_from,
     .cancel = cancel,
   };
--- a/node/host_settings.c
+++ b/node/host_settings.c
@@ -245,16 +245,16 @@
   for (size_t i = 0; i < count; i++)
     {
       struct json_object *item = json_object_array_get_idx (array, i);
-      struct json_object *holder = json_object_new_object ();
-      json_object_object_add (holder, "address", json_object_get (item));
-      char place[96];
-      snprintf (place, sizeof place, "%s%s%s[%zu]", options->path,
+      struct json_object *wrapper = json_object_new_object ();
+      json_object_object_add (wrapper, "address", json_object_get (item));
+      char path[96];
+      snprintf (path, sizeof path, "%s%s%s[%zu]", options->path,
                 options->path[0] == '\0' ? "" : ".", key, i);
       struct options element;
-      options_begin (&element, options->file, place, holder);
+      options_begin (&element, options->file, path, wrapper);
       options_address (&element, "address", true, rows[i], HOST_ADDRESS_SIZE);
       options_end_child (options, &element);
-      json_object_put (holder);
+      json_object_put (wrapper);
     }
   return count;
 }
--- a/node/operator/operator_answer.h
+++ b/node/operator/operator_answer.h
@@ -11,14 +11,15 @@
 #include "base/status.h"
 #include "node/operator/operator_backend.h"
 
-/** A response to the read of a table. */
+/** A response to the read of a table.  operator_answer_table() takes ownership
+ * of `rows` and `not_heard_from`. */
 struct operator_table_answer
 {
   const char *host;
   const char *table;
-  struct json_object *rows; /**< taken over */
+  struct json_object *rows;
   int64_t age_ms;
-  struct json_object *not_heard_from; /**< taken over */
+  struct json_object *not_heard_from;
 };
 
 struct json_object *
--- a/node/operator/operator_backend.h
+++ b/node/operator/operator_backend.h
@@ -103,7 +103,7 @@
   /** The time since this host's last contact with the platform or its
    * relays. */
   int64_t (*contact_age_ms) (struct operator_backend *backend);
-  /** The names of hosts that are considered live but haven't been heard from
+  /** The names of hosts that are considered live but haven't responded
    * recently, as a new JSON array. */
   struct json_object *(*not_heard_from) (struct operator_backend *backend);
   /** Cancel all calls of OWNER without calling back. */
--- a/node/operator/service_command.c
+++ b/node/operator/service_command.c
@@ -219,7 +219,7 @@
   finish (sc, &result);
 }
 
-/* After a lost answer a refusal doesn't tell whether the first write is what
+/* After a lost response, a refusal doesn't show whether the first write
    changed the version, unless the object still carries its id. */
 static void
 on_rewritten (void *owner, const struct platform_reply *reply)
--- a/node/operator/service_command.h
+++ b/node/operator/service_command.h
@@ -2,9 +2,9 @@
  * An operator's change of a service, as a conditional write.
  *
  * Reads the service, checks the command against its version, and writes the
- * changed service on condition of that version.  If the answer to the write is
- * lost, the service is read back: the id that the write carries shows whether
- * it took effect.
+ * changed service on condition of that version.  If the response to the write
+ * is lost, the service is read back: the id that the write carries shows
+ * whether it took effect.
  */
 #ifndef NODE_OPERATOR_SERVICE_COMMAND_H
 #define NODE_OPERATOR_SERVICE_COMMAND_H
@@ -22,14 +22,14 @@
 {
   struct ev_loop *loop;
   struct platform *platform;
-  uint32_t limit_ms;    /**< until a lost answer is reported; 0: 20,000 */
+  uint32_t limit_ms;    /**< until a lost response is reported; 0: 20,000 */
   uint32_t back_off_ms; /**< before the first read-back; 0: 100 */
 };
 
 /** Start COMMAND, one of drain, undrain, pause, resume and set floor.  DONE is
  * called once, never from within this call:
  *  - STATUS_OK: it took effect, or there was nothing to change;
- *  - STATUS_REFUSED: nothing was changed; `changed` says what another writer
+ *  - STATUS_REFUSED: nothing was changed; `changed` names what another writer
  *    changed, if that is the reason;
  *  - STATUS_UNREACHABLE: nothing was changed, since the platform is
  *    unreachable;
--- a/node/registry/registry.c
+++ b/node/registry/registry.c
@@ -390,9 +390,9 @@
 }
 
 /* An object that can't be read may have been written by another program, or
-   by the target to announce that it leaves.  Sending requests on the strength
-   of its last readable record could reach the wrong process, so the target
-   gets none. */
+   by the target to announce that it leaves.  Requests sent to the address in
+   the last readable record could reach the wrong process, so the target gets
+   none. */
 static void
 reject_target (struct registry *registry, const char *name, const char *text)
 {
--- a/wire/peer/frame.h
+++ b/wire/peer/frame.h
@@ -14,8 +14,7 @@
 enum frame_size
 {
   FRAME_HEADER_BYTES = 4,
-  /** Room for the largest message: one value of the platform and its
-   * names. */
+  /** The largest message has one value of the platform and its names. */
   FRAME_PAYLOAD_MAX_BYTES = 1024 * 1024 + 4096,
 };
 
--- a/wire/peer/peer_message.h
+++ b/wire/peer/peer_message.h
@@ -91,7 +91,7 @@
    * return. */
   bool return_requested;
   uint64_t settings_hash; /**< of all settings that the sender holds */
-  /** The sender's proof that its active fleet configuration was the newest;
+  /** The sender's proof that its fleet configuration in force was the newest;
    * see policy/access/freshness.h. */
   uint64_t config_version;
   uint32_t config_age_ms; /**< FRESHNESS_AGE_UNKNOWN_MS: no proof */
@@ -158,13 +158,13 @@
   char *value; /**< NUL-terminated JSON; NULL: removed */
 };
 
-/** Query whether a version of a service is active at the receiver, and the
+/** Query whether a version of a service is in force at the receiver, and the
  * answer. */
 struct peer_in_force
 {
   uint64_t request_id;
   char service[PEER_NAME_SIZE];
-  uint64_t version; /**< queried; in the answer: the active one */
+  uint64_t version; /**< queried; in the answer: the one in force */
 };
 
 /** Table of integers with names that belong to the rows, for EVIDENCE,
@@ -195,7 +195,7 @@
     struct peer_settings_digest digest;
     struct peer_settings_entries settings; /**< OFFER, PULL */
     struct peer_settings_push push;
-    struct peer_in_force in_force; /**< IN_FORCE_ASK, _ANSWER */
+    struct peer_in_force in_force; /**< IN_FORCE_REQUEST, _ANSWER */
     struct peer_report report;     /**< EVIDENCE to LIMITS */
   };
 };
--- a/wire/peer/peer_server.c
+++ b/wire/peer/peer_server.c
@@ -35,7 +35,7 @@
   struct peer_server_options options;
   struct ev_io listener;
   int fd;
-  struct accepted_conn *accepted_conn;
+  struct accepted_conn *connections;
   uint32_t count;
 };
 
@@ -61,7 +61,7 @@
 remove_connection (struct accepted_conn *accepted_conn)
 {
   struct peer_server *server = accepted_conn->server;
-  DL_DELETE (server->accepted_conn, accepted_conn);
+  DL_DELETE (server->connections, accepted_conn);
   server->count--;
   peer_conn_destroy (accepted_conn->conn);
   free (accepted_conn);
@@ -101,7 +101,7 @@
           .fd = fd,
           .idle_timeout_ms = server->options.idle_timeout_ms };
   accepted_conn->conn = peer_conn_create (&options);
-  DL_APPEND (server->accepted_conn, accepted_conn);
+  DL_APPEND (server->connections, accepted_conn);
   server->count++;
 }
 
@@ -174,7 +174,7 @@
   close (server->fd);
   struct accepted_conn *accepted_conn;
   struct accepted_conn *next;
-  DL_FOREACH_SAFE (server->accepted_conn, accepted_conn, next)
+  DL_FOREACH_SAFE (server->connections, accepted_conn, next)
   {
     remove_connection (accepted_conn);
   }
--- a/wire/platform.h
+++ b/wire/platform.h
@@ -34,7 +34,7 @@
 #define PLATFORM_KIND_TARGET "target"     /**< target_record.h */
 #define PLATFORM_KIND_POISON "poison"     /**< blocked requests */
 
-/** Name of the active object of kind `config`. */
+/** Name of the object of kind `config` that hosts put in force. */
 #define PLATFORM_CONFIG_NAME "main"
 
 /** Expected version of an object that must not exist yet. */
--- a/wire/service_spec.h
+++ b/wire/service_spec.h
@@ -104,7 +104,7 @@
   uint32_t goal_ms; /**< a later response is worth less; 0: not set */
 };
 
-/** An active service. */
+/** A service as it is in force. */
 struct service_spec
 {
   char name[SERVICE_NAME_SIZE];
