--- a/node/control/control_platform.c
+++ b/node/control/control_platform.c
@@ -10,15 +10,15 @@
 
 enum
 {
-  /** Delay of a relay's next watch after one that returned changes, so that a
-   * burst of changes takes one call.  It is a tenth of the seconds within
-   * which a change must be in force.  Where hundreds of targets come and go,
-   * each relay makes one call per delay. */
+  /** Delay of a leading relay's next watch after one that returned changes, so
+   * that a burst of changes takes one call.  It is a tenth of the seconds
+   * within which a change must be in force.  Where hundreds of targets come
+   * and go, each leading relay makes one call per delay. */
   RELAY_WATCH_DELAY_MS = 300,
-  /** The same delay for other hosts.  They receive changes from the relays
-   * and watch only in case they don't: when their last contact gets old, they
-   * continue at once.  With hundreds of hosts, their watches are most of the
-   * platform's calls. */
+  /** The same delay for other hosts.  They receive changes from the leading
+   * relays and watch only in case they don't: when their last contact gets
+   * old, they continue at once.  With hundreds of hosts, their watches are
+   * most of the platform's calls. */
   OTHERS_WATCH_DELAY_MS = 8000,
   /** Maximum number of heartbeat intervals for a contact to spread from a
    * relay to any host. */
@@ -166,9 +166,9 @@
 
 /* All relays may be disconnected from the platform without noticing, or be
    killed at once; the other hosts would then wait for their long watch to end.
-   The state of a relay is at most two seconds old, and each heartbeat on the
-   way adds half a second.  Relays start to watch once they have settled, so
-   the contact can't be old before that. */
+   The state of a leading relay is at most two seconds old, and each heartbeat
+   on the way adds half a second.  Relays become leading once they have
+   settled, so the contact can't be old before that. */
 static bool
 contact_is_old (const struct control_task *task)
 {
@@ -245,10 +245,10 @@
 }
 
 /* The platform may drop a watch without closing its connection.  The host
-   then misses all changes until the watch times out.  Relays therefore watch
-   for a few seconds at a time and pass changes on to the others; if all hosts
-   did so, the platform would get ten times the calls.  Hosts are known by
-   their heartbeats sooner than by their records, so host records may arrive
+   then misses all changes until the watch times out.  Leading relays therefore
+   watch for a few seconds at a time and pass changes on to the others; if all
+   hosts did so, the platform would get ten times the calls.  Hosts are known
+   by their heartbeats sooner than by their records, so host records may arrive
    late. */
 static uint32_t
 watch_ms (const struct control_feed *feed)
--- a/node/daemon/host.c
+++ b/node/daemon/host.c
@@ -258,8 +258,10 @@
   return plain_server_create (&options, &host->readiness);
 }
 
-/* Tasks that subscribe to the bus are created before the control task, which
-   posts messages when it starts. */
+/* The ejection and quota tasks send through the control task, so they are
+   created after it.  They still receive what it posts when it starts, since
+   the bus delivers messages from the event loop, when all tasks have
+   subscribed. */
 static enum status
 create_tasks (struct host *host)
 {
--- a/wire/peer/peer_decode.c
+++ b/wire/peer/peer_decode.c
@@ -185,7 +185,7 @@
 }
 
 static void
-get_member_update (struct fields *fields, struct peer_member_update *update)
+decode_member_update (struct fields *fields, struct peer_member_update *update)
 {
   struct fields inner = take_array (fields, MEMBER_UPDATE_FIELDS);
   update->host_key = take_number (&inner, UINT64_MAX);
@@ -206,7 +206,7 @@
   members->count = inner.remaining;
   members->updates = xcalloc (inner.remaining, sizeof *members->updates);
   for (size_t i = 0; i < members->count && !inner.failed; i++)
-    get_member_update (&inner, &members->updates[i]);
+    decode_member_update (&inner, &members->updates[i]);
   close_array (fields, &inner);
 }
 
--- a/wire/platform_memory.c
+++ b/wire/platform_memory.c
@@ -46,7 +46,8 @@
 }
 
 static struct memory_entry *
-find (const struct platform_memory *memory, const char *kind, const char *name)
+find_entry (const struct platform_memory *memory, const char *kind,
+            const char *name)
 {
   struct memory_entry *entry;
   DL_FOREACH (memory->entries, entry)
@@ -62,7 +63,7 @@
 platform_memory_find (const struct platform_memory *memory, const char *kind,
                       const char *name)
 {
-  const struct memory_entry *entry = find (memory, kind, name);
+  const struct memory_entry *entry = find_entry (memory, kind, name);
   return entry == NULL || entry->object.value == NULL ? NULL : &entry->object;
 }
 
@@ -70,7 +71,7 @@
 platform_memory_put (struct platform_memory *memory, const char *kind,
                      const char *name, const char *value)
 {
-  struct memory_entry *entry = find (memory, kind, name);
+  struct memory_entry *entry = find_entry (memory, kind, name);
   if (entry == NULL)
     {
       entry = xcalloc (1, sizeof *entry);
