--- a/node/control/tests/fake_platform.h
+++ b/node/control/tests/fake_platform.h
@@ -72,7 +72,7 @@
     void *owner;
     double end; /* of a watch, on the loop's clock */
     bool is_silent = false;
-    platform_read_mode age = PLATFORM_READ_LATEST;
+    platform_read_mode mode = PLATFORM_READ_LATEST;
   };
 
   std::list<call> calls;
@@ -225,10 +225,10 @@
 
   bool
   has_call (const std::string &verb, const std::string &kind,
-            platform_read_mode age) const
+            platform_read_mode mode) const
   {
     for (const auto &c : calls)
-      if (c.verb == verb && c.kind == kind && c.age == age)
+      if (c.verb == verb && c.kind == kind && c.mode == mode)
         return true;
     return false;
   }
@@ -249,7 +249,7 @@
   {
     platform->calls++;
     ((fake_platform *)platform)->removals += c.removes;
-    if (c.verb == "list" && c.age == PLATFORM_READ_LATEST)
+    if (c.verb == "list" && c.mode == PLATFORM_READ_LATEST)
       ((fake_platform *)platform)->newest_lists++;
     ((fake_platform *)platform)->calls.push_back (c);
   }
@@ -262,9 +262,9 @@
       platform_done *done, void *owner) {
     add (p, { "get", kind, name, "", false, 0, done, owner, 0 });
   },
-  [] (struct platform *p, const char *kind, platform_read_mode age,
+  [] (struct platform *p, const char *kind, platform_read_mode mode,
       platform_done *done, void *owner) {
-    add (p, { "list", kind, "", "", false, 0, done, owner, 0, false, age });
+    add (p, { "list", kind, "", "", false, 0, done, owner, 0, false, mode });
   },
   [] (struct platform *p, const char *kind, const char *name,
       uint64_t expected, const char *value, platform_done *done, void *owner) {
@@ -272,11 +272,11 @@
               value == nullptr, expected, done, owner, 0 });
   },
   [] (struct platform *p, const char *kind, uint64_t revision,
-      uint32_t timeout_ms, platform_read_mode age, platform_done *done,
+      uint32_t timeout_ms, platform_read_mode mode, platform_done *done,
       void *owner) {
     add (p, { "watch", kind, "", "", false, revision, done, owner,
               ev_now (((fake_platform *)p)->loop) + timeout_ms / 1000.0, false,
-              age });
+              mode });
   },
   [] (struct platform *p, void *owner) {
     ((fake_platform *)p)->calls.remove_if ([=] (const call &c) {
--- a/node/operator/tests/operator_fixture.h
+++ b/node/operator/tests/operator_fixture.h
@@ -79,9 +79,9 @@
 }
 
 inline void
-fake_ask_in_force (struct operator_backend *, const struct operator_command *,
-                   uint64_t, uint32_t, operator_in_force_done *done,
-                   void *owner)
+fake_query_in_force (struct operator_backend *,
+                     const struct operator_command *, uint64_t, uint32_t,
+                     operator_in_force_done *done, void *owner)
 {
   const char *const unresponsive[] = { "h3" };
   struct operator_in_force report = { 2, 3, unresponsive, 1 };
@@ -89,7 +89,7 @@
 }
 
 inline int64_t
-fake_news_age_ms (struct operator_backend *)
+fake_contact_age_ms (struct operator_backend *)
 {
   return 340;
 }
@@ -121,7 +121,7 @@
   {
     static const struct operator_backend_ops ops
         = { fake_change_service, fake_change_ejection, fake_clear_poison,
-            fake_ask_in_force,   fake_news_age_ms,     fake_not_heard_from,
+            fake_query_in_force, fake_contact_age_ms,  fake_not_heard_from,
             fake_cancel };
     backend.backend.ops = &ops;
     snprintf (settings.name, sizeof settings.name, "h1");
--- a/node/operator/tests/operator_task_test.cc
+++ b/node/operator/tests/operator_task_test.cc
@@ -132,8 +132,8 @@
 }
 
 /* An operator who reads "not accepted" repeats the command, and it is done
-   twice if the write took effect.  After a lost answer the host doesn't know,
-   so it must not report "not accepted". */
+   twice if the write took effect.  After a lost response the host doesn't
+   know, so it must not report "not accepted". */
 TEST (OperatorTask, LostAnswerIsNotReportedAsNotAccepted)
 {
   OperatorFixture fixture;
--- a/node/operator/tests/service_command_test.cc
+++ b/node/operator/tests/service_command_test.cc
@@ -334,7 +334,7 @@
   EXPECT_EQ (difference (), "");
 }
 
-/* The write takes effect, its answer is lost, and the platform can't be read
+/* The write takes effect, its response is lost, and the platform can't be read
    for some time.  The command must end as accepted, written once. */
 TEST_F (ServiceCommand, LostAnswerIsReadBack)
 {
@@ -373,7 +373,7 @@
   EXPECT_EQ (fake.version, 6u) << "took effect once";
 }
 
-/* The answer is lost and another operator writes before the read-back.  The
+/* The response is lost and another operator writes before the read-back.  The
    service no longer carries the write's id, whether or not the write took
    effect. */
 TEST_F (ServiceCommand, OverwrittenAfterLostAnswerIsUnknown)
