--- a/node/host_settings.h
+++ b/node/host_settings.h
@@ -81,8 +81,8 @@
   uint32_t enforce_ms;     /**< validity of an ejection without refresh */
   uint32_t owner_lease_ms; /**< silence until an owner is replaced */
   uint32_t watch_ms; /**< timeout of a watch (long poll) at the platform */
-  /** The same at a relay: a watch can stop delivering without an error, and a
-   * relay learns of what it missed with the next watch. */
+  /** The same at a leading relay: a watch can stop delivering without an
+   * error, and the relay learns of what it missed with the next watch. */
   uint32_t relay_watch_ms;
   uint32_t platform_timeout_ms;
   uint32_t evidence_ms;    /**< interval of the reports to a service's owner */
