--- a/tests/compat/mixed_builds.cc
+++ b/tests/compat/mixed_builds.cc
@@ -211,6 +211,7 @@
     std::cout << load.summary ();
     expect_members ();
     fleet->start_target (8);
+    ASSERT_TRUE (fleet->targets[7]->wait_line ({ "listening" }));
     block_poison ();
   }
 
