--- a/node/ejection/tests/ejection_fleet.h
+++ b/node/ejection/tests/ejection_fleet.h
@@ -428,8 +428,7 @@
         ms, [] { return false; }, failing);
   }
 
-  int max_ejected_capacity = 0; // maximum capacity of the targets that are
-                                // ejected at one host or more
+  int max_ejected_capacity = 0; // of targets ejected at one host or more
 
   void
   update_max_ejected ()
--- a/node/registry/tests/service_groups_test.cc
+++ b/node/registry/tests/service_groups_test.cc
@@ -57,7 +57,7 @@
              (names{ "c", "a", "b" }));
 }
 
-TEST (ServiceGroups, HostNameAndTrafficSplitLinkServices)
+TEST (ServiceGroups, HostNameAndWeightedPartsLinkServices)
 {
   EXPECT_EQ (
       groups ({ "c", "a", "b", "d" }, { { "x.example", { "c" } },
